--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -35,8 +35,8 @@
 @when('a caller sends "{text}" to the target "{target}"')
 def sends_to_target(context, text, target):
     spy(context)
-    context.last = helpers.ask(
-        fleet_steps.front(context), target, body=text.encode()
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), target, body=text.encode()
     )
 
 
@@ -59,8 +59,8 @@
 def sends_headers(context):
     spy(context)
     context.sent = [(row['name'], row['value']) for row in context.table]
-    context.last = helpers.ask(
-        fleet_steps.front(context), headers=context.sent
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), headers=context.sent
     )
 
 
@@ -83,7 +83,9 @@
 @when('a caller asks with {ms:d} ms left')
 def asks_with_time(context, ms):
     spy(context)
-    context.last = helpers.ask(fleet_steps.front(context), deadline_ms=ms)
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), deadline_ms=ms
+    )
 
 
 @then('the upstream got at most {most:d} ms and more than {least:d} ms')
@@ -95,7 +97,12 @@
 @then('{count:d} requests for "{path}" reach both services')
 def reach_both(context, count, path):
     for _ in range(count):
-        assert helpers.ask(fleet_steps.front(context), path).status == 200
+        assert (
+            helpers.send_request(
+                fleet_steps.router_address(context), path
+            ).status
+            == 200
+        )
     for service in (shape_.SERVICE, 'other'):
         came = [
             arrival
@@ -108,10 +115,10 @@
 @when('a caller asks for "{path}" over a kept connection')
 def over_kept(context, path):
     context.conn = connection_.Connection(
-        fleet_steps.front(context), clock_.SystemClock()
+        fleet_steps.router_address(context), clock_.SystemClock()
     )
     assert context.conn.connect(1000) is None
-    first = helpers.ask('', path, conn=context.conn)
+    first = helpers.send_request('', path, conn=context.conn)
     assert first.status == 200, first
 
 
@@ -124,7 +131,7 @@
 @then('the kept connection gets {status:d} within {ms:d} ms')
 def kept_gets(context, status, ms):
     def refused():
-        return helpers.ask('', conn=context.conn).status == status
+        return helpers.send_request('', conn=context.conn).status == status
 
     helpers.wait_until(refused, f'{status} on the kept connection', ms)
     context.conn.close()
@@ -132,7 +139,7 @@
 
 @when('a caller asks it for "{path}"')
 def asks_it(context, path):
-    context.last = helpers.ask(context.router.address, path)
+    context.last = helpers.send_request(context.router.address, path)
 
 
 @when('a caller sends a request without an id or a deadline')
@@ -142,7 +149,9 @@
         f'{names.AUTHORIZATION}: {helpers.KEY}\r\n'
         'Content-Length: 0\r\n\r\n'
     ).encode()
-    data = helpers.raw_exchange(fleet_steps.front(context), raw * 2, 800)
+    data = helpers.raw_exchange(
+        fleet_steps.router_address(context), raw * 2, 800
+    )
     context.last = helpers.Answer('')
     context.last.status = 200 if data.count(b' 200 OK') == 2 else 0
 
@@ -152,7 +161,7 @@
     text = context.text.replace('~', '\r\n')
     # The table's cells end without the blanks that a last line may need.
     context.raw = helpers.raw_exchange(
-        fleet_steps.front(context), text.rstrip(' ').encode()
+        fleet_steps.router_address(context), text.rstrip(' ').encode()
     )
 
 
@@ -169,32 +178,36 @@
 
 @when('a caller sends a header of {size:d} bytes')
 def large_header(context, size):
-    context.last = helpers.ask(
-        fleet_steps.front(context), headers=[('X-Large', 'x' * size)]
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), headers=[('X-Large', 'x' * size)]
     )
 
 
 @when('a caller sends it a body of {size:d} bytes')
 def large_body_to_it(context, size):
-    context.last = helpers.ask(context.router.address, body=b'x' * size)
+    context.last = helpers.send_request(
+        context.router.address, body=b'x' * size
+    )
 
 
 @when('a caller sends it a header of {size:d} bytes')
 def large_header_to_it(context, size):
-    context.last = helpers.ask(
+    context.last = helpers.send_request(
         context.router.address, headers=[('X-Large', 'x' * size)]
     )
 
 
 @when('a caller sends a body of {size:d} bytes')
 def large_body(context, size):
-    context.last = helpers.ask(fleet_steps.front(context), body=b'x' * size)
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), body=b'x' * size
+    )
 
 
 @when('a caller posts {size:d} bytes to "{path}"')
 def posts_bytes(context, size, path):
-    context.last = helpers.ask(
-        fleet_steps.front(context), path, body=b'x' * size
+    context.last = helpers.send_request(
+        fleet_steps.router_address(context), path, body=b'x' * size
     )
 
 
@@ -210,13 +223,13 @@
     chunks = ''.join(f'{len(part):x}\r\n{part}\r\n' for part in parts)
     raw = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n'
     context.raw = helpers.raw_exchange(
-        fleet_steps.front(context), raw.encode(), 500
+        fleet_steps.router_address(context), raw.encode(), 500
     )
 
 
 @when('a caller sends half of its body and closes')
 def half_body(context):
-    sock = helpers.raw_connect(fleet_steps.front(context))
+    sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(f'{HEAD}Content-Length: 100\r\n\r\nhalf'.encode())
     green.sleep_ms(50)
     sock.close()
@@ -224,7 +237,7 @@
 
 @when('a caller sends half of its body and ends its side')
 def half_body_and_end(context):
-    sock = helpers.raw_connect(fleet_steps.front(context))
+    sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(f'{HEAD}Content-Length: 100\r\n\r\nhalf'.encode())
     sock.shutdown(socket.SHUT_WR)
     context.raw = helpers.read_rest(sock)
@@ -240,7 +253,7 @@
 
 @when('a caller sends a head that never ends')
 def endless_head(context):
-    sock = helpers.raw_connect(fleet_steps.front(context))
+    sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(b'POST /holds/x HTTP/1.1\r\nHost: a\r\n')
 
     def drip():
@@ -260,7 +273,7 @@
     hidden = f'{HEAD}Content-Length: 0\r\n\r\n'.replace('raw-1', 'hidden')
     raw = f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}'
     context.raw = helpers.raw_exchange(
-        fleet_steps.front(context), raw.encode(), 500
+        fleet_steps.router_address(context), raw.encode(), 500
     )
 
 
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -134,7 +134,7 @@
     assert answer.failure is not None and not answer.complete, answer
     ids = [attempt.request_id for attempt in answer.attempts]
     assert len(ids) == 1, ids
-    assert helpers.runs_of(context, ids[0]) == 1
+    assert helpers.run_count(context, ids[0]) == 1
 
 
 @then('the reply is JSON')
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -126,7 +126,7 @@
 def stays(context):
     router = context.fleet.routers[0]
     assert router.config.routes.version == context.before
-    assert helpers.ask(router.address).status == 200
+    assert helpers.send_request(router.address).status == 200
 
 
 @when('two operators commit from the same version')
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -39,8 +39,8 @@
     context.fingerprints = []
     for index, (path, body) in enumerate(requests):
         router = context.fleet.routers[index % 2]
-        answer = helpers.ask(router.address, path, body=body)
-        steps = router.serving.decisions.of(answer.request_id)
+        answer = helpers.send_request(router.address, path, body=body)
+        steps = router.serving.decisions.history(answer.request_id)
         [attempt] = [text for _, text in steps if text.startswith('attempt ')]
         [fingerprint] = [
             part.partition('=')[2]
@@ -108,7 +108,9 @@
         conn = connection_.Connection(address, clock_.SystemClock())
         assert conn.connect(1000) is None
         with green.Timeout(ms / 1000, False):
-            helpers.ask(address, context.path, body=context.body, conn=conn)
+            helpers.send_request(
+                address, context.path, body=context.body, conn=conn
+            )
         conn.close()
         green.sleep_ms(context.crash_delay_ms + PROPAGATION_MS)
 
@@ -118,7 +120,9 @@
     for number in range(count):
         routers = context.fleet.serving()
         router = routers[number % len(routers)]
-        answer = helpers.ask(router.address, context.path, body=context.body)
+        answer = helpers.send_request(
+            router.address, context.path, body=context.body
+        )
         context.answers.append(answer)
         green.sleep_ms(PROPAGATION_MS)
 
@@ -140,7 +144,7 @@
     for guest in helpers.guests(context):
         guest.upstream.app.crash_body = b''
     router = context.fleet.serving()[0]
-    answer = helpers.ask(router.address, path, body=context.body)
+    answer = helpers.send_request(router.address, path, body=context.body)
     assert answer.status == 200 and answer.complete, answer
 
 
@@ -222,7 +226,10 @@
     )
     context.queued = [
         green.spawn(
-            helpers.ask, router.address, context.path, body=context.body
+            helpers.send_request,
+            router.address,
+            context.path,
+            body=context.body,
         )
         for _ in range(count)
     ]
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -37,7 +37,7 @@
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
     context.window = fleet.routers[0].serving.usage.window_now()
     tasks = [
-        green.spawn(helpers.ask, fleet.routers[n % 3].address)
+        green.spawn(helpers.send_request, fleet.routers[n % 3].address)
         for n in range(count)
     ]
     for task in tasks:
@@ -136,7 +136,7 @@
         self.duty = Remembering()
         self.store = MemoryStore()
         self.store.objects = context.objects
-        self.store.out = 'store_out' in context
+        self.store.is_down = 'store_out' in context
         clock = context.clock
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
@@ -298,10 +298,10 @@
 @when('the store is out for {ms:d} ms')
 def store_out_for(context, ms):
     for one in context.runs:
-        one.store.out = True
+        one.store.is_down = True
     go_on(context, ms)
     for one in context.runs:
-        one.store.out = False
+        one.store.is_down = False
     go_on(context, 1000)
 
 
@@ -362,7 +362,7 @@
     others = [r for r in fleet.routers if r is not context.old]
     context.old.stop()
     for number in range(60):
-        assert helpers.ask(others[number % 2].address).status == 200
+        assert helpers.send_request(others[number % 2].address).status == 200
         green.sleep_ms(20)
 
 
@@ -484,7 +484,7 @@
     set_up(context, window + 1)
     spec = {'window': window, 'counts': {'noor': 12}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
 
 
 @when('the next holder begins')
@@ -509,10 +509,10 @@
 @given('a usage reporter whose next write is not answered')
 def not_answered(context):
     set_up(context, 10)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
     context.reporter = reporter(context)
     context.reporter.begin(None)
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
 
 
 @when('two windows are over')
@@ -520,7 +520,7 @@
     for number in range(40):
         context.clock.advance(400)
         if number == 15:
-            context.usage.began('noor')
+            context.usage.count_started('noor')
         context.reporter.act(1)
 
 
@@ -551,11 +551,11 @@
     for incarnation, count in ((1, 3), (2, 4)):
         other = usage_.Usage(context.clock.wall, WINDOW_MS)
         for _ in range(count):
-            other.began('noor')
+            other.count_started('noor')
         # Beacons repeat what they say; only the newest counts.
         for _ in range(3):
-            context.usage.hear('router-2', incarnation, other.counts())
-    context.usage.began('noor')
+            context.usage.merge_router('router-2', incarnation, other.counts())
+    context.usage.count_started('noor')
 
 
 @then("both runs' requests are in the window's total")
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -67,7 +67,7 @@
     fleet = helpers.start_fleet(context, routers=count, engines=0, times=times)
     for domain in fleet.domains:
         fleet.add_engine(domain, reclaimable=True)
-    seen_by_all(context, 4)
+    wait_until_known(context, 4)
 
 
 @given('a fleet of {count:d} routers whose routes allow pauses of {ms:d} ms')
@@ -154,7 +154,7 @@
     )
     change_config(context, config + '\n[service other]\nslots = 16\n')
     context.fleet.add_service(context.fleet.domains[0], 'other')
-    seen_by_all(context, 1, 'other')
+    wait_until_known(context, 1, 'other')
 
 
 def spoil(context, service, **faults):
@@ -218,7 +218,7 @@
     context.router = context.fleet.add_router('router-1')
 
 
-def seen_by_all(context, count, service=shape_.ENGINES):
+def wait_until_known(context, count, service=shape_.ENGINES):
     """Wait until every router knows so many live upstreams."""
     helpers.wait_until(
         lambda: all(
@@ -229,7 +229,7 @@
     )
 
 
-def front(context, number=0):
+def router_address(context, number=0):
     return context.fleet.serving()[number].address
 
 
@@ -245,12 +245,16 @@
 
 def ask_with_key(context, path, host, key):
     value = f'{names.KEY_SCHEME}{key}' if key else ''
-    context.last = helpers.ask(front(context), path, host=host, key=value)
+    context.last = helpers.send_request(
+        router_address(context), path, host=host, key=value
+    )
 
 
 @when('a caller posts "{text}" to "{path}"')
 def posts(context, text, path):
-    context.last = helpers.ask(front(context), path, body=text.encode())
+    context.last = helpers.send_request(
+        router_address(context), path, body=text.encode()
+    )
     context.answers = [*getattr(context, 'answers', ()), context.last]
 
 
@@ -258,8 +262,8 @@
 def many_requests(context, count, path):
     tasks = [
         green.spawn(
-            helpers.ask,
-            front(context, number % len(context.fleet.serving())),
+            helpers.send_request,
+            router_address(context, number % len(context.fleet.serving())),
             path,
             body=f'seat {number}'.encode(),
         )
@@ -273,10 +277,15 @@
     context.tokens = tokens
     context.bodies = [f'letter {number}'.encode() for number in range(count)]
     context.tasks = [
-        green.spawn(stream, front(context, n % len(context.fleet.serving())),
-                    path, tokens, body)
+        green.spawn(
+            stream,
+            router_address(context, n % len(context.fleet.serving())),
+            path,
+            tokens,
+            body,
+        )
         for n, body in enumerate(context.bodies)
-    ]  # fmt: skip
+    ]
     # A fixed delay alone can end before the engines receive the requests.
     helpers.wait_until(
         lambda: len(arrivals_at_engines(context)) >= count,
@@ -295,7 +304,9 @@
 
 def stream(address, path, tokens, body=b'letter', **options):
     headers = [(names.TOKENS, f'64,{tokens}')]
-    return helpers.ask(address, path, body=body, headers=headers, **options)
+    return helpers.send_request(
+        address, path, body=body, headers=headers, **options
+    )
 
 
 @then('the status is {status:d}')
@@ -332,19 +343,19 @@
 @then('all have the status {status:d} and ran exactly {count:d} times')
 def all_ran(context, status, count):
     all_status(context, status)
-    runs = [helpers.runs_of(context, a.request_id) for a in context.answers]
+    runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert set(runs) == {count}, runs
 
 
 @then('the status is {status:d} and it ran exactly once')
 def status_once(context, status):
     assert context.last.status == status, context.last
-    assert helpers.runs_of(context, context.last.request_id) == 1
+    assert helpers.run_count(context, context.last.request_id) == 1
 
 
 @then('none ran more than {count:d} times')
 def none_more(context, count):
-    runs = [helpers.runs_of(context, a.request_id) for a in context.answers]
+    runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert max(runs) <= count, runs
 
 
@@ -372,8 +383,8 @@
     return b''.join(found).decode()
 
 
-def is_whole(answer, body, tokens):
-    numbers = helpers.events_of(answer.body)
+def is_complete(answer, body, tokens):
+    numbers = helpers.event_ids(answer.body)
     in_order = numbers == list(range(1, len(numbers) + 1))
     return (
         answer.complete
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -358,8 +358,8 @@
 def each_works(context, tokens):
     for node in context.groups.nodes.values():
         assert not node.serving.quota.take('noor', tokens)
-        node.serving.usage.began('noor')
-        node.serving.demand.offered('pool', 3000)
+        node.serving.usage.count_started('noor')
+        node.serving.demand.count_request('pool', 3000)
         if not node.table.my_loads():
             view = node.table.get('u-1')
             view.take_on(upstream_view.Load(1, 10, 100))
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -65,7 +65,7 @@
         return f'{self.status} {self.headers} {self.body[:200]} {self.failure}'
 
 
-def ask(
+def send_request(
     address,
     path='/holds/seat',
     method='POST',
@@ -146,7 +146,7 @@
     return b''.join(parts)
 
 
-def bare_limits(clock):
+def make_limits(clock):
     """Return what a router keeps limits by, without the rest of it."""
     return types.SimpleNamespace(
         quota=quota_.Quota(clock),
@@ -164,13 +164,13 @@
     return context.fleet.running(service)
 
 
-def runs_of(context, request_id):
+def run_count(context, request_id):
     return sum(
         guest.upstream.app.runs[request_id] for guest in context.fleet.guests
     )
 
 
-def arrivals_of(context, request_id):
+def arrival_count(context, request_id):
     return sum(
         came == request_id
         for guest in context.fleet.guests
@@ -178,7 +178,7 @@
     )
 
 
-def events_of(body):
+def event_ids(body):
     """Return the ids of the events in a body."""
     return [
         int(line[4:]) for line in body.split(b'\n') if line.startswith(b'id: ')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -199,7 +199,10 @@
 )
 def once_again(context, path):
     task = green.spawn(
-        helpers.ask, fleet_steps.front(context), path, request_id='seat-1'
+        helpers.send_request,
+        fleet_steps.router_address(context),
+        path,
+        request_id='seat-1',
     )
 
     def running():
@@ -244,7 +247,9 @@
 @then('{count:d} requests to "{path}" are answered by the later runs')
 def answered_by_later(context, count, path):
     for _ in range(count):
-        answer = helpers.ask(fleet_steps.front(context), path)
+        answer = helpers.send_request(
+            fleet_steps.router_address(context), path
+        )
         assert answer.status == 200, answer
     runs = sum(
         sum(guest.upstream.app.runs.values()) for guest in context.later
--- a/features/steps/lease_model.py
+++ b/features/steps/lease_model.py
@@ -92,19 +92,19 @@
 
     @stateful.rule(is_out=strategies.booleans())
     def outage(self, is_out):
-        self.store.out = is_out
+        self.store.is_down = is_out
 
     @stateful.rule()
     def lose_reply(self):
-        self.store.lose_next = 1
+        self.store.lose_replies = 1
 
     @stateful.rule()
     def write_late(self):
-        self.store.late_next = 1
+        self.store.delay_writes = 1
 
     @stateful.rule()
     def carry_out_late(self):
-        self.store.carry_out_late()
+        self.store.apply_delayed_writes()
 
     @stateful.invariant()
     def one_acts(self):
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -72,22 +72,22 @@
 
 @when("the next write's reply is lost")
 def lose_reply(context):
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
 
 
 @when('the next write is carried out late')
 def late_write(context):
-    context.store.late_next = 1
+    context.store.delay_writes = 1
 
 
 @when('the late write is carried out')
 def carry_out(context):
-    context.store.carry_out_late()
+    context.store.apply_delayed_writes()
 
 
 @when('the store is out')
 def store_out(context):
-    context.store.out = True
+    context.store.is_down = True
 
 
 @when('an older version has given it up, and the first had it before')
@@ -212,9 +212,9 @@
     numbers = {}
     for step in range(120):
         fault = draws.random()
-        store.out = fault < 0.1
-        store.lose_next = 1 if 0.1 <= fault < 0.2 else 0
-        store.late_next = 1 if 0.2 <= fault < 0.3 else 0
+        store.is_down = fault < 0.1
+        store.lose_replies = 1 if 0.1 <= fault < 0.2 else 0
+        store.delay_writes = 1 if 0.2 <= fault < 0.3 else 0
         name = draws.choice('abc')
         lease = leases[name]
         if draws.random() < 0.03:
@@ -224,7 +224,7 @@
         elif draws.random() < 0.7:
             lease.attempt()
         if draws.random() < 0.3:
-            store.carry_out_late()
+            store.apply_delayed_writes()
         hint = lease.hint()
         for other in leases.values():
             if hint is not None and other is not lease:
@@ -307,12 +307,12 @@
             killed[place] = now
         lease = leases[place]
         fault = draws.random()
-        store.out = fault < 0.1
-        store.lose_next = 1 if 0.1 <= fault < 0.2 else 0
-        store.late_next = 1 if 0.2 <= fault < 0.3 else 0
+        store.is_down = fault < 0.1
+        store.lose_replies = 1 if 0.1 <= fault < 0.2 else 0
+        store.delay_writes = 1 if 0.2 <= fault < 0.3 else 0
         draws.choice((lease.attempt, lease.attempt, lease.succeed))()
         if draws.random() < 0.3:
-            store.carry_out_late()
+            store.apply_delayed_writes()
         acting = [p for p, found in leases.items() if found.may_act()]
         assert len(acting) <= 1, (step, acting)
         for p in acting:
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -315,8 +315,8 @@
         team='t',
         priority=1,
         urgency=4,
-        entered=0,
-        ends_at=0,
+        arrived_at=0,
+        deadline=0,
         caller=None,
         prompt=exchange_.Prompt('m', 7000, 300, parts),
     )
--- a/features/steps/memory_store.py
+++ b/features/steps/memory_store.py
@@ -12,29 +12,29 @@
     def __init__(self):
         self.objects = {}
         self.revision = 0
-        self.out = False
-        self.lose_next = 0
-        self.late_next = 0
-        self.drop_next = 0
-        self._late = []
+        self.is_down = False
+        self.lose_replies = 0
+        self.delay_writes = 0
+        self.drop_writes = 0
+        self._delayed = []
         self.calls = 0
 
     def read(self, kind, name):
         self.calls += 1
-        if self.out:
+        if self.is_down:
             return failures.unavailable('no_answer')
         return self.objects.get((kind, name)) or objects.Stored(name, 0)
 
     def list(self, kind):
         self.calls += 1
-        if self.out:
+        if self.is_down:
             return failures.unavailable('no_answer')
         found = [v for (k, _), v in self.objects.items() if k == kind]
         return objects.Listing(found, self.revision)
 
     def watch(self, kind, since, wait_ms, on_bytes=None):
         self.calls += 1
-        if self.out:
+        if self.is_down:
             return failures.unavailable('no_answer')
         found = [
             v
@@ -45,24 +45,24 @@
 
     def write(self, kind, name, spec, revision):
         self.calls += 1
-        if self.out:
+        if self.is_down:
             return failures.unknown('no_answer')
-        if self.drop_next:
-            self.drop_next -= 1
+        if self.drop_writes:
+            self.drop_writes -= 1
             return failures.unknown('no_answer')
-        if self.late_next:
-            self.late_next -= 1
-            self._late.append((kind, name, spec, revision))
+        if self.delay_writes:
+            self.delay_writes -= 1
+            self._delayed.append((kind, name, spec, revision))
             return failures.unknown('no_answer')
         result = self._write(kind, name, spec, revision)
-        if self.lose_next:
-            self.lose_next -= 1
+        if self.lose_replies:
+            self.lose_replies -= 1
             return failures.unknown('no_answer')
         return result
 
     def remove(self, kind, name, revision):
         self.calls += 1
-        if self.out:
+        if self.is_down:
             return failures.unknown('no_answer')
         current = self.objects.get((kind, name))
         if current is None or current.revision != revision:
@@ -71,9 +71,9 @@
         del self.objects[kind, name]
         return None
 
-    def carry_out_late(self):
+    def apply_delayed_writes(self):
         """Do the writes that were under way, if their condition holds."""
-        late, self._late = self._late, []
+        late, self._delayed = self._delayed, []
         return [self._write(*write) for write in late]
 
     def _write(self, kind, name, spec, revision):
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -24,7 +24,7 @@
 from peridotmast.duties import scaler as scaler_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import demand as demand_
-from peridotmast.serving import reading
+from peridotmast.serving import prefill_rate
 from peridotmast.serving import upstream_limits
 from peridotmast.serving import upstreams as upstreams_
 
@@ -375,14 +375,14 @@
     clock = clock_.ManualClock()
     context.demands = [demand_.Demand(clock) for _ in range(2)]
     tallies = [
-        tally.Tally(demand.counts, demand.offered_elsewhere)
+        tally.Tally(demand.counts, demand.count_from_peers)
         for demand in context.demands
     ]
     exchange(context.demands, tallies)
     for _ in range(s * 4):
         for demand, tokens in zip(context.demands, (a, b)):
             demand.tick()
-            demand.offered('pool', tokens // (s * 4))
+            demand.count_request('pool', tokens // (s * 4))
         exchange(context.demands, tallies)
         clock.advance(250)
 
@@ -409,7 +409,7 @@
 
 @when('it is asked for {tokens:d} tokens in {ms:d} ms')
 def asked_for(context, tokens, ms):
-    context.demand.offered('pool', tokens)
+    context.demand.count_request('pool', tokens)
     context.clock.advance(ms)
 
 
@@ -454,10 +454,10 @@
     def quantile(self, service, part):
         return max(self.value, self.peak)
 
-    def is_known(self, service):
+    def has_full_window(self, service):
         return self.known
 
-    def reading(self, service):
+    def prefill_rate(self, service):
         return self.speed
 
     def mean_request_tokens(self, service):
@@ -810,7 +810,7 @@
     for rate, seconds in ((low, long), (high, short)):
         for _ in range(4 * seconds):
             clock.advance(250)
-            context.demand.offered('pool', rate // 4)
+            context.demand.count_request('pool', rate // 4)
             context.demand.tick()
 
 
@@ -908,27 +908,29 @@
 
 @given('engines that read {speed:g} tokens a ms, and some that are slow')
 def some_slow(context, speed):
-    context.reading = reading.Reading()
+    context.prefill_rates = prefill_rate.PrefillRates()
     draws = random.Random(5)
     for number in range(60):
         tokens = draws.randint(1000, 9000)
         slow = 1 if draws.random() < 0.6 else draws.uniform(1, 8)
-        context.reading.note('pool', tokens, 20 + tokens / speed * slow)
-        context.reading.note('pool', 100, 22)
+        context.prefill_rates.add_sample(
+            'pool', tokens, 20 + tokens / speed * slow
+        )
+        context.prefill_rates.add_sample('pool', 100, 22)
 
 
 @then('{speed:g} is what is gone by, within a tenth')
 def gone_by(context, speed):
-    found = context.reading.speed('pool')
+    found = context.prefill_rates.tokens_per_ms('pool')
     assert abs(found - speed) < 0.1 * speed, found
 
 
 @then('of fewer than 12 samples nothing is said')
 def nothing_said(context):
-    fresh = reading.Reading()
+    fresh = prefill_rate.PrefillRates()
     for _ in range(11):
-        fresh.note('pool', 5000, 100)
-    assert fresh.speed('pool') is None
+        fresh.add_sample('pool', 5000, 100)
+    assert fresh.tokens_per_ms('pool') is None
 
 
 @then(
@@ -950,14 +952,14 @@
 def two_have_seen(context, a, b):
     context.demand = demand_.Demand(clock_.ManualClock())
     for name, speed in (('r-a', a), ('r-b', b)):
-        context.demand.hear_readings(name, {'pool': float(speed)})
+        context.demand.set_peer_prefill_rates(name, {'pool': float(speed)})
 
 
 @when('the one that saw {speed:d} is forgotten')
 def one_forgotten(context, speed):
-    context.demand.forget({'r-b'})
+    context.demand.retain_routers({'r-b'})
 
 
 @then('{speed:d} tokens a ms are read')
 def are_read(context, speed):
-    assert context.demand.reading('pool') == speed
+    assert context.demand.prefill_rate('pool') == speed
--- a/features/steps/raw_upstream.py
+++ b/features/steps/raw_upstream.py
@@ -41,7 +41,7 @@
         self._task.kill()
         self._sock.close()
 
-    def enter(self, fleet, service, name='raw-1'):
+    def register(self, fleet, service, name='raw-1'):
         """Write its entry to the store."""
         from peridotmast.platform import upstream_codec
 
@@ -97,7 +97,7 @@
         return head
 
 
-def whole_answer(request_id, body=b'fine', extra=b''):
+def ok_response(request_id, body=b'fine', extra=b''):
     """Return the bytes of a right answer."""
     return (
         (
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -73,7 +73,7 @@
 @when('its entry is not answered, and it tries again')
 def not_answered(context):
     context.started = Starting(context.store, 'new', 50)
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
     assert not context.started.registry.enter()
     assert context.started.registry.enter()
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -454,14 +454,20 @@
     'a caller of an unknown route is told to come back, and that nothing ran'
 )
 def told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
+    is_promise(
+        helpers.send_request(context.fleet.routers[0].address, '/nowhere/x')
+    )
 
 
 @then(
     'a caller with an unknown key is told to come back, and that nothing ran'
 )
 def key_told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, key='Bearer new'))
+    is_promise(
+        helpers.send_request(
+            context.fleet.routers[0].address, key='Bearer new'
+        )
+    )
 
 
 def is_promise(answer):
@@ -475,7 +481,9 @@
 
     def is_final():
         nonlocal answer
-        answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+        answer = helpers.send_request(
+            context.fleet.routers[0].address, '/nowhere/x'
+        )
         return answer.status == 404
 
     helpers.wait_until(is_final, 'the word is forgotten')
@@ -483,7 +491,9 @@
 
 @then('a caller of an unknown route is told that there is none')
 def told_none(context):
-    answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+    answer = helpers.send_request(
+        context.fleet.routers[0].address, '/nowhere/x'
+    )
     assert answer.status == 404, answer
 
 
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -62,7 +62,7 @@
         for body in context.bodies
     ]  # fmt: skip
     green.sleep_ms(150)
-    assert context.stopping.serving.gateway.in_work == count
+    assert context.stopping.serving.gateway.in_flight == count
     context.drain = green.spawn(context.stopping.drain)
     green.sleep_ms(100)
 
@@ -71,7 +71,7 @@
 def all_whole(context):
     for body, task in zip(context.bodies, context.tasks):
         answer = task.wait()
-        assert fleet_steps.is_whole(answer, body, context.tokens), answer
+        assert fleet_steps.is_complete(answer, body, context.tokens), answer
 
 
 @then('it is out of the directory and not ready at once')
@@ -83,7 +83,7 @@
 
 @then('new connections are served while it lasts, one request each')
 def served_meanwhile(context):
-    answer = helpers.ask(context.stopping.address)
+    answer = helpers.send_request(context.stopping.address)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
 
@@ -92,13 +92,13 @@
 def empty_in_time(context):
     with green.Timeout(8):
         context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
+    assert context.stopping.serving.gateway.in_flight == 0
 
 
 @then('after {ms:d} ms a stream that may last longer than it is refused')
 def long_one_refused(context, ms):
     green.sleep_ms(ms)
-    answer = helpers.ask(context.stopping.address, '/chat/x')
+    answer = helpers.send_request(context.stopping.address, '/chat/x')
     assert answer.status == 503, answer
     assert answer.body == b'leaving', answer
     assert float(answer.header(names.RETRY_AFTER)) < 0.1, answer
@@ -106,7 +106,7 @@
 
 @then('a request that ends in time is served')
 def short_one_served(context):
-    answer = helpers.ask(context.stopping.address, deadline_ms=1000)
+    answer = helpers.send_request(context.stopping.address, deadline_ms=1000)
     assert answer.status == 200, answer
 
 
@@ -114,20 +114,20 @@
 def request_at_end(context):
     router = context.fleet.routers[0]
     router.drain()
-    context.last = helpers.ask(router.address)
+    context.last = helpers.send_request(router.address)
 
 
 @then('it is refused as not run, and no upstream got it')
 def refused_not_run(context):
     assert context.last.status == 503, context.last
     assert context.last.body == b'leaving', context.last
-    assert not helpers.arrivals_of(context, context.last.request_id)
+    assert not helpers.arrival_count(context, context.last.request_id)
 
 
 @then('it is empty by the time its stop is over')
 def empty_when_over(context):
     context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
+    assert context.stopping.serving.gateway.in_flight == 0
     all_whole(context)
 
 
@@ -136,7 +136,7 @@
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
-    assert helpers.ask('', conn=context.conn).status == 200
+    assert helpers.send_request('', conn=context.conn).status == 200
     green.spawn(router.drain)
 
 
@@ -180,7 +180,7 @@
 def nothing_back(context):
     # The connection's end comes at once, what is passed on some ms later.
     green.sleep_ms(500)
-    assert not helpers.arrivals_of(context, 'crossing-2')
+    assert not helpers.arrival_count(context, 'crossing-2')
     try:
         rest = helpers.read_rest(context.sock, 2000)
     except ConnectionResetError:
@@ -208,7 +208,7 @@
 
 @then("the caller's first request is answered, and its connection closed")
 def first_answered(context):
-    answer = helpers.ask('', conn=context.conn)
+    answer = helpers.send_request('', conn=context.conn)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
     context.drain.wait()
@@ -415,7 +415,7 @@
     catch_up = catch_up_.CatchUp(
         clock, knowledge, None, lambda name, *rest: asked.append(name)
     )
-    serving = helpers.bare_limits(clock)
+    serving = helpers.make_limits(clock)
     return peering_.Peering(clock, knowledge, serving, None, None, catch_up)
 
 
@@ -594,7 +594,7 @@
 @when('a caller asks one router and an operator asks the other for its id')
 def operator_asks(context):
     first, second = context.fleet.routers
-    context.last = helpers.ask(first.address)
+    context.last = helpers.send_request(first.address)
     client = rpc.RpcClient(pb_grpc.OperatorsStub)
     context.closing.append(client.close)
     request = pb.RequestShowRequest(request_id=context.last.request_id)
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -294,7 +294,7 @@
     peering = peering_.Peering(
         context.clock,
         knowledge,
-        helpers.bare_limits(context.clock),
+        helpers.make_limits(context.clock),
         None,
         None,
         catch_up,
@@ -325,7 +325,7 @@
 
 @when('a peer says that the store does not answer it, again and again')
 def peer_says_out(context):
-    serving = helpers.bare_limits(context.clock)
+    serving = helpers.make_limits(context.clock)
     knowledge = context.knowledge
     catch_up = catch_up_.CatchUp(
         context.clock, knowledge, Peer(), lambda name, *args: None
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -30,7 +30,7 @@
     context.moments = []
     clock = clock_.SystemClock()
     context.last = fleet_steps.stream(
-        fleet_steps.front(context),
+        fleet_steps.router_address(context),
         path,
         tokens,
         BODY,
@@ -55,12 +55,16 @@
     done = []
 
     def on_bytes(answer):
-        if not done and len(helpers.events_of(answer.body)) >= 5:
+        if not done and len(helpers.event_ids(answer.body)) >= 5:
             done.append(upstream_of(context, answer.request_id))
             act(done[0])
 
     context.last = fleet_steps.stream(
-        fleet_steps.front(context), path, tokens, BODY, on_bytes=on_bytes
+        fleet_steps.router_address(context),
+        path,
+        tokens,
+        BODY,
+        on_bytes=on_bytes,
     )
     context.first_upstream = done[0] if done else None
 
@@ -91,9 +95,9 @@
 
 @then('its events are complete and in order')
 def complete(context):
-    assert fleet_steps.is_whole(context.last, BODY, context.tokens), (
+    assert fleet_steps.is_complete(context.last, BODY, context.tokens), (
         context.last.failure,
-        helpers.events_of(context.last.body),
+        helpers.event_ids(context.last.body),
     )
 
 
@@ -118,14 +122,14 @@
 @then('the stream is visibly broken and was run once')
 def broken_once(context):
     assert context.last.status == 200 and not context.last.complete
-    assert helpers.runs_of(context, context.last.request_id) == 1
+    assert helpers.run_count(context, context.last.request_id) == 1
 
 
 @then('each is complete and in order, or visibly broken')
 def whole_or_broken(context):
     answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, answers):
-        whole = fleet_steps.is_whole(answer, body, context.tokens)
+        whole = fleet_steps.is_complete(answer, body, context.tokens)
         assert whole or not answer.complete, answer
     assert any(answer.complete for answer in answers)
 
@@ -134,8 +138,8 @@
 def each_whole(context):
     context.answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, context.answers):
-        whole = fleet_steps.is_whole(answer, body, context.tokens)
-        assert whole, (answer.failure, helpers.events_of(answer.body)[-3:])
+        whole = fleet_steps.is_complete(answer, body, context.tokens)
+        assert whole, (answer.failure, helpers.event_ids(answer.body)[-3:])
 
 
 @then('of a stream cut anywhere only whole events are passed on')
@@ -154,7 +158,7 @@
 
 
 def open_raw(context, path, tokens=400):
-    sock = helpers.raw_connect(fleet_steps.front(context))
+    sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(
         (
             f'POST {path} HTTP/1.1\r\nHost: {shape_.HOST}\r\n'
@@ -178,7 +182,7 @@
 def leaves_waiting(context, path):
     sock = open_raw(context, path)
     helpers.wait_until(
-        lambda: helpers.arrivals_of(context, 'leaver'), 'its arrival'
+        lambda: helpers.arrival_count(context, 'leaver'), 'its arrival'
     )
     sock.close()
 
@@ -197,7 +201,7 @@
 @then('it was not run again')
 def not_again(context):
     green.sleep_ms(300)
-    assert helpers.arrivals_of(context, 'leaver') == 1
+    assert helpers.arrival_count(context, 'leaver') == 1
 
 
 @when('a caller asks for a long stream and reads nothing')
@@ -213,7 +217,7 @@
 def gives_up(context):
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: router.serving.gateway.in_work == 0,
+        lambda: router.serving.gateway.in_flight == 0,
         'the router gives it up',
         15_000,
     )
@@ -244,7 +248,7 @@
 @then('none was run twice and nothing was read again')
 def nothing_again(context):
     for answer in context.answers:
-        assert helpers.runs_of(context, answer.request_id) == 1, answer
+        assert helpers.run_count(context, answer.request_id) == 1, answer
     assert totals(context, 'recomputed') == 0
     assert totals(context, 'moved') > 0
 
@@ -262,7 +266,7 @@
     green.spawn_after_ms(300, context.fleet.announce_leaving, context.leaver)
     tasks = []
     for number in range(120):
-        address = fleet_steps.front(context, number % 3)
+        address = fleet_steps.router_address(context, number % 3)
         tasks.append(
             green.spawn(fleet_steps.stream, address, '/chat/x', 4, b'%d'
                         % number)
@@ -385,8 +389,8 @@
     for engine, name in zip(sources, context.bodies):
         engine.app.numbers = itertools.count(77)
         copy = control.move(engine.address, name, target.address)
-        assert copy.taken, copy
-        context.copies[name] = copy.at
+        assert copy.is_at_target, copy
+        context.copies[name] = copy.location
     handles = {at.rpartition('/')[2] for at in context.copies.values()}
     assert handles == {'h77'}, context.copies
 
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -36,7 +36,9 @@
 
 def ask(context, router):
     body = f'prompt {next(context.numbers)}'.encode()
-    return helpers.ask(router.address, '/chat/tag', body=body, headers=TOKENS)
+    return helpers.send_request(
+        router.address, '/chat/tag', body=body, headers=TOKENS
+    )
 
 
 @given('one engine states a limit of {rate} request a second')
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -41,13 +41,13 @@
 
 
 def enter_scripted(context, fleet, service):
-    context.script = raw_upstream.whole_answer
+    context.script = raw_upstream.ok_response
     context.raw_upstream = raw_upstream.RawUpstream(
         lambda *args: context.script(*args)
     )
     context.closing.append(context.raw_upstream.stop)
-    context.raw_upstream.enter(fleet, service)
-    fleet_steps.seen_by_all(context, 1, service)
+    context.raw_upstream.register(fleet, service)
+    fleet_steps.wait_until_known(context, 1, service)
 
 
 def reset(sock):
@@ -76,7 +76,7 @@
 
 
 def half_body(sock, request_id, number):
-    sock.sendall(raw_upstream.whole_answer(request_id, b'0123456789')[:-5])
+    sock.sendall(raw_upstream.ok_response(request_id, b'0123456789')[:-5])
 
 
 def close_only(sock, request_id, number):
@@ -133,24 +133,24 @@
 
 
 def with_another(sock, request_id, number):
-    extra = raw_upstream.whole_answer('somebody-else', b'stolen')
-    sock.sendall(raw_upstream.whole_answer(request_id, request_id.encode()))
+    extra = raw_upstream.ok_response('somebody-else', b'stolen')
+    sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     green.sleep_ms(30)
     sock.sendall(extra)
     return True
 
 
 def with_another_at_once(sock, request_id, number):
-    extra = raw_upstream.whole_answer('somebody-else', b'stolen')
+    extra = raw_upstream.ok_response('somebody-else', b'stolen')
     sock.sendall(
-        raw_upstream.whole_answer(request_id, request_id.encode(), extra)
+        raw_upstream.ok_response(request_id, request_id.encode(), extra)
     )
     return True
 
 
 def old_one_first(sock, request_id, number):
-    sock.sendall(raw_upstream.whole_answer('an-old-one', b'stale'))
-    sock.sendall(raw_upstream.whole_answer(request_id, request_id.encode()))
+    sock.sendall(raw_upstream.ok_response('an-old-one', b'stale'))
+    sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     return True
 
 
@@ -202,7 +202,7 @@
 
 @then('it was run {count:d} times or more')
 def run_so_often(context, count):
-    runs = helpers.runs_of(context, context.last.request_id)
+    runs = helpers.run_count(context, context.last.request_id)
     assert runs >= count, runs
 
 
@@ -247,7 +247,7 @@
     late = context.late = []
 
     def script(sock, request_id, number):
-        sock.sendall(raw_upstream.whole_answer(request_id, b'early'))
+        sock.sendall(raw_upstream.ok_response(request_id, b'early'))
         green.sleep_ms(300)
         with green.Timeout(1, False):
             while data := sock.recv(65536):
@@ -266,9 +266,7 @@
 @given('the upstream answers once on each connection and closes it late')
 def closes_late(context):
     def script(sock, request_id, number):
-        sock.sendall(
-            raw_upstream.whole_answer(request_id, request_id.encode())
-        )
+        sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
         green.sleep_ms(20)
         return False
 
@@ -279,7 +277,9 @@
 def one_after_other(context, count):
     context.answers = []
     for _ in range(count):
-        context.answers.append(helpers.ask(fleet_steps.front(context)))
+        context.answers.append(
+            helpers.send_request(fleet_steps.router_address(context))
+        )
         green.sleep_ms(60)
 
 
@@ -331,7 +331,7 @@
 
 @then('those that ran have the status 502 and the others 503')
 def ran_502(context):
-    ran = [helpers.runs_of(context, a.request_id) for a in context.answers]
+    ran = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert any(ran), ran
     for runs, answer in zip(ran, context.answers):
         assert answer.status == (502 if runs else 503), (runs, answer)
@@ -356,7 +356,7 @@
         paths = ['/holds/x', '/pages/x'] * 3
         tasks = [
             green.spawn(
-                helpers.ask,
+                helpers.send_request,
                 draws.choice(fleet.serving()).address,
                 path,
                 body=b'seat %d' % number,
@@ -368,7 +368,7 @@
 
 
 def check_one(context, path, answer, number):
-    runs = helpers.runs_of(context, answer.request_id)
+    runs = helpers.run_count(context, answer.request_id)
     if path.startswith('/holds'):
         assert runs <= 1, (answer, runs)
     if answer.status in (408, 421, 429, 503):
--- a/src/peridotmast/client/caller.py
+++ b/src/peridotmast/client/caller.py
@@ -28,9 +28,9 @@
     address: str
     status: int = 0
     """0 where no answer came."""
-    ended: int = 0
+    ended_at: int = 0
     """When its answer ended, one way or another, in ms."""
-    was_told: bool = False
+    error_reported: bool = False
     """Whether the router said why there is no whole answer; else its
     connection just ended."""
 
@@ -45,7 +45,7 @@
     """Whether it came to its end."""
     failure: ty.Optional[failures.Failure] = None
     """Why it did not."""
-    began: int = 0
+    started_at: int = 0
     """When it was asked for, in ms."""
     arrivals: list[int] = dataclasses.field(default_factory=list)
     """When each event came, in ms."""
@@ -156,8 +156,8 @@
         deadline_ms: int,
         on_text: ty.Optional[ty.Callable[[str], None]],
     ) -> Answer:
-        answer = Answer(began=self._clock.now())
-        deadline = answer.began + deadline_ms
+        answer = Answer(started_at=self._clock.now())
+        deadline = answer.started_at + deadline_ms
         while True:
             answer.text, answer.failure = '', None
             self._attempt(path, body, deadline, answer, on_text)
@@ -204,7 +204,7 @@
         if failure is None:
             failure = self._read(conn, deadline, attempt, answer, on_text)
         conn.close()
-        attempt.ended = self._clock.now()
+        attempt.ended_at = self._clock.now()
         answer.failure = failure
         self._resolved_at -= _KEEP_MS if failure is not None else 0
 
@@ -228,7 +228,7 @@
                 answer.text, answer.complete = whole.decode(), True
                 answer.arrivals = [self._clock.now()]
                 return None
-            attempt.was_told = True
+            attempt.error_reported = True
             return _refusal(head, whole)
         return self._read_events(conn, deadline, attempt, answer, on_text)
 
@@ -255,7 +255,7 @@
                     return None
                 chunk = json.loads(line)
                 if 'error' in chunk:
-                    attempt.was_told = True
+                    attempt.error_reported = True
                     return failures.unknown(chunk['error']['reason'])
                 text = chunk['choices'][0]['delta'].get('content', '')
                 answer.text += text
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -227,7 +227,7 @@
         config: pb.Config,
     ) -> Part:
         self._checks.check(
-            invariants_.Promise.CONFIG_GROWS,
+            invariants_.Invariant.CONFIG_GROWS,
             version > part.version,
             f'{version} after {part.version}',
         )
--- a/src/peridotmast/duties/need.py
+++ b/src/peridotmast/duties/need.py
@@ -198,7 +198,7 @@
     def _reading_speed(self, service: str, per_engine: float) -> float:
         """Return the reading speed of an upstream, in tokens per second."""
         speed = per_engine * _PRIOR_SPEED
-        seen = self._demand.reading(service)
+        seen = self._demand.prefill_rate(service)
         if seen is not None:
             low, high = speed / _SLOWER_BOUND, speed * _FASTER_BOUND
             # Between the two: an engine at work reads slower than the idle
@@ -235,7 +235,7 @@
         wanted = limit_shortfall + max(
             _LEAST_NEEDED, planned, self._staff(service, rate, per_engine)
         )
-        known = self._demand.is_known(service)
+        known = self._demand.has_full_window(service)
         if not self.settled:
             return Need(wanted, now, known)
         need = self._needs.get(service)
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -136,7 +136,7 @@
             need.reserve,
             fencing,
             int(self._demand.rate(service.name)),
-            reading=self._demand.reading(service.name) or 0,
+            reading=self._demand.prefill_rate(service.name) or 0,
             limit_shortfall=need.limit_shortfall,
             may_be_reclaimed=policy.scaling != REACTIVE,
         )
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -130,7 +130,7 @@
             return False
         written = (self._written.spec if self._written else None) or {}
         self._checks.check(
-            invariants_.Promise.ONE_REPORT,
+            invariants_.Invariant.ONE_REPORT,
             window > int(written.get('window') or 0),
             str(window),
         )
--- a/src/peridotmast/invariants.py
+++ b/src/peridotmast/invariants.py
@@ -9,7 +9,7 @@
 from peridotmast import logs
 
 
-class Promise(enum.Enum):
+class Invariant(enum.Enum):
     """What must hold at every moment."""
 
     EVENTS_GROW = 'events_grow'
@@ -28,7 +28,7 @@
     """The counts of a window are written down once."""
 
 
-class BrokenPromise(AssertionError):
+class InvariantViolation(AssertionError):
     """Raised in tests where a promise does not hold."""
 
 
@@ -40,7 +40,7 @@
     registry : prometheus_client.CollectorRegistry
         Where ``peridotmast_broken_promises_total`` is counted.
     fatal : bool
-        Raise `BrokenPromise` besides counting.
+        Raise `InvariantViolation` besides counting.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
     ) -> None:
         self._fatal = fatal
         self._log = logs.get('invariants')
-        self.broken = 0
+        self.violations = 0
         """Promises found broken so far."""
         self._counter = prometheus_client.Counter(
             'peridotmast_broken_promises',
@@ -58,22 +58,22 @@
             ['promise'],
             registry=registry,
         )
-        for promise in Promise:
+        for promise in Invariant:
             self._counter.labels(promise.value)
 
-    def check(self, promise: Promise, holds: bool, detail: str = '') -> bool:
+    def check(self, promise: Invariant, holds: bool, detail: str = '') -> bool:
         """Return `holds`; where it is false, count and report it.
 
         Raises
         ------
-        BrokenPromise
+        InvariantViolation
             Where it is false and the checks are fatal.
         """
         if holds:
             return True
-        self.broken += 1
+        self.violations += 1
         self._counter.labels(promise.value).inc()
         self._log.error('promise_broken', promise=promise.value, detail=detail)
         if self._fatal:
-            raise BrokenPromise(f'{promise.value}: {detail}')
+            raise InvariantViolation(f'{promise.value}: {detail}')
         return False
--- a/src/peridotmast/load/event.py
+++ b/src/peridotmast/load/event.py
@@ -185,8 +185,8 @@
 
 
 def _figures(outcomes: list[oracle_.Outcome], opens: int) -> dict[str, ty.Any]:
-    opened = [o for o in outcomes if o.answer.began >= opens]
-    early = [o for o in opened if o.answer.began < opens + 1000]
+    opened = [o for o in outcomes if o.answer.started_at >= opens]
+    early = [o for o in opened if o.answer.started_at < opens + 1000]
     whole = report_.latencies(opened)['first_token_ms']
     first = report_.latencies(early)['first_token_ms']
     failed = sum(o.failure is not None for o in opened)
--- a/src/peridotmast/load/experiment.py
+++ b/src/peridotmast/load/experiment.py
@@ -122,12 +122,12 @@
     """Draw first-token times over the run, a line for each kind of work."""
     series = {}
     answers = [o for o in trial.outcomes if o.answer.arrivals]
-    start = min((o.answer.began for o in answers), default=0)
+    start = min((o.answer.started_at for o in answers), default=0)
     for work in _WORKS:
         points = sorted(
             (
-                (o.answer.began - start) / 1000,
-                float(o.answer.arrivals[0] - o.answer.began),
+                (o.answer.started_at - start) / 1000,
+                float(o.answer.arrivals[0] - o.answer.started_at),
             )
             for o in answers
             if o.arrival.work == work
--- a/src/peridotmast/load/oracle.py
+++ b/src/peridotmast/load/oracle.py
@@ -251,9 +251,9 @@
     began, ended = drained.get(links.target(last.address), _NO_SPAN)
     reason = answer.failure.reason if answer.failure else ''
     silent = last.request_id not in links.broken
-    if last.was_told:
+    if last.error_reported:
         silent = reason == 'cut_off'
-    return silent and began <= last.ended <= ended + CUT_MS
+    return silent and began <= last.ended_at <= ended + CUT_MS
 
 
 def count_excess_crashes(
--- a/src/peridotmast/load/overhead.py
+++ b/src/peridotmast/load/overhead.py
@@ -123,7 +123,7 @@
         if routed:
             decisions = fleet.routers[0].serving.decisions
             lines += [
-                f'  {at} {text}' for at, text in decisions.of(request_id)
+                f'  {at} {text}' for at, text in decisions.history(request_id)
             ]
     return '\n'.join(lines)
 
--- a/src/peridotmast/load/overload.py
+++ b/src/peridotmast/load/overload.py
@@ -66,7 +66,7 @@
 
 def _goodput(trial: trial_.Trial) -> float:
     """Return tokens a second of whole answers, past the first seconds."""
-    start = min(o.answer.began for o in trial.outcomes)
+    start = min(o.answer.started_at for o in trial.outcomes)
     first, last = start + 3000, start + SECONDS * 1000
     tokens = sum(
         _STRIDE * sum(first <= at < last for at in outcome.answer.arrivals)
--- a/src/peridotmast/load/report.py
+++ b/src/peridotmast/load/report.py
@@ -36,7 +36,7 @@
         for outcome in outcomes
         if outcome.arrival.work == work and outcome.answer.arrivals
     ]
-    first = [float(a.arrivals[0] - a.began) for a in answers]
+    first = [float(a.arrivals[0] - a.started_at) for a in answers]
     between = [
         (a.arrivals[-1] - a.arrivals[0]) / (len(a.arrivals) - 1)
         for a in answers
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -110,8 +110,8 @@
         team='kalnins',
         priority=0,
         urgency=4,
-        entered=0,
-        ends_at=0,
+        arrived_at=0,
+        deadline=0,
         caller=ty.cast(ty.Any, None),
         prompt=exchange_.Prompt('m', 10_500, 300, parts),
     )
--- a/src/peridotmast/platform/callers.py
+++ b/src/peridotmast/platform/callers.py
@@ -99,7 +99,7 @@
             )
         except request_body.BadBody as exc:
             return self._refuse_body(start, exc, request_id)
-        asked = gateway_.Asked(
+        asked = gateway_.IncomingRequest(
             id=request_id,
             method=environ['REQUEST_METHOD'],
             target=environ[strict_protocol.TARGET],
@@ -107,8 +107,8 @@
             key=_key(_get(headers, names.AUTHORIZATION)),
             headers=_end_to_end(headers),
             body=body,
-            entered=entered,
-            patience_ms=_number(_get(headers, names.DEADLINE_MS)),
+            arrived_at=entered,
+            caller_timeout_ms=_number(_get(headers, names.DEADLINE_MS)),
             prompt=_prompt(headers),
             caller=conn,
         )
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -7,7 +7,7 @@
 from peridotmast import failures
 from peridotmast.platform import fields as fields_
 from peridotmast.platform import names
-from peridotmast.serving import mover
+from peridotmast.serving import stream_migrator
 from peridotmast.wire import calls
 
 _REFUSED = 503
@@ -49,7 +49,7 @@
 
     def move(
         self, address: str, request_id: str, target: str
-    ) -> ty.Union[mover.Copy, failures.Failure]:
+    ) -> ty.Union[stream_migrator.KvCopy, failures.Failure]:
         """Stop a run and copy its memory to another engine.
 
         Returns
@@ -74,4 +74,6 @@
             fields.close()
         except ValueError as exc:
             return failures.unknown('move_garbled', str(exc)[:200])
-        return mover.Copy(f'{address}/{handle}', reply.status == 200)
+        return stream_migrator.KvCopy(
+            f'{address}/{handle}', reply.status == 200
+        )
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -126,7 +126,9 @@
 
     def _read_chat(
         self, req: web.Request
-    ) -> ty.Union[tuple[gateway_.Asked, pb.ChatRequest], failures.Failure]:
+    ) -> ty.Union[
+        tuple[gateway_.IncomingRequest, pb.ChatRequest], failures.Failure
+    ]:
         body = _parse(req, pb.ChatRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -134,10 +136,10 @@
         model = next((m for m in config.models if m.name == body.model), None)
         if model is None:
             unknown = failures.invalid('unknown_model', body.model[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         if body.adapter and body.adapter not in model.adapters:
             unknown = failures.invalid('unknown_adapter', body.adapter[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         max_tokens = body.max_tokens or min(
             _DEFAULT_MAX_TOKENS, model.max_tokens
         )
@@ -145,7 +147,7 @@
             beyond = failures.invalid(
                 'max_tokens', f'must be from 1 to {model.max_tokens}'
             )
-            return self._gateway.unless_behind(beyond)
+            return self._gateway.retryable_if_stale(beyond)
         if not body.messages:
             return failures.invalid('messages', 'at least one is needed')
         route = next((r for r in config.routes if r.name == model.route), None)
@@ -168,7 +170,7 @@
 
     def _read_service(
         self, req: web.Request, service: str, name: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         body = _parse(req, pb.ServiceRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -185,7 +187,7 @@
         )
         if route is None:
             missing = failures.missing('no_route', service[:80])
-            return self._gateway.unless_behind(missing)
+            return self._gateway.retryable_if_stale(missing)
         asked = self._asked(req, body, route, name)
         if not isinstance(asked, failures.Failure):
             asked.body = body.payload.encode()
@@ -193,7 +195,7 @@
 
     def _asked(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         """Return what both kinds of request have in common."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
@@ -208,7 +210,7 @@
         if body.deadline_ms < 0:
             return failures.invalid('deadline_past', 'deadline_ms is negative')
         request_id = request_id or uuid.uuid4().hex
-        return gateway_.Asked(
+        return gateway_.IncomingRequest(
             id=request_id,
             method='POST',
             target=route.prefix + path,
@@ -216,8 +218,8 @@
             key=_key(req.header('Authorization')),
             headers=[('Host', route.host), ('Content-Type', web.JSON)],
             body=b'',
-            entered=self._clock.now(),
-            patience_ms=body.deadline_ms or _DEADLINES_MS[work],
+            arrived_at=self._clock.now(),
+            caller_timeout_ms=body.deadline_ms or _DEADLINES_MS[work],
             prompt=exchange_.Prompt(),
             caller=ty.cast(caller_connection.CallerConnection, req.connection),
             route=route,
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -67,13 +67,13 @@
     def run(self) -> None:
         """Leave, then wait until nothing is in work."""
         began = self._clock.now()
-        self._gateway.leave(
+        self._gateway.drain(
             began + _TAKES_ALL_MS, began + self._grace_ms - _LAST_MS
         )
         self._members.change_me(state=members_.LEAVING, ready=False)
         self._announce()
         self._close_idle()
-        self._log.info('drain_begun', in_work=self._gateway.in_work)
+        self._log.info('drain_begun', in_work=self._gateway.in_flight)
         # Last, since the store may be slow to answer.
         self._release()
         while not self._is_over(self._clock.now() - began):
@@ -82,11 +82,11 @@
         self._gateway.close()
         self._log.info(
             'drain_over',
-            in_work=self._gateway.in_work,
+            in_work=self._gateway.in_flight,
             ms=self._clock.now() - began,
         )
 
     def _is_over(self, spent_ms: int) -> bool:
         if spent_ms >= self._grace_ms - _LAST_MS:
             return True
-        return spent_ms >= _LISTEN_MS and not self._gateway.in_work
+        return spent_ms >= _LISTEN_MS and not self._gateway.in_flight
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -189,7 +189,7 @@
     def own_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
         """Return what this router decided on a request."""
         reply = pb.RequestShowReply()
-        for at, text in self._decisions.of(req.request_id):
+        for at, text in self._decisions.history(req.request_id):
             reply.steps.add(router=self._members.me.name, at_ms=at, text=text)
         return reply
 
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -152,8 +152,8 @@
         )
         """What the routers tell each other."""
         self._peering.borrowing.send = self.beacons.send
-        self.serving.gateway.take = self._peering.borrowing.take
-        self.serving.gateway.is_behind = self._catch_up.config.is_behind
+        self.serving.gateway.take_quota = self._peering.borrowing.take
+        self.serving.gateway.config_is_stale = self._catch_up.config.is_behind
         self.serving.places.tell = self._tell_load
         self.serving.places.knows_late = self._peering.knows_late
         self.serving.crashes.tell = self._tell_serving_soon
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -15,14 +15,14 @@
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import decisions as decisions_
 from peridotmast.serving import demand as demand_
-from peridotmast.serving import desk as desk_
+from peridotmast.serving import dispatcher as dispatcher_
 from peridotmast.serving import gateway as gateway_
 from peridotmast.serving import metrics as metrics_
-from peridotmast.serving import mover as mover_
 from peridotmast.serving import placement
 from peridotmast.serving import quota as quota_
 from peridotmast.serving import retry_budget
 from peridotmast.serving import sender as sender_
+from peridotmast.serving import stream_migrator as migrator_
 from peridotmast.serving import stream_relay
 from peridotmast.serving import upstream_limits as upstream_limits_
 from peridotmast.serving import usage as usage_
@@ -117,7 +117,7 @@
             self._metrics,
             self.decisions,
         )
-        mover = mover_.Mover(
+        migrator = migrator_.StreamMigrator(
             clock,
             self._relay,
             self.places,
@@ -126,8 +126,8 @@
             spawn,
             bounds.drain_ms,
         )
-        knowledge.table.listen(mover.on_change)
-        knowledge.table.listen_ends(self._sender.run_ended)
+        knowledge.table.listen(migrator.on_change)
+        knowledge.table.listen_ends(self._sender.abort_run)
         self.gateway = gateway_.Gateway(
             clock,
             self._make_desk(),
@@ -156,8 +156,8 @@
             bounds.budget_slack,
         )
 
-    def _make_desk(self) -> desk_.Desk:
-        return desk_.Desk(
+    def _make_desk(self) -> dispatcher_.Dispatcher:
+        return dispatcher_.Dispatcher(
             self._clock,
             self._sender,
             self.places,
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/sharing.py
@@ -48,7 +48,7 @@
             self._quota.spent, self._quota.spent_elsewhere
         )
         self._asked = tally.Tally(
-            self._demand.counts, self._demand.offered_elsewhere
+            self._demand.counts, self._demand.count_from_peers
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
         self._group_loads: dict[int, list[pb.UpstreamLoad]] = {}
@@ -59,7 +59,9 @@
             spends=_spends(self._quota.spent()),
             loads=self._table.my_loads(),
             usage=self._usage.counts(),
-            demand=_demand(self._demand.counts(), self._demand.own_readings()),
+            demand=_demand(
+                self._demand.counts(), self._demand.own_prefill_rates()
+            ),
         )
 
     def group(self) -> pb.Totals:
@@ -67,7 +69,7 @@
         return pb.Totals(
             spends=_spends(self._spends.group()),
             loads=_listed(_add_up(self._members_loads())),
-            usage=self._usage.group(),
+            usage=self._usage.group_counts(),
             demand=_demand(self._asked.group(), self._readings()),
         )
 
@@ -86,7 +88,7 @@
             members,
             self._spends.others(members),
             self._asked.others(members),
-            self._usage.others(members),
+            self._usage.others_counts(members),
             strict=True,
         )
         for member, spent, asked, used in told:
@@ -114,7 +116,7 @@
         """
         self._spends.hear(router, run, _by_team(totals), counted)
         self._asked.hear(router, run, _by_service(totals), counted)
-        self._usage.hear(router, run, totals.usage)
+        self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
             self._table.take_loads(router, totals.loads)
@@ -126,7 +128,7 @@
         """Take in from another head what its group has."""
         self._spends.hear_group(group, head, run, _by_team(totals), counted)
         self._asked.hear_group(group, head, run, _by_service(totals), counted)
-        self._usage.hear_group(group, totals.usage)
+        self._usage.merge_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
             self._table.take_loads(_group_name(group), totals.loads)
@@ -138,7 +140,7 @@
         """Take in from the own head what all others have."""
         self._spends.follow(head, run, _by_team(totals), counted)
         self._asked.follow(head, run, _by_service(totals), counted)
-        self._usage.follow(totals.usage)
+        self._usage.merge_fleet(totals.usage)
         if counted:
             self._table.take_loads(FLEET, totals.loads)
             self._hear_readings(head, totals)
@@ -181,7 +183,7 @@
         """
         self._spends.forget(known)
         self._asked.forget(known)
-        self._demand.forget(known)
+        self._demand.retain_routers(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
             g: v for g, v in self._group_loads.items() if g in groups
@@ -196,12 +198,14 @@
         return [self._table.my_loads(), *self._loads.values()]
 
     def _readings(self) -> dict[str, float]:
-        found = {s: self._demand.reading(s) for s in self._demand.counts()}
+        found = {
+            s: self._demand.prefill_rate(s) for s in self._demand.counts()
+        }
         return {service: speed for service, speed in found.items() if speed}
 
     def _hear_readings(self, teller: str, totals: pb.Totals) -> None:
         speeds = {d.service: d.reading for d in totals.demand}
-        self._demand.hear_readings(teller, speeds)
+        self._demand.set_peer_prefill_rates(teller, speeds)
 
 
 def _group_name(group: int) -> str:
--- a/src/peridotmast/serving/decisions.py
+++ b/src/peridotmast/serving/decisions.py
@@ -42,7 +42,7 @@
         if len(self._kept) > _KEPT:
             self._kept.popitem(last=False)
 
-    def of(self, request_id: str) -> list[tuple[int, str]]:
+    def history(self, request_id: str) -> list[tuple[int, str]]:
         """Return moment and text of what is kept of a request."""
         return [
             (at, ' '.join([event, *(f'{k}={v}' for k, v in values.items())]))
--- a/src/peridotmast/serving/demand.py
+++ b/src/peridotmast/serving/demand.py
@@ -7,7 +7,7 @@
 import typing as ty
 
 from peridotmast import clock as clock_
-from peridotmast.serving import reading as reading_
+from peridotmast.serving import prefill_rate as prefill_rate_
 
 _WINDOW_MS = 6000
 """Time over which a rate is taken: arrivals come in clumps, and orders take
@@ -39,7 +39,7 @@
         self._clock = clock
         self._mine: collections.Counter[str] = collections.Counter()
         self._request_counts: collections.Counter[str] = collections.Counter()
-        self._reading = reading_.Reading()
+        self._prefill_rates = prefill_rate_.PrefillRates()
         self._speeds: dict[str, dict[str, float]] = {}
         self._total: collections.Counter[str] = collections.Counter()
         self._first_at: dict[str, int] = {}
@@ -49,22 +49,22 @@
         self._samples: dict[str, collections.deque[float]] = {}
         self._sampled_at = 0
 
-    def read(self, service: str, tokens: int, ms: int) -> None:
+    def note_prefill(self, service: str, tokens: int, ms: int) -> None:
         """Take in how long an idle engine took to read so many tokens."""
-        self._reading.note(service, tokens, ms)
+        self._prefill_rates.add_sample(service, tokens, ms)
 
-    def reading(self, service: str) -> ty.Optional[float]:
+    def prefill_rate(self, service: str) -> ty.Optional[float]:
         """Return the tokens a ms that engines of `service` read.
 
         The middle one of what the routers have seen; None where none has
         seen enough.
         """
-        mine = self._reading.speed(service)
+        mine = self._prefill_rates.tokens_per_ms(service)
         seen = [speeds.get(service, 0) for speeds in self._speeds.values()]
         seen = [speed for speed in [*seen, mine or 0] if speed > 0]
         return statistics.median(seen) if seen else None
 
-    def offered(self, service: str, tokens: int) -> None:
+    def count_request(self, service: str, tokens: int) -> None:
         """Count a request of so many tokens."""
         self._mine[service] += tokens
         self._request_counts[service] += 1
@@ -78,21 +78,23 @@
         """Return what this router was asked for in all its run."""
         return dict(self._mine)
 
-    def offered_elsewhere(self, counts: dict[str, int]) -> None:
+    def count_from_peers(self, counts: dict[str, int]) -> None:
         """Count what other routers were asked for."""
         for service, tokens in counts.items():
             self._add(service, tokens)
 
-    def own_readings(self) -> dict[str, float]:
+    def own_prefill_rates(self) -> dict[str, float]:
         """Return the tokens a ms that engines read, by service."""
-        speeds = {s: self._reading.speed(s) for s in self._mine}
+        speeds = {s: self._prefill_rates.tokens_per_ms(s) for s in self._mine}
         return {s: speed for s, speed in speeds.items() if speed}
 
-    def hear_readings(self, router: str, speeds: dict[str, float]) -> None:
+    def set_peer_prefill_rates(
+        self, router: str, speeds: dict[str, float]
+    ) -> None:
         """Take in how fast engines read, as another router sees it."""
         self._speeds[router] = speeds
 
-    def forget(self, routers: ty.Collection[str]) -> None:
+    def retain_routers(self, routers: ty.Collection[str]) -> None:
         """Drop what routers have seen that are not among these."""
         self._speeds = {r: v for r, v in self._speeds.items() if r in routers}
 
@@ -106,7 +108,7 @@
             self._sampled_at = now
             self._sample(now)
 
-    def is_known(self, service: str) -> bool:
+    def has_full_window(self, service: str) -> bool:
         """Return whether `service` has been asked for over a whole window."""
         first = self._first_at.get(service)
         return first is not None and self._clock.now() - first >= _WINDOW_MS
--- a/src/peridotmast/serving/desk.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -33,7 +33,7 @@
 """Part of the time left that an attempt may be silent where another one may
 follow it."""
 
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """Statuses by which a caller is told that its request never runs. One that an
 upstream gave without saying that it did not run the request is not passed
 on."""
@@ -51,7 +51,7 @@
 Verdict = dialect_.Verdict
 
 
-class Desk:
+class Dispatcher:
     """Takes requests on and sees to it that each gets one answer.
 
     A request that may run only once is sent again only where it is known
@@ -175,12 +175,12 @@
     def _check(self, work: _Work, place: placement.Place) -> None:
         """Check what must hold before anything is sent."""
         self._checks.check(
-            invariants_.Promise.NO_WORK_TO_LEAVING,
+            invariants_.Invariant.NO_WORK_TO_LEAVING,
             place.view.is_there,
             place.view.name,
         )
         self._checks.check(
-            invariants_.Promise.ONE_RUN,
+            invariants_.Invariant.ONE_RUN,
             work.exchange.may_repeat or not work.runs,
             work.exchange.id,
         )
@@ -217,7 +217,7 @@
         if not work.counted:
             work.counted = True
             ago = self._clock.now() - began_at
-            self._usage.began(work.exchange.team, ago)
+            self._usage.count_started(work.exchange.team, ago)
 
     def _count_lost(
         self, work: _Work, failure: failures.Failure, sent_at: int
@@ -237,7 +237,7 @@
             sent.place.view.health.failed()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
-        rest = sent.conn.read_all(exchange.ends_at, _WHOLE_BYTES)
+        rest = sent.conn.read_all(exchange.deadline, _WHOLE_BYTES)
         if not isinstance(rest, failures.Failure):
             self._sender.finish(sent)
         sent.place.view.health.answered_badly()
@@ -273,13 +273,13 @@
         if place.grounds.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
         took = self._clock.now() - sent.at
-        self._demand.read(work.service.name, tokens, took)
+        self._demand.note_prefill(work.service.name, tokens, took)
 
     def _whole(
         self, work: _Work, sent: sender_.Sent
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         view = sent.place.view
-        deadline = work.exchange.ends_at
+        deadline = work.exchange.deadline
         body = sent.conn.read_all(deadline, _WHOLE_BYTES)
         if isinstance(body, failures.Failure):
             sent.conn.close()
@@ -289,7 +289,7 @@
         reply = reply_.Reply(sent.head, body, view.name)
         if sent.verdict is Verdict.FAILED:
             view.health.answered_badly()
-            if sent.head.status not in PROMISES:
+            if sent.head.status not in NOT_RUN_STATUSES:
                 work.fallback = reply
             return failures.unknown('answered_badly', str(sent.head.status))
         view.health.succeeded()
@@ -298,7 +298,7 @@
 
     def _may_try_again(self, work: _Work, failure: failures.Failure) -> bool:
         exchange = work.exchange
-        if self._clock.now() >= exchange.ends_at:
+        if self._clock.now() >= exchange.deadline:
             return False
         if failure.reason in _FINAL_REASONS:
             return False
@@ -312,7 +312,7 @@
     def _silence_ms(self, work: _Work) -> int:
         """Return how long the next attempt may be silent, in ms."""
         exchange = work.exchange
-        left = exchange.ends_at - self._clock.now()
+        left = exchange.deadline - self._clock.now()
         if not exchange.may_repeat:
             return left
         if work.runs + 1 >= exchange.route.attempts:
--- a/src/peridotmast/serving/exchange.py
+++ b/src/peridotmast/serving/exchange.py
@@ -69,9 +69,9 @@
     """Rank among all requests, 0 first."""
     urgency: int
     """Level among those that wait at an engine, 0 first."""
-    entered: int
+    arrived_at: int
     """Moment of arrival, in ms on the router's clock."""
-    ends_at: int
+    deadline: int
     """Moment by which it gets its final answer: the caller's patience or
     the route's timeout, whichever is over first."""
     caller: Caller
--- a/src/peridotmast/serving/gateway.py
+++ b/src/peridotmast/serving/gateway.py
@@ -10,7 +10,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import decisions as decisions_
 from peridotmast.serving import demand as demand_
-from peridotmast.serving import desk as desk_
+from peridotmast.serving import dispatcher as dispatcher_
 from peridotmast.serving import exchange as exchange_
 from peridotmast.serving import metrics as metrics_
 from peridotmast.serving import quota as quota_
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass
-class Asked:
+class IncomingRequest:
     """A request as a face has read it."""
 
     id: str
@@ -45,9 +45,9 @@
     headers: connection.Headers
     """Headers that may go on to an upstream."""
     body: bytes
-    entered: int
+    arrived_at: int
     """Moment of its arrival on the router's clock, in ms."""
-    patience_ms: int
+    caller_timeout_ms: int
     """How long the caller waits from then on; 0 where it did not say."""
     prompt: exchange_.Prompt
     caller: exchange_.Caller
@@ -66,7 +66,7 @@
     ----------
     clock : clock.Clock
         Times requests.
-    desk : desk.Desk
+    dispatcher : dispatcher.Dispatcher
         Gets them answered.
     quota : quota.Quota
         Limits of the teams.
@@ -83,7 +83,7 @@
     def __init__(
         self,
         clock: clock_.Clock,
-        desk: desk_.Desk,
+        dispatcher: dispatcher_.Dispatcher,
         quota: quota_.Quota,
         demand: demand_.Demand,
         metrics: metrics_.ServingMetrics,
@@ -91,7 +91,7 @@
         tracer: tracing.Tracing,
     ) -> None:
         self._clock = clock
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._decisions = decisions
         self._tracer = tracer
         self._quota = quota
@@ -100,21 +100,21 @@
         self._routes: ty.Optional[route_table.RouteTable] = None
         self._takes_all_until = 0
         self._leaves_at: ty.Optional[int] = None
-        self.is_behind: ty.Callable[[], bool] = lambda: False
+        self.config_is_stale: ty.Callable[[], bool] = lambda: False
         """Says whether a newer configuration is known to be in force at a
         peer."""
-        self.take: ty.Callable[[str, int], int] = quota.take
+        self.take_quota: ty.Callable[[str, int], int] = quota.take
         """Lets a team's tokens pass, or says how long to wait, in ms."""
-        self.in_work = 0
+        self.in_flight = 0
         """Requests that are being answered."""
 
-    def leave(self, takes_all_until: int, ends_at: int) -> None:
+    def drain(self, accept_all_until: int, ends_at: int) -> None:
         """Take less and less on: the router ends at `ends_at`, in ms.
 
-        From `takes_all_until` on, only what is answered by then in any
+        From `accept_all_until` on, only what is answered by then in any
         case: the others would be cut off by the end.
         """
-        self._takes_all_until = takes_all_until
+        self._takes_all_until = accept_all_until
         self._leaves_at = ends_at
 
     def close(self) -> None:
@@ -126,12 +126,14 @@
         self._routes = route_table.RouteTable(config)
         self._quota.configure(config.teams)
 
-    def handle(self, asked: Asked) -> ty.Union[reply_.Reply, failures.Failure]:
+    def handle(
+        self, asked: IncomingRequest
+    ) -> ty.Union[reply_.Reply, failures.Failure]:
         """Return the answer, or why there is none.
 
         Where it is a `reply.Reply`, its ``close`` must be called.
         """
-        self.in_work += 1
+        self.in_flight += 1
         span = self._tracer.start(
             'router.request', asked.traceparent, request=asked.id
         )
@@ -141,11 +143,13 @@
             result = self._handle(asked, span)
         finally:
             if not isinstance(result, reply_.Reply):
-                self.in_work -= 1
+                self.in_flight -= 1
                 span.end()
         return result
 
-    def unless_behind(self, failure: failures.Failure) -> failures.Failure:
+    def retryable_if_stale(
+        self, failure: failures.Failure
+    ) -> failures.Failure:
         """Return a final "no", but not from what is old, or nothing yet.
 
         Callers don't ask again after it; what they ask for may be in the
@@ -165,12 +169,12 @@
         """Return why a "no" is not final here, and when to come back."""
         if self._routes is None:
             return 'no_config', _START_RETRY_MS
-        if self.is_behind():
+        if self.config_is_stale():
             return 'config_behind', _BEHIND_RETRY_MS
         return '', 0
 
     def _handle(
-        self, asked: Asked, span: tracing.Span
+        self, asked: IncomingRequest, span: tracing.Span
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         found = self._read(asked)
         if isinstance(found, failures.Failure):
@@ -179,14 +183,14 @@
         if self._is_too_late(exchange):
             failure = failures.not_run('leaving', '', _ELSEWHERE_MS)
             return self._refused(asked, failure, service.name)
-        wait_ms = self.take(exchange.team, exchange.cost)
+        wait_ms = self.take_quota(exchange.team, exchange.cost)
         if wait_ms:
             failure = failures.not_run(
                 'team_limit', self._quota.state(exchange.team), wait_ms
             )
             return self._refused(asked, failure, service.name)
-        self._demand.offered(service.name, exchange.prompt.tokens_in)
-        result = self._desk.answer(exchange, service)
+        self._demand.count_request(service.name, exchange.prompt.tokens_in)
+        result = self._dispatcher.answer(exchange, service)
         if isinstance(result, failures.Failure):
             if result.kind is failures.FailureKind.NOT_RUN:
                 self._quota.give_back(exchange.team, exchange.cost)
@@ -196,9 +200,9 @@
     def _is_too_late(self, exchange: exchange_.Exchange) -> bool:
         """Return whether the router may be gone before the answer is."""
         leaves_at = self._leaves_at
-        if leaves_at is None or exchange.entered < self._takes_all_until:
+        if leaves_at is None or exchange.arrived_at < self._takes_all_until:
             return False
-        return exchange.ends_at > leaves_at
+        return exchange.deadline > leaves_at
 
     def _begun(
         self,
@@ -209,7 +213,7 @@
     ) -> reply_.Reply:
         """Count an answer that has begun, and its end when it comes."""
         priority = str(exchange.priority)
-        waited = self._clock.now() - exchange.entered
+        waited = self._clock.now() - exchange.arrived_at
         outcome = str(reply.head.status)
         self._metrics.requests.labels(service.name, outcome).inc()
         self._metrics.first_byte.labels(service.name, priority).observe(
@@ -220,9 +224,9 @@
         def close_and_count() -> None:
             close()
             span.end()
-            self.in_work -= 1
-            took = self._clock.now() - exchange.entered
-            self._metrics.whole.labels(service.name, priority).observe(
+            self.in_flight -= 1
+            took = self._clock.now() - exchange.arrived_at
+            self._metrics.answer_time.labels(service.name, priority).observe(
                 took / 1000
             )
             self._decisions.note(
@@ -241,7 +245,7 @@
         return reply
 
     def _read(
-        self, asked: Asked
+        self, asked: IncomingRequest
     ) -> ty.Union[tuple[exchange_.Exchange, pb.Service], failures.Failure]:
         routes = self._routes
         if routes is None:
@@ -251,16 +255,18 @@
         )
         if route is None:
             missing = failures.missing('no_route', asked.target[:80])
-            return self.unless_behind(missing)
+            return self.retryable_if_stale(missing)
         team = routes.team_of(asked.key) if asked.key else None
-        if team is None and routes.asks_keys and not route.public:
-            return self.unless_behind(failures.invalid('no_key'))
-        service = routes.services.get(routes.service_of(route))
+        if team is None and routes.requires_key and not route.public:
+            return self.retryable_if_stale(failures.invalid('no_key'))
+        service = routes.services.get(routes.pick_service(route))
         if service is None:
             return failures.not_run('no_service', route.name)
-        ends_at = asked.entered + route.timeout_ms
-        if asked.patience_ms:
-            ends_at = min(ends_at, asked.entered + asked.patience_ms)
+        deadline = asked.arrived_at + route.timeout_ms
+        if asked.caller_timeout_ms:
+            deadline = min(
+                deadline, asked.arrived_at + asked.caller_timeout_ms
+            )
         priority = _priority(asked, route, team)
         exchange = exchange_.Exchange(
             id=asked.id,
@@ -275,10 +281,10 @@
                 priority,
                 asked.prompt.tokens_in,
                 route.target_ms,
-                self._demand.reading(service.name),
+                self._demand.prefill_rate(service.name),
             ),
-            entered=asked.entered,
-            ends_at=ends_at,
+            arrived_at=asked.arrived_at,
+            deadline=deadline,
             caller=asked.caller,
             prompt=asked.prompt,
             cost=_cost(asked.prompt, team),
@@ -287,7 +293,7 @@
         return exchange, service
 
     def _refused(
-        self, asked: Asked, failure: failures.Failure, service: str
+        self, asked: IncomingRequest, failure: failures.Failure, service: str
     ) -> failures.Failure:
         self._metrics.requests.labels(service, failure.reason).inc()
         self._decisions.note(
@@ -297,13 +303,13 @@
             kind=failure.kind.value,
             detail=failure.detail,
             retry_after_ms=failure.retry_after_ms,
-            ms=self._clock.now() - asked.entered,
+            ms=self._clock.now() - asked.arrived_at,
         )
         return failure
 
 
 def _priority(
-    asked: Asked, route: pb.Route, team: ty.Optional[pb.Team]
+    asked: IncomingRequest, route: pb.Route, team: ty.Optional[pb.Team]
 ) -> int:
     if asked.priority is not None:
         return asked.priority
--- a/src/peridotmast/serving/metrics.py
+++ b/src/peridotmast/serving/metrics.py
@@ -38,20 +38,20 @@
             registry=registry,
             buckets=_LATENCY_S,
         )
-        self.whole = prometheus_client.Histogram(
+        self.answer_time = prometheus_client.Histogram(
             'peridotmast_answer_seconds',
             'Time from a request to the end of its answer.',
             ['service', 'priority'],
             registry=registry,
             buckets=_LATENCY_S,
         )
-        self.broken = prometheus_client.Counter(
+        self.broken_answers = prometheus_client.Counter(
             'peridotmast_broken_answers',
             'Answers that broke off after they had begun, by reason.',
             ['service', 'reason'],
             registry=registry,
         )
-        self.resumed = prometheus_client.Counter(
+        self.resumed_streams = prometheus_client.Counter(
             'peridotmast_resumed_streams',
             'Streams that went on at another upstream.',
             ['service'],
--- a/src/peridotmast/serving/reading.py
+++ b/src/peridotmast/serving/prefill_rate.py
@@ -36,14 +36,14 @@
 """Part of the short ones that is not disturbed at all."""
 
 
-class Reading:
+class PrefillRates:
     """Speeds of reading by service, from first tokens at idle engines."""
 
     def __init__(self) -> None:
         self._samples: dict[str, collections.deque[tuple[int, int]]] = {}
         self._short: dict[str, collections.deque[int]] = {}
 
-    def note(self, service: str, tokens: int, ms: int) -> None:
+    def add_sample(self, service: str, tokens: int, ms: int) -> None:
         """Take in that an engine with nothing to read took `ms` for `tokens`.
 
         Parameters
@@ -62,7 +62,7 @@
                 service, collections.deque(maxlen=_SAMPLES)
             ).append((tokens, ms))
 
-    def speed(self, service: str) -> ty.Optional[float]:
+    def tokens_per_ms(self, service: str) -> ty.Optional[float]:
         """Return tokens a ms, or None where too little is known."""
         samples = self._samples.get(service, ())
         if len(samples) < _ENOUGH:
--- a/src/peridotmast/serving/route_table.py
+++ b/src/peridotmast/serving/route_table.py
@@ -32,7 +32,7 @@
         """Services by name."""
 
     @property
-    def asks_keys(self) -> bool:
+    def requires_key(self) -> bool:
         """Whether routes that are not public need a key."""
         return bool(self.teams)
 
@@ -63,7 +63,7 @@
         """Return the team that holds `key`."""
         return self._teams.get(key)
 
-    def service_of(self, route: pb.Route) -> str:
+    def pick_service(self, route: pb.Route) -> str:
         """Return the service for the next request on `route`."""
         services = route.services
         if len(services) == 1:
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -154,7 +154,7 @@
             in_use.pop(sent.conn, None)
         self._pool.give_back(sent.place.view.address, sent.conn)
 
-    def run_ended(self, view: upstream_view.UpstreamView) -> None:
+    def abort_run(self, view: upstream_view.UpstreamView) -> None:
         """Break off what an upstream's run has left unanswered.
 
         Another run has begun at its address: what was sent to the one
@@ -183,11 +183,11 @@
         resume: ty.Optional[dialect_.ResumePoint],
     ) -> ty.Union[Sent, failures.Failure]:
         now = self._clock.now()
-        left = exchange.ends_at - now
+        left = exchange.deadline - now
         if left <= 0:
             return failures.not_run('deadline', 'no time was left to send')
         headers = self._dialect.headers(exchange, place.view, left, resume)
-        deadline = min(exchange.ends_at, now + silence_ms)
+        deadline = min(exchange.deadline, now + silence_ms)
         place.view.health.sent()
         failure = conn.send(
             exchange.method, exchange.target, headers, exchange.body, deadline
--- a/src/peridotmast/serving/mover.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -29,12 +29,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Copy:
+class KvCopy:
     """A stopped run's memory."""
 
-    at: str
+    location: str
     """Where it lies, as engines name it."""
-    taken: bool
+    is_at_target: bool
     """Whether the target has it; else it is still at the source."""
 
 
@@ -54,11 +54,11 @@
 
     def move(
         self, address: str, request_id: str, target: str
-    ) -> ty.Union[Copy, failures.Failure]:
+    ) -> ty.Union[KvCopy, failures.Failure]:
         """Stop a run and copy its memory to another engine."""
 
 
-class Mover:
+class StreamMigrator:
     """Sees to the streams of this router at upstreams that leave.
 
     A stream that will end in time is left; the others go on elsewhere from
@@ -143,23 +143,23 @@
             self._note(stream, 'nowhere_to_move', view)
             return
         stream.move_begins()
-        copy: ty.Union[Copy, failures.Failure] = failures.unknown('cut_off')
+        copy: ty.Union[KvCopy, failures.Failure] = failures.unknown('cut_off')
         try:
             copy = self._control.move(
                 view.address, exchange.id, place.view.address
             )
         finally:
-            if not isinstance(copy, Copy):
+            if not isinstance(copy, KvCopy):
                 place.release()
                 stream.move_ends(None)
         if isinstance(copy, failures.Failure):
             self._note(stream, 'not_moved', view, copy.reason)
             return
-        if not copy.taken:
+        if not copy.is_at_target:
             place.release()
             place = placement.Place(view, exchange)
         self._note(stream, 'moved', view, place.view.name)
-        stream.move_ends(stream_relay.Moved(place, copy.at))
+        stream.move_ends(stream_relay.Moved(place, copy.location))
 
     def _ends_in_time(self, stream: stream_relay.Stream, ends: int) -> bool:
         expected = stream.expected_end(self._clock.now())
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -126,7 +126,7 @@
     ) -> ty.Optional[failures.Failure]:
         deadline = self._clock.now() + silence_ms
         while not stream.held and not stream.ended:
-            bound = min(stream.exchange.ends_at, deadline)
+            bound = min(stream.exchange.deadline, deadline)
             data = stream.sent.conn.read_some(bound)
             if isinstance(data, failures.Failure):
                 moved = self._go_where_moved(stream)
@@ -183,9 +183,9 @@
         """
         exchange = stream.exchange
         if not stream.may_go_on():
-            return exchange.ends_at
+            return exchange.deadline
         silence = _SILENCE_GAPS * exchange.route.target_gap_ms
-        return min(exchange.ends_at, self._clock.now() + silence)
+        return min(exchange.deadline, self._clock.now() + silence)
 
     def _go_where_moved(
         self, stream: Stream
@@ -209,7 +209,7 @@
             If it may not go on anywhere.
         """
         exchange = stream.exchange
-        over = self._clock.now() >= exchange.ends_at
+        over = self._clock.now() >= exchange.deadline
         if over or not stream.may_go_on():
             raise reply_.BrokenAnswer(failure.reason)
         if self._crashes.retry_after_ms(exchange.fingerprint):
@@ -245,7 +245,7 @@
             result.conn.close()
             return failures.not_run(result.verdict.value)
         stream.go_on(result)
-        self._metrics.resumed.labels(stream.service.name).inc()
+        self._metrics.resumed_streams.labels(stream.service.name).inc()
         self._decisions.note(
             exchange.id,
             'stream_goes_on',
--- a/src/peridotmast/serving/urgency.py
+++ b/src/peridotmast/serving/urgency.py
@@ -21,7 +21,7 @@
 
 
 def level(
-    rank: int, tokens: int, target_ms: int, reading: float | None
+    rank: int, tokens: int, target_ms: int, prefill_rate: float | None
 ) -> int:
     """Return a request's level on the scale.
 
@@ -36,6 +36,6 @@
     reading : float, optional
         Tokens a ms that engines were seen to read.
     """
-    part = tokens / (reading or _PRIOR_READING) / max(1, target_ms)
+    part = tokens / (prefill_rate or _PRIOR_READING) / max(1, target_ms)
     step = next((step for most, step in _STEPS if part < most), _LONGEST_STEP)
     return max(MOST, min(LEAST, _RANK_STEP * rank + step))
--- a/src/peridotmast/serving/usage.py
+++ b/src/peridotmast/serving/usage.py
@@ -49,7 +49,7 @@
         """Return the number of the window that is open."""
         return self.window_at(self._fleet_now())
 
-    def began(self, team: str, ago_ms: int = 0) -> None:
+    def count_started(self, team: str, ago_ms: int = 0) -> None:
         """Count a request that an upstream began `ago_ms` ago."""
         if not team:
             return
@@ -66,7 +66,7 @@
             for window, counter in self._mine.items()
         ]
 
-    def hear(
+    def merge_router(
         self,
         router: str,
         incarnation: int,
@@ -78,7 +78,7 @@
             known[count.window] = dict(count.requests)
         self._drop_old(known, self.window_now())
 
-    def hear_group(
+    def merge_group(
         self, group: int, counts: ty.Iterable[pb.UsageCount]
     ) -> None:
         """Take in another group's counts, from whoever is its head."""
@@ -94,7 +94,7 @@
             if is_member(key[0])
         }
 
-    def follow(self, counts: ty.Iterable[pb.UsageCount]) -> None:
+    def merge_fleet(self, counts: ty.Iterable[pb.UsageCount]) -> None:
         """Take in from the own head what all others count."""
         _raise_to(self._fleet, counts)
         self._drop_old(self._fleet, self.window_now())
@@ -110,14 +110,14 @@
         told.update(self._fleet.get(window, {}))
         return dict(told | collections.Counter(self._heard(window)))
 
-    def group(self) -> list[pb.UsageCount]:
+    def group_counts(self) -> list[pb.UsageCount]:
         """Return what this router and its members count, by window."""
         return [
             pb.UsageCount(window=window, requests=self._members(window))
             for window in self._windows()
         ]
 
-    def others(
+    def others_counts(
         self, members: ty.Iterable[str]
     ) -> ty.Iterator[list[pb.UsageCount]]:
         """Yield for each of some members what all but that one count."""
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -214,21 +214,21 @@
     ),
     Mutation(
         'send again what may have run',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if not exchange.may_repeat or work.runs >= exchange.route.attempts:',
         'if work.runs >= 3:',
         'once',
     ),
     Mutation(
         'promise of what ran that it did not',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if work.runs and failure.kind is failures.FailureKind.NOT_RUN:',
         'if False:',
         'once',
     ),
     Mutation(
         'try more upstreams than the route allows',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if not exchange.may_repeat or work.runs >= exchange.route.attempts:',
         'if not exchange.may_repeat:',
         'once',
@@ -242,8 +242,8 @@
     ),
     Mutation(
         'pass on a promise that the upstream did not make',
-        SERVING + 'desk.py',
-        'if sent.head.status not in PROMISES:',
+        SERVING + 'dispatcher.py',
+        'if sent.head.status not in NOT_RUN_STATUSES:',
         'if True:',
         'odd_upstreams',
     ),
@@ -350,8 +350,8 @@
     Mutation(
         'no bound on the silence of a stream',
         SERVING + 'stream_relay.py',
-        'min(exchange.ends_at, self._clock.now() + silence)',
-        'exchange.ends_at',
+        'min(exchange.deadline, self._clock.now() + silence)',
+        'exchange.deadline',
         'streams',
     ),
     Mutation(
@@ -363,7 +363,7 @@
     ),
     Mutation(
         'move nothing off a leaving upstream',
-        SERVING + 'mover.py',
+        SERVING + 'stream_migrator.py',
         'if not leaves or view.run in self._leaving:',
         'if True:',
         'reclaim',
@@ -590,7 +590,7 @@
     Mutation(
         'stop before the work has ended',
         'peridotmast/router/drain.py',
-        'return spent_ms >= _LISTEN_MS and not self._gateway.in_work',
+        'return spent_ms >= _LISTEN_MS and not self._gateway.in_flight',
         'return spent_ms >= 100',
         'router_stop',
     ),
@@ -1016,14 +1016,14 @@
     Mutation(
         'refuse long answers for good by what is known to be old',
         ROUTER + 'chat_api.py',
-        'return self._gateway.unless_behind(beyond)',
+        'return self._gateway.retryable_if_stale(beyond)',
         'return beyond',
         'spread',
     ),
     Mutation(
         'refuse for good by what is known to be old',
         SERVING + 'gateway.py',
-        'if self.is_behind():',
+        'if self.config_is_stale():',
         'if False:',
         'spread',
     ),
@@ -1050,7 +1050,7 @@
     ),
     Mutation(
         'send on what has crashed three upstreams',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if retry_after_ms:',
         'if False:',
         'crashes',
