--- a/src/peridotmast/client/__init__.py
+++ b/src/peridotmast/client/__init__.py
@@ -1,1 +1,1 @@
-"""What callers of the chat API run."""
+"""Client of the chat API."""
--- a/src/peridotmast/client/caller.py
+++ b/src/peridotmast/client/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the chat API, for load and tests: resolves, asks, comes back."""
+"""Client of the chat API for load tests: finds routers, sends, retries."""
 
 from __future__ import annotations
 
@@ -14,63 +14,63 @@
 from peridotmast.wire import calls
 from peridotmast.wire import connection as connection_
 
-_KEEP_MS = 1000
+_CACHE_MS = 1000
 _CONNECT_MS = 500
-_REFUSED = frozenset((408, 421, 429, 503))
-_DEFAULT_WAIT_MS = 200
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_DEFAULT_RETRY_MS = 200
 
 
 @dataclasses.dataclass
 class Attempt:
-    """One request that was sent."""
+    """One request sent to a router."""
 
     request_id: str
     address: str
     status: int = 0
-    """0 where no answer came."""
+    """Status of the response; 0 if there was none."""
     ended_at: int = 0
-    """When its answer ended, one way or another, in ms."""
+    """Time at which the attempt ended, successful or not, in ms."""
     error_reported: bool = False
-    """Whether the router said why there is no whole answer; else its
-    connection just ended."""
+    """Whether the router reported why the response is incomplete; otherwise
+    the connection ended without a reason."""
 
 
 @dataclasses.dataclass
 class Answer:
-    """What came of asking."""
+    """Result of a call, over all its attempts."""
 
     text: str = ''
-    """The answer, as far as it came."""
+    """Text received so far."""
     complete: bool = False
-    """Whether it came to its end."""
+    """Whether the response was received completely."""
     failure: ty.Optional[failures.Failure] = None
-    """Why it did not."""
+    """Why the response is incomplete; None if it is complete."""
     started_at: int = 0
-    """When it was asked for, in ms."""
+    """Time at which the call started, in ms."""
     arrivals: list[int] = dataclasses.field(default_factory=list)
-    """When each event came, in ms."""
+    """Arrival time of each event, in ms."""
     attempts: list[Attempt] = dataclasses.field(default_factory=list)
-    """What was sent for it."""
+    """Attempts in the order in which they were sent."""
 
 
 class Caller:
-    """Asks any of the routers that the fleet names.
+    """Sends requests to any of the routers that the fleet names.
 
-    A refusal is taken at its word and asked again when it says; so is a
-    connection that could not be opened. What may have run is asked again
-    only where it may repeat.
+    A refused request did not run and is retried after the retry time of the
+    refusal; so is one whose connection could not be opened. A request that
+    may have run is retried only if it is idempotent.
 
     Parameters
     ----------
     addresses : sequence of str
-        Chat addresses to begin with.
+        Chat addresses of the initial routers.
     key : str
-        Key of the team.
+        API key of the team.
     failure_domain : str
-        The caller's own, so that near routers come first.
+        Failure domain of the caller, so that near routers are preferred.
     seed : int, optional
-        Seed of its choices and of its requests' ids. Without one they are
-        no other caller's.
+        Seed of the choice of routers and of the request ids. Without a seed
+        both are random.
     """
 
     def __init__(
@@ -80,34 +80,36 @@
         failure_domain: str = '',
         seed: ty.Optional[int] = None,
     ) -> None:
-        self._first = list(addresses)
-        self._addresses = self._first
+        self._initial = list(addresses)
+        self._addresses = self._initial
         self._key = key
-        self._domain = failure_domain
+        self._failure_domain = failure_domain
         self._clock = clock_.SystemClock()
         self._calls = calls.HttpCalls(1000, self._clock)
-        self._choice = random.Random(seed)
-        self._resolved_at = -_KEEP_MS
+        self._random = random.Random(seed)
+        self._resolved_at = -_CACHE_MS
 
     def resolve(self) -> list[str]:
-        """Ask which routers to use; keep the answer for a while.
+        """Return the routers to use; the list is cached for `_CACHE_MS`.
 
-        Where none of them answers, those to begin with are asked: one that
-        has just started may have known of nobody else.
+        If no known router answers, the initial routers are asked: the last
+        list may come from a router that had just started and knew no other.
         """
         now = self._clock.now()
-        if now - self._resolved_at < _KEEP_MS:
+        if now - self._resolved_at < _CACHE_MS:
             return self._addresses
-        known = self._choice.sample(self._addresses, len(self._addresses))
-        for address in dict.fromkeys([*known, *self._first]):
+        candidates = self._random.sample(self._addresses, len(self._addresses))
+        for address in dict.fromkeys([*candidates, *self._initial]):
             reply = self._calls.call(
-                'GET', address, f'/resolve?failure_domain={self._domain}'
+                'GET',
+                address,
+                f'/resolve?failure_domain={self._failure_domain}',
             )
             if isinstance(reply, failures.Failure) or reply.status != 200:
                 continue
-            found = reply.json()['addresses']
-            if found:
-                self._addresses = found
+            addresses = reply.json()['addresses']
+            if addresses:
+                self._addresses = addresses
                 self._resolved_at = now
                 break
         return self._addresses
@@ -122,7 +124,7 @@
         deadline_ms: int = 20_000,
         on_text: ty.Callable[[str], None] = lambda text: None,
     ) -> Answer:
-        """Ask a model and read its answer as it streams."""
+        """Send a prompt to a model and read the streamed response."""
         body = {
             'model': model,
             'messages': [{'role': 'user', 'content': prompt}],
@@ -131,7 +133,7 @@
             'work': work,
             'idempotent': idempotent,
         }
-        return self._ask(
+        return self._call(
             '/v1/chat/completions', body, idempotent, deadline_ms, on_text
         )
 
@@ -143,16 +145,16 @@
         idempotent: bool = False,
         deadline_ms: int = 8000,
     ) -> Answer:
-        """Ask a plain service."""
+        """Call a service that is not a model engine."""
         body = {'payload': payload, 'idempotent': idempotent}
         path = f'/v1/services/{service}/{name}'
-        return self._ask(path, body, idempotent, deadline_ms, None)
+        return self._call(path, body, idempotent, deadline_ms, None)
 
-    def _ask(
+    def _call(
         self,
         path: str,
         body: dict[str, ty.Any],
-        may_repeat: bool,
+        is_idempotent: bool,
         deadline_ms: int,
         on_text: ty.Optional[ty.Callable[[str], None]],
     ) -> Answer:
@@ -164,13 +166,13 @@
             failure = answer.failure
             if failure is None:
                 return answer
-            safe = failure.kind is failures.FailureKind.NOT_RUN
-            wait = failure.retry_after_ms or _DEFAULT_WAIT_MS
-            left = deadline - self._clock.now()
+            not_run = failure.kind is failures.FailureKind.NOT_RUN
+            wait_ms = failure.retry_after_ms or _DEFAULT_RETRY_MS
+            left_ms = deadline - self._clock.now()
             final = failure.kind is failures.FailureKind.INVALID
-            if final or wait >= left or not (safe or may_repeat):
+            if final or wait_ms >= left_ms or not (not_run or is_idempotent):
                 return answer
-            green.sleep_ms(wait)
+            green.sleep_ms(wait_ms)
 
     def _attempt(
         self,
@@ -181,16 +183,16 @@
         on_text: ty.Optional[ty.Callable[[str], None]],
     ) -> None:
         attempt = Attempt(
-            uuid.UUID(int=self._choice.getrandbits(128)).hex,
-            self._choice.choice(self.resolve()),
+            uuid.UUID(int=self._random.getrandbits(128)).hex,
+            self._random.choice(self.resolve()),
         )
         answer.attempts.append(attempt)
         conn = connection_.Connection(attempt.address, self._clock)
         failure = conn.connect(_CONNECT_MS)
         if failure is None:
-            left = deadline - self._clock.now()
-            sent = {**body, 'request_id': attempt.request_id}
-            sent['deadline_ms'] = max(1, left)
+            left_ms = deadline - self._clock.now()
+            request = {**body, 'request_id': attempt.request_id}
+            request['deadline_ms'] = max(1, left_ms)
             failure = conn.send(
                 'POST',
                 path,
@@ -198,7 +200,7 @@
                     ('Host', attempt.address),
                     ('Authorization', f'Bearer {self._key}'),
                 ],
-                json.dumps(sent).encode(),
+                json.dumps(request).encode(),
                 deadline,
             )
         if failure is None:
@@ -206,7 +208,7 @@
         conn.close()
         attempt.ended_at = self._clock.now()
         answer.failure = failure
-        self._resolved_at -= _KEEP_MS if failure is not None else 0
+        self._resolved_at -= _CACHE_MS if failure is not None else 0
 
     def _read(
         self,
@@ -221,15 +223,15 @@
             return head
         attempt.status = head.status
         if head.status != 200 or on_text is None:
-            whole = conn.read_all(deadline, 1 << 20)
-            if isinstance(whole, failures.Failure):
-                return whole
+            content = conn.read_all(deadline, 1 << 20)
+            if isinstance(content, failures.Failure):
+                return content
             if head.status == 200:
-                answer.text, answer.complete = whole.decode(), True
+                answer.text, answer.complete = content.decode(), True
                 answer.arrivals = [self._clock.now()]
                 return None
             attempt.error_reported = True
-            return _refusal(head, whole)
+            return _refusal(head, content)
         return self._read_events(conn, deadline, attempt, answer, on_text)
 
     def _read_events(
@@ -240,14 +242,16 @@
         answer: Answer,
         on_text: ty.Callable[[str], None],
     ) -> ty.Optional[failures.Failure]:
-        rest = b''
+        buffer = b''
         while True:
             data = conn.read_some(deadline)
             if isinstance(data, failures.Failure):
                 return data
             if not data:
-                return failures.unknown('broke_off', 'no end was marked')
-            *events, rest = (rest + data).split(b'\n\n')
+                return failures.unknown(
+                    'broke_off', 'stream ended without [DONE]'
+                )
+            *events, buffer = (buffer + data).split(b'\n\n')
             for event in events:
                 line = event.partition(b'data: ')[2]
                 if line == b'[DONE]':
@@ -269,9 +273,9 @@
         reason = json.loads(body)['error']['reason']
     except (ValueError, KeyError, TypeError):
         reason = str(head.status)
-    if head.status in _REFUSED:
-        wait = float(head.get('Retry-After') or 0) * 1000
-        return failures.not_run(reason, '', int(wait))
+    if head.status in _NOT_RUN_STATUSES:
+        wait_ms = float(head.get('Retry-After') or 0) * 1000
+        return failures.not_run(reason, '', int(wait_ms))
     if 400 <= head.status < 500:
         return failures.invalid(reason)
     return failures.unknown(reason)
--- a/src/peridotmast/failures.py
+++ b/src/peridotmast/failures.py
@@ -1,4 +1,4 @@
-"""Sentinel values that stand for an error and carry its reason."""
+"""Errors as return values, with a reason and a kind."""
 
 from __future__ import annotations
 
@@ -7,72 +7,74 @@
 
 
 class FailureKind(enum.Enum):
-    """What is known about work that did not give its result."""
+    """What is known about an operation that returned no result."""
 
     NOT_RUN = 'not_run'
-    """Nothing was begun; another try can't double anything."""
+    """The operation did not start; a retry can't execute it twice."""
 
     OUTCOME_UNKNOWN = 'outcome_unknown'
-    """It may have run; another try might double it."""
+    """The operation may have run; a retry might execute it twice."""
 
     UNAVAILABLE = 'unavailable'
-    """The other side can't be reached, and nothing is known of the work."""
+    """The remote side can't be reached; the state of the operation is
+    unknown."""
 
     CONFLICT = 'conflict'
-    """Somebody else's change or another body stands in the way."""
+    """A concurrent change, or a different body under the same id, prevents
+    it."""
 
     MISSING = 'missing'
-    """The thing asked for does not exist."""
+    """The requested object does not exist."""
 
     INVALID = 'invalid'
-    """What was given can't be accepted, now or later."""
+    """The input is invalid; a retry can't succeed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """An error as a value; false, so that ``if not result`` finds it."""
+    """An error as a value; falsy, so that ``if not result`` detects it."""
 
     kind: FailureKind
-    """What is known about the work."""
+    """What is known about the operation."""
 
     reason: str
     """Short machine-readable cause, such as ``queue_full``."""
 
     detail: str = ''
-    """The cause in words, for people."""
+    """Human-readable description of the cause."""
 
     retry_after_ms: int = 0
-    """When another try may do better, in ms; 0 where none is known."""
+    """Time after which a retry may succeed, in ms; 0 if unknown."""
 
     def __bool__(self) -> bool:
         return False
 
 
 def not_run(reason: str, detail: str = '', retry_after_ms: int = 0) -> Failure:
-    """Return a `Failure` for work of which nothing was begun."""
+    """Return a `Failure` for an operation that did not start."""
     return Failure(FailureKind.NOT_RUN, reason, detail, retry_after_ms)
 
 
 def unknown(reason: str, detail: str = '', retry_after_ms: int = 0) -> Failure:
-    """Return a `Failure` for work that may have run."""
+    """Return a `Failure` for an operation that may have run."""
     return Failure(FailureKind.OUTCOME_UNKNOWN, reason, detail, retry_after_ms)
 
 
 def unavailable(reason: str, detail: str = '') -> Failure:
-    """Return a `Failure` for a side that can't be reached."""
+    """Return a `Failure` for a remote side that can't be reached."""
     return Failure(FailureKind.UNAVAILABLE, reason, detail)
 
 
 def conflict(reason: str, detail: str = '') -> Failure:
-    """Return a `Failure` for a change that lost against another."""
+    """Return a `Failure` for a change that conflicts with another one."""
     return Failure(FailureKind.CONFLICT, reason, detail)
 
 
 def missing(reason: str, detail: str = '') -> Failure:
-    """Return a `Failure` for a thing that is not there."""
+    """Return a `Failure` for an object that does not exist."""
     return Failure(FailureKind.MISSING, reason, detail)
 
 
 def invalid(reason: str, detail: str = '') -> Failure:
-    """Return a `Failure` for input that can't be accepted."""
+    """Return a `Failure` for invalid input."""
     return Failure(FailureKind.INVALID, reason, detail)
--- a/src/peridotmast/ids.py
+++ b/src/peridotmast/ids.py
@@ -1,45 +1,45 @@
-"""Types of the ids that pass between modules."""
+"""Types of the identifiers that modules exchange."""
 
 from __future__ import annotations
 
 import typing as ty
 
 RequestKey = ty.NewType('RequestKey', str)
-"""``team/request id``: what one accepted request is known by everywhere."""
+"""``team/request id``: identifies an accepted request in all modules."""
 
 Fingerprint = ty.NewType('Fingerprint', str)
-"""Digest of a request's host, path, team and body; independent of its id."""
+"""Digest of the host, path, team and body of a request, without its id."""
 
 StreamId = ty.NewType('StreamId', str)
-"""Id of a stream on an engine, derived from the key and the body."""
+"""Id of a stream at an engine, derived from request key and body."""
 
 RouterName = ty.NewType('RouterName', str)
-"""Name of a router from its settings."""
+"""Name of a router, from its settings."""
 
 Owner = ty.NewType('Owner', str)
-"""``router name.incarnation``: one run of one router."""
+"""``router name.incarnation``: identifies one run of a router."""
 
 UpstreamName = ty.NewType('UpstreamName', str)
-"""Name of an upstream's VM."""
+"""Name of the VM of an upstream."""
 
 Address = ty.NewType('Address', str)
 """``IP:port``."""
 
 Version = ty.NewType('Version', int)
-"""Version of an object of the platform; grows with each write."""
+"""Version of a platform object; increases with each write."""
 
 
 def request_key(team: str, request_id: str) -> RequestKey:
-    """Return the key of a team's request.
+    """Return the key of a request.
 
     Parameters
     ----------
     team, request_id : str
-        As the caller gave them; a team's name holds no ``/``.
+        As sent by the caller; a team name contains no ``/``.
     """
     return RequestKey(f'{team}/{request_id}')
 
 
 def owner_of(name: str, incarnation: int) -> Owner:
-    """Return the owner that one run of a router is written down as."""
+    """Return the owner id of one run of a router, as it is stored."""
     return Owner(f'{name}.{incarnation}')
--- a/src/peridotmast/invariants.py
+++ b/src/peridotmast/invariants.py
@@ -1,4 +1,4 @@
-"""Promises that the program checks about itself while it runs."""
+"""Invariants that the program checks at run time."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 
 class Invariant(enum.Enum):
-    """What must hold at every moment."""
+    """Conditions that must always hold."""
 
     EVENTS_GROW = 'events_grow'
-    """Events of a stream are passed on in order, without gap or repeat."""
+    """Events of a stream are forwarded in order, without gaps or repeats."""
 
     NO_WORK_TO_LEAVING = 'no_work_to_leaving'
-    """An upstream that leaves gets no new work."""
+    """A leaving upstream receives no new requests."""
 
     ONE_RUN = 'one_run'
-    """A request that may not repeat is sent again only if it did not run."""
+    """A non-idempotent request is retried only if it did not run."""
 
     CONFIG_GROWS = 'config_grows'
-    """No version of the configuration in force ever falls."""
+    """The version of the active configuration never decreases."""
 
     ONE_REPORT = 'one_report'
-    """The counts of a window are written down once."""
+    """The counts of a usage window are written only once."""
 
 
 class InvariantViolation(AssertionError):
-    """Raised in tests where a promise does not hold."""
+    """An invariant does not hold; raised in tests only."""
 
 
 class Invariants:
-    """Checks promises, counts those broken and, in tests, raises.
+    """Checks invariants and counts violations; raises on them in tests.
 
     Parameters
     ----------
     registry : prometheus_client.CollectorRegistry
-        Where ``peridotmast_broken_promises_total`` is counted.
+        Registry of the counter ``peridotmast_broken_promises_total``.
     fatal : bool
-        Raise `InvariantViolation` besides counting.
+        Also raise `InvariantViolation` on a violation.
     """
 
     def __init__(
@@ -51,29 +51,33 @@
         self._fatal = fatal
         self._log = logs.get('invariants')
         self.violations = 0
-        """Promises found broken so far."""
+        """Number of violations so far."""
         self._counter = prometheus_client.Counter(
             'peridotmast_broken_promises',
             'Promises found broken, each a fault of the program.',
             ['promise'],
             registry=registry,
         )
-        for promise in Invariant:
-            self._counter.labels(promise.value)
+        for invariant in Invariant:
+            self._counter.labels(invariant.value)
 
-    def check(self, promise: Invariant, holds: bool, detail: str = '') -> bool:
-        """Return `holds`; where it is false, count and report it.
+    def check(
+        self, invariant: Invariant, holds: bool, detail: str = ''
+    ) -> bool:
+        """Return `holds`; if it is false, count and log a violation.
 
         Raises
         ------
         InvariantViolation
-            Where it is false and the checks are fatal.
+            If `holds` is false and violations are fatal.
         """
         if holds:
             return True
         self.violations += 1
-        self._counter.labels(promise.value).inc()
-        self._log.error('promise_broken', promise=promise.value, detail=detail)
+        self._counter.labels(invariant.value).inc()
+        self._log.error(
+            'promise_broken', promise=invariant.value, detail=detail
+        )
         if self._fatal:
-            raise InvariantViolation(f'{promise.value}: {detail}')
+            raise InvariantViolation(f'{invariant.value}: {detail}')
         return False
--- a/src/peridotmast/serving/__init__.py
+++ b/src/peridotmast/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The one way of a request: taken on, placed, sent, answered."""
+"""The request path: admission, placement, attempts and responses."""
--- a/src/peridotmast/serving/dialect.py
+++ b/src/peridotmast/serving/dialect.py
@@ -1,4 +1,4 @@
-"""What a sender must know of the headers that upstreams speak."""
+"""Interface that encodes requests for upstreams and interprets responses."""
 
 from __future__ import annotations
 
@@ -13,34 +13,35 @@
 
 
 class Verdict(enum.Enum):
-    """What an answer's head says of the request that was sent."""
+    """What the head of a response states about the request."""
 
     ANSWER = 'answer'
-    """It ran, and this is its answer."""
+    """The request ran, and this is its response."""
     FAILED = 'failed'
-    """It ran, or may have, and did not succeed."""
+    """The request ran or may have run, and failed."""
     NOT_RUN = 'not_run'
-    """The upstream did not run it and never will."""
+    """The upstream did not run the request and never will."""
     ELSEWHERE = 'elsewhere'
-    """Another upstream has the address; nothing was run."""
+    """The address now belongs to another upstream, which did not run the
+    request."""
     FOREIGN = 'foreign'
-    """The answer belongs to another request."""
+    """The response belongs to another request."""
     GARBLED = 'garbled'
-    """No upstream of ours answers so."""
+    """The response is not one that a known upstream would send."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ResumePoint:
-    """Where a stream goes on."""
+    """Position from which a stream is resumed."""
 
     last_event: int
-    """Id of the last event that the caller has."""
+    """Id of the last event that the caller has received."""
     copy: str = ''
-    """Where the run's memory lies; empty to read the prompt again."""
+    """Location of the KV cache of the run; empty to recompute the prefill."""
 
 
 class Dialect(ty.Protocol):
-    """Writes requests to upstreams and reads the heads of their answers."""
+    """Encodes request headers and interprets response heads."""
 
     def headers(
         self,
@@ -49,19 +50,19 @@
         left_ms: int,
         resume: ty.Optional[ResumePoint] = None,
     ) -> connection_.Headers:
-        """Return the headers of a request, all but its length."""
+        """Return the headers of a request, without Content-Length."""
 
     def verdict(
         self,
         exchange: exchange_.Exchange,
         head: connection_.ResponseHead,
     ) -> Verdict:
-        """Return what the head of an answer says."""
+        """Return what the head of a response states."""
 
     def limit(
         self, head: connection_.ResponseHead
     ) -> ty.Union[float, failures.Failure, None]:
-        """Return the limit that the head of an answer states.
+        """Return the rate limit that the head of a response states.
 
         Returns
         -------
--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of a request: taken on, placed, sent, tried again, answered."""
+"""Places a request, sends it, retries it and returns its response."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
 from peridotmast.serving import usage as usage_
 from peridotmast import tracing
 
-_WHOLE_BYTES = 1 << 20
-"""Answers up to this length are read to their end before they are passed
-on, so that one that breaks off can be asked for again, or told as such."""
+_MAX_BODY_BYTES = 1 << 20
+"""Largest response body that is buffered, in bytes. A response that is not a
+stream is read completely before it is forwarded, so that a truncated one can
+be retried or reported as an error."""
 
 _RETRY_MS = 500
-"""What a caller is told to wait where no upstream could take its request."""
+"""Retry time sent to the caller if no upstream accepted the request, in ms."""
 
-_LAST_TRY_SHARE = 0.5
-"""Part of the time left that an attempt may be silent where another one may
-follow it."""
+_FIRST_BYTES_SHARE = 0.5
+"""Fraction of the remaining time that an attempt may take to send its first
+bytes if another attempt may follow."""
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""Statuses by which a caller is told that its request never runs. One that an
-upstream gave without saying that it did not run the request is not passed
-on."""
+"""Statuses that tell a caller that its request did not run and will not run.
+If an upstream sends one of them without stating that it did not run the
+request, the response is not forwarded."""
 
 _FINAL_REASONS = frozenset(
     (
@@ -52,37 +53,37 @@
 
 
 class Dispatcher:
-    """Takes requests on and sees to it that each gets one answer.
+    """Sends each request to upstreams until it has one final result.
 
-    A request that may run only once is sent again only where it is known
-    not to have run: nothing was sent, or the upstream says so.
+    A non-idempotent request is retried only if it is known not to have run:
+    nothing was sent, or the upstream stated that it did not run it.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times everything.
+        Clock for deadlines and time-outs.
     sender : sender.Sender
-        Makes attempts.
+        Sends single attempts.
     places : placement.Placement
-        Chooses upstreams.
+        Selects upstreams.
     relay : stream_relay.StreamRelay
-        Passes streams on.
+        Forwards streams.
     budget : retry_budget.RetryBudget
-        Bounds repeats.
+        Limits retries.
     crashes : crash_tracker.CrashTracker
         Tracks requests that crash upstreams.
     usage : usage.Usage
-        Counts what upstreams began.
+        Counts the requests that upstreams started, by team.
     demand : demand.Demand
-        Told how fast engines read.
+        Receives measured prefill times.
     metrics : metrics.ServingMetrics
         Counts attempts.
     decisions : decisions.Decisions
-        Notes what came of each.
+        Records the outcome of each attempt.
     tracer : tracing.Tracing
         Opens a span for each attempt.
     checks : invariants.Invariants
-        Promises that are checked on the way.
+        Checks invariants at run time.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
     ) -> None:
         self._clock = clock
         self._sender = sender
-        self._places = places
+        self._placement = places
         self._relay = relay
         self._budget = budget
         self._crashes = crashes
@@ -111,42 +112,42 @@
         self._metrics = metrics
         self._decisions = decisions
         self._tracer = tracer
-        self._checks = checks
+        self._invariants = checks
 
     def answer(
         self, exchange: exchange_.Exchange, service: pb.Service
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        """Return the answer of an upstream of `service`, or why none is.
+        """Return the response of an upstream of `service`, or a failure.
 
         Returns
         -------
         Reply or Failure
-            A failure of kind NOT_RUN is a promise; any other promises
-            nothing.
+            A failure of kind NOT_RUN guarantees that no upstream ran the
+            request or will run it; any other kind guarantees nothing.
         """
         self._budget.count_request(service.name)
-        work = _Work(exchange, service)
+        state = _RequestState(exchange, service)
         while True:
-            result = self._attempt(work)
+            result = self._attempt(state)
             if isinstance(result, reply_.Reply):
                 return result
-            if not self._may_try_again(work, result):
-                return work.fallback or self._closing(work, result)
+            if not self._may_retry(state, result):
+                return state.fallback or self._final_failure(state, result)
 
     def _attempt(
-        self, work: _Work
+        self, state: _RequestState
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        exchange = work.exchange
+        exchange = state.exchange
         retry_after_ms = self._crashes.retry_after_ms(exchange.fingerprint)
         if retry_after_ms:
             return failures.not_run(
                 crash_tracker_.BLOCK_REASON, '', retry_after_ms
             )
-        place = self._places.choose(exchange, work.service, work.tried)
+        place = self._placement.choose(exchange, state.service, state.tried)
         if place is None:
-            return self._placement_failure(work)
-        work.tried.add(place.view.name)
-        self._check(work, place)
+            return self._placement_failure(state)
+        state.tried.add(place.view.name)
+        self._check_invariants(state, place)
         span = self._tracer.start(
             'router.attempt',
             exchange.traceparent,
@@ -154,7 +155,7 @@
         )
         result: ty.Union[reply_.Reply, failures.Failure, None] = None
         try:
-            result = self._send(work, place)
+            result = self._send(state, place)
         finally:
             streaming = isinstance(result, reply_.Reply) and not isinstance(
                 result.body, bytes
@@ -162,101 +163,103 @@
             if not streaming:
                 place.release()
             span.end()
-            self._log_attempt(work, place, result)
+            self._log_attempt(state, place, result)
         return result
 
-    def _placement_failure(self, work: _Work) -> failures.Failure:
-        """Return why no upstream was chosen, with a retry time."""
-        wait_ms = self._places.wait_ms(work.service.name, work.tried)
+    def _placement_failure(self, state: _RequestState) -> failures.Failure:
+        """Return why no upstream was selected, with a retry time."""
+        wait_ms = self._placement.wait_ms(state.service.name, state.tried)
         if wait_ms:
             return failures.not_run('upstream_limit', '', wait_ms)
         return failures.not_run('no_upstream', '', _RETRY_MS)
 
-    def _check(self, work: _Work, place: placement.Place) -> None:
-        """Check what must hold before anything is sent."""
-        self._checks.check(
+    def _check_invariants(
+        self, state: _RequestState, place: placement.Place
+    ) -> None:
+        """Check the invariants that must hold before a request is sent."""
+        self._invariants.check(
             invariants_.Invariant.NO_WORK_TO_LEAVING,
             place.view.is_there,
             place.view.name,
         )
-        self._checks.check(
+        self._invariants.check(
             invariants_.Invariant.ONE_RUN,
-            work.exchange.may_repeat or not work.runs,
-            work.exchange.id,
+            state.exchange.may_repeat or not state.runs,
+            state.exchange.id,
         )
 
     def _send(
-        self, work: _Work, place: placement.Place
+        self, state: _RequestState, place: placement.Place
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        exchange = work.exchange
-        silence = self._silence_ms(work)
+        exchange = state.exchange
+        first_bytes_ms = self._first_bytes_ms(state)
         sent_at = self._clock.now()
-        sent = self._sender.send(exchange, place, silence)
+        sent = self._sender.send(exchange, place, first_bytes_ms)
         if isinstance(sent, failures.Failure):
             if sent.kind is failures.FailureKind.OUTCOME_UNKNOWN:
-                work.runs += 1
-                self._count_lost(work, sent, sent_at)
+                state.runs += 1
+                self._count_unanswered(state, sent, sent_at)
             return sent
         if sent.verdict in (Verdict.NOT_RUN, Verdict.ELSEWHERE):
-            return self._not_run(exchange, sent)
-        work.runs += 1
-        work.ran_at.add(place.view.name)
+            return self._handle_not_run(exchange, sent)
+        state.runs += 1
+        state.accepted_by.add(place.view.name)
         streams = exchange.is_stream and sent.verdict is Verdict.ANSWER
         if not streams:
-            self._count(work, sent.at)
+            self._count_started(state, sent.sent_at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
             place.view.health.failed()
             return failures.unknown('garbled', str(sent.head.status))
         if streams:
-            return self._stream(work, sent, silence)
-        return self._whole(work, sent)
-
-    def _count(self, work: _Work, began_at: int) -> None:
-        """Count a request that an upstream began, once in all."""
-        if not work.counted:
-            work.counted = True
-            ago = self._clock.now() - began_at
-            self._usage.count_started(work.exchange.team, ago)
-
-    def _count_lost(
-        self, work: _Work, failure: failures.Failure, sent_at: int
+            return self._begin_stream(state, sent, first_bytes_ms)
+        return self._read_response(state, sent)
+
+    def _count_started(self, state: _RequestState, began_at: int) -> None:
+        """Count a request as started, at most once over all attempts."""
+        if not state.counted:
+            state.counted = True
+            ago_ms = self._clock.now() - began_at
+            self._usage.count_started(state.exchange.team, ago_ms)
+
+    def _count_unanswered(
+        self, state: _RequestState, failure: failures.Failure, sent_at: int
     ) -> None:
-        """Count a request whose answer was lost, as begun when it was sent.
+        """Count a request without a response as started when it was sent.
 
-        One whose stream stayed silent may have waited at the engine all the
-        while: it begins with its first token.
+        A stream that timed out without an event is not counted: it may have
+        been queued at the engine, and it starts with its first token.
         """
-        if not work.exchange.is_stream or failure.reason != 'silent':
-            self._count(work, sent_at)
+        if not state.exchange.is_stream or failure.reason != 'silent':
+            self._count_started(state, sent_at)
 
-    def _not_run(
+    def _handle_not_run(
         self, exchange: exchange_.Exchange, sent: sender_.Sent
     ) -> failures.Failure:
         if sent.verdict is Verdict.ELSEWHERE:
             sent.place.view.health.failed()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
-        rest = sent.conn.read_all(exchange.deadline, _WHOLE_BYTES)
-        if not isinstance(rest, failures.Failure):
+        body = sent.conn.read_all(exchange.deadline, _MAX_BODY_BYTES)
+        if not isinstance(body, failures.Failure):
             self._sender.finish(sent)
         sent.place.view.health.answered_badly()
         return failures.not_run('upstream_refused', '', _RETRY_MS)
 
-    def _stream(
-        self, work: _Work, sent: sender_.Sent, silence_ms: int
+    def _begin_stream(
+        self, state: _RequestState, sent: sender_.Sent, first_bytes_ms: int
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         stream = self._relay.begin(
-            work.exchange, work.service, sent, silence_ms
+            state.exchange, state.service, sent, first_bytes_ms
         )
         if isinstance(stream, failures.Failure):
             sent.conn.close()
-            self._count_lost(work, stream, sent.at)
+            self._count_unanswered(state, stream, sent.sent_at)
             return stream
-        self._note_reading(work, sent)
-        # An engine begins a request with its first token.
-        self._count(work, self._clock.now())
-        stream.tried |= work.ran_at
+        self._note_prefill(state, sent)
+        # A request starts at an engine when its first token is generated.
+        self._count_started(state, self._clock.now())
+        stream.tried |= state.accepted_by
         return reply_.Reply(
             sent.head,
             self._relay.events(stream),
@@ -264,97 +267,99 @@
             lambda: self._relay.close(stream),
         )
 
-    def _note_reading(self, work: _Work, sent: sender_.Sent) -> None:
-        """Note how long an engine took that had nothing else to read."""
-        place, prompt = sent.place, work.exchange.prompt
+    def _note_prefill(self, state: _RequestState, sent: sender_.Sent) -> None:
+        """Record the prefill time of an engine that had no other prefill."""
+        place, prompt = sent.place, state.exchange.prompt
         if place.grounds.unread:
             return
         tokens = prompt.tokens_in
         if place.grounds.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
-        took = self._clock.now() - sent.at
-        self._demand.note_prefill(work.service.name, tokens, took)
+        took_ms = self._clock.now() - sent.sent_at
+        self._demand.note_prefill(state.service.name, tokens, took_ms)
 
-    def _whole(
-        self, work: _Work, sent: sender_.Sent
+    def _read_response(
+        self, state: _RequestState, sent: sender_.Sent
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         view = sent.place.view
-        deadline = work.exchange.deadline
-        body = sent.conn.read_all(deadline, _WHOLE_BYTES)
+        deadline = state.exchange.deadline
+        body = sent.conn.read_all(deadline, _MAX_BODY_BYTES)
         if isinstance(body, failures.Failure):
             sent.conn.close()
-            self._sender.note_failure(work.exchange, view, body, sent.at)
+            self._sender.note_failure(state.exchange, view, body, sent.sent_at)
             return body
         self._sender.finish(sent)
         reply = reply_.Reply(sent.head, body, view.name)
         if sent.verdict is Verdict.FAILED:
             view.health.answered_badly()
             if sent.head.status not in NOT_RUN_STATUSES:
-                work.fallback = reply
+                state.fallback = reply
             return failures.unknown('answered_badly', str(sent.head.status))
         view.health.succeeded()
-        self._crashes.note_success(work.exchange.fingerprint)
+        self._crashes.note_success(state.exchange.fingerprint)
         return reply
 
-    def _may_try_again(self, work: _Work, failure: failures.Failure) -> bool:
-        exchange = work.exchange
+    def _may_retry(
+        self, state: _RequestState, failure: failures.Failure
+    ) -> bool:
+        exchange = state.exchange
         if self._clock.now() >= exchange.deadline:
             return False
         if failure.reason in _FINAL_REASONS:
             return False
         if failure.kind is failures.FailureKind.NOT_RUN:
-            never_sent = failure.reason == 'no_connection'
-            return never_sent or self._budget.take(work.service.name)
-        if not exchange.may_repeat or work.runs >= exchange.route.attempts:
+            not_sent = failure.reason == 'no_connection'
+            return not_sent or self._budget.take(state.service.name)
+        if not exchange.may_repeat or state.runs >= exchange.route.attempts:
             return False
-        return self._budget.take(work.service.name)
+        return self._budget.take(state.service.name)
 
-    def _silence_ms(self, work: _Work) -> int:
-        """Return how long the next attempt may be silent, in ms."""
-        exchange = work.exchange
+    def _first_bytes_ms(self, state: _RequestState) -> int:
+        """Return how long the next attempt may take to respond, in ms."""
+        exchange = state.exchange
         left = exchange.deadline - self._clock.now()
         if not exchange.may_repeat:
             return left
-        if work.runs + 1 >= exchange.route.attempts:
+        if state.runs + 1 >= exchange.route.attempts:
             return left
-        usual = 2 * exchange.route.target_ms
-        return max(1, min(usual, int(left * _LAST_TRY_SHARE)))
+        limit = 2 * exchange.route.target_ms
+        return max(1, min(limit, int(left * _FIRST_BYTES_SHARE)))
 
-    def _closing(
-        self, work: _Work, failure: failures.Failure
+    def _final_failure(
+        self, state: _RequestState, failure: failures.Failure
     ) -> failures.Failure:
-        """Return what the caller is told: a promise only where it holds.
+        """Return the failure for the caller; NOT_RUN only if nothing ran.
 
-        A request that may run again has still run; it is told when to come
-        back all the same.
+        If an earlier attempt may have run, the outcome is unknown even if the
+        last attempt did not run. The retry time is kept.
         """
-        if work.runs and failure.kind is failures.FailureKind.NOT_RUN:
+        if state.runs and failure.kind is failures.FailureKind.NOT_RUN:
             return failures.unknown(
                 failure.reason, failure.detail, failure.retry_after_ms
             )
         return failure
 
     def _log_attempt(
-        self, work: _Work, place: placement.Place, result: ty.Any
+        self, state: _RequestState, place: placement.Place, result: ty.Any
     ) -> None:
         failed = isinstance(result, failures.Failure)
         outcome = 'caller_left'
         if result is not None:
             outcome = result.reason if failed else str(result.head.status)
-        self._metrics.attempts.labels(work.service.name, outcome).inc()
+        self._metrics.attempts.labels(state.service.name, outcome).inc()
         self._decisions.note(
-            work.exchange.id,
+            state.exchange.id,
             'attempt',
-            route=work.exchange.route.name,
-            fingerprint=work.exchange.fingerprint,
+            route=state.exchange.route.name,
+            fingerprint=state.exchange.fingerprint,
             upstream=place.view.name,
             born=place.view.born,
-            number=len(work.tried),
+            number=len(state.tried),
             revision=place.view.record.revision,
             among=place.grounds.among,
             home=place.grounds.is_home,
-            tokens=work.exchange.prompt.tokens_in,
-            shared=sum(p.tokens for p in work.exchange.prompt.shared),
+            tokens=state.exchange.prompt.tokens_in,
+            shared=sum(p.tokens for p in state.exchange.prompt.shared),
             running=place.grounds.running,
             unread=place.grounds.unread,
             slots=place.view.slots,
@@ -363,8 +368,8 @@
         )
 
 
-class _Work:
-    """What has been done for one request so far."""
+class _RequestState:
+    """Progress of one request over its attempts."""
 
     def __init__(
         self, exchange: exchange_.Exchange, service: pb.Service
@@ -372,12 +377,11 @@
         self.exchange = exchange
         self.service = service
         self.tried: set[str] = set()
-        self.ran_at: set[str] = set()
-        """Upstreams that took it."""
+        self.accepted_by: set[str] = set()
+        """Upstreams that accepted the request."""
         self.runs = 0
-        """Attempts that ran, or may have."""
+        """Number of attempts that ran or may have run."""
         self.counted = False
-        """Whether it is counted for usage."""
+        """Whether the request was counted in `Usage`."""
         self.fallback: ty.Optional[reply_.Reply] = None
-        """A failure that an upstream answered with, if nothing better
-        comes."""
+        """Error response of an upstream, returned if all retries fail."""
--- a/src/peridotmast/serving/exchange.py
+++ b/src/peridotmast/serving/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through a router, whichever face it came by."""
+"""A request that a router has accepted, independent of the API it used."""
 
 from __future__ import annotations
 
@@ -16,75 +16,78 @@
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt, which other prompts may share."""
+    """One part of a prompt; other prompts may have the same part."""
 
     id: str
-    """Equal where the part is; parts are compared in their order."""
+    """Identifies the content: equal for equal parts. Parts are compared in
+    order."""
     tokens: int
-    """Length of the part."""
+    """Length of the part, in tokens."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What is known of a request to a model engine."""
+    """What is known about the prompt of a request to a model engine."""
 
     model: str = ''
-    """Model that is asked for."""
+    """Name of the requested model."""
     tokens_in: int = 0
-    """Length of the prompt."""
+    """Length of the prompt, in tokens."""
     tokens_out: int = 0
-    """Most tokens of the answer."""
+    """Maximum length of the response, in tokens."""
     parts: tuple[PromptPart, ...] = ()
-    """Its parts in order; the last one is the request's or session's own."""
+    """Parts in order; the last one is specific to the request or session."""
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have in common with it."""
+        """All parts that other requests may share: every part but the last."""
         return self.parts[:-1]
 
 
 class Caller(ty.Protocol):
-    """Whoever waits for the answer."""
+    """The client connection that waits for the response."""
 
     def has_left(self) -> bool:
-        """Return whether nobody waits any more."""
+        """Return whether the caller has disconnected."""
 
 
 @dataclasses.dataclass
 class Exchange:
-    """A request that was read, checked and found its route."""
+    """A parsed, authenticated request with its route and limits."""
 
     id: str
-    """Id of this attempt of the caller's; empty where it gave none."""
+    """Request id sent by the caller; empty if it sent none."""
     method: str
     target: str
-    """Request target, byte for byte."""
+    """Request target exactly as received."""
     headers: Headers
-    """Headers that go on to the upstream."""
+    """Headers that are forwarded to the upstream."""
     body: bytes
     route: pb.Route
     team: str
-    """Team whose key it carried; empty on public routes without one."""
+    """Team of the API key; empty on public routes without a key."""
     priority: int
-    """Rank among all requests, 0 first."""
+    """Priority among all requests; 0 is the highest."""
     urgency: int
-    """Level among those that wait at an engine, 0 first."""
+    """Urgency level in the queue of an engine; 0 is the most urgent."""
     arrived_at: int
-    """Moment of arrival, in ms on the router's clock."""
+    """Time of arrival on the router's clock, in ms."""
     deadline: int
-    """Moment by which it gets its final answer: the caller's patience or
-    the route's timeout, whichever is over first."""
+    """Time by which the response must end, in ms: the earlier of the
+    caller's deadline and the route's timeout."""
     caller: Caller
     prompt: Prompt = Prompt()
     cost: int = 0
-    """Tokens that it counts towards its team's limit."""
+    """Cost under the limit of the team, in tokens, or 1 if that limit is in
+    requests."""
     last_event: int = 0
-    """Event after which a stream that broke off is asked for again."""
+    """Id of the last event that the caller has received of a stream it
+    resumes."""
     traceparent: str = ''
 
     @property
     def may_repeat(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         kinds = pb.RequestKind
         kind = self.route.kind
         return kind == kinds.IDEMPOTENT or (
@@ -93,7 +96,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether it is answered with events."""
+        """Whether the response is a stream of events."""
         return self.route.kind == pb.RequestKind.STREAMING
 
     @functools.cached_property
--- a/src/peridotmast/serving/gateway.py
+++ b/src/peridotmast/serving/gateway.py
@@ -1,4 +1,4 @@
-"""Where every face hands its requests in: checks, route, team, limits."""
+"""Admission of requests from all APIs: route, team, limits, metrics."""
 
 from __future__ import annotations
 
@@ -20,64 +20,65 @@
 from peridotmast import tracing
 from peridotmast.wire import connection
 
-_START_RETRY_MS = 500
-"""What a caller is told to wait for a router that knows no configuration."""
+_NO_CONFIG_RETRY_MS = 500
+"""Retry time sent by a router that has no configuration yet, in ms."""
 
-_BEHIND_RETRY_MS = 300
-"""What a caller is told to wait where this router knows that it is behind: on
-thin links a large configuration goes from 31 to 252 of 330 routers in this
-time (links of the feature `spread`), and the next try goes to any of them."""
+_STALE_CONFIG_RETRY_MS = 300
+"""Retry time sent by a router that knows that its configuration is outdated,
+in ms. With the slow links of the feature `spread`, a large configuration
+spreads from 31 to 252 of 330 routers in this time, and the retry goes to any
+router."""
 
-_ELSEWHERE_MS = 50
-"""What a caller is told to wait where it need only ask another router."""
+_OTHER_ROUTER_RETRY_MS = 50
+"""Retry time if the caller only has to use another router, in ms."""
 
 
 @dataclasses.dataclass
 class IncomingRequest:
-    """A request as a face has read it."""
+    """A request as parsed by one of the APIs."""
 
     id: str
     method: str
     target: str
     host: str
     key: str
-    """Key that names the team; empty where there is none."""
+    """API key of the team; empty if there is none."""
     headers: connection.Headers
-    """Headers that may go on to an upstream."""
+    """Headers that may be forwarded to an upstream."""
     body: bytes
     arrived_at: int
-    """Moment of its arrival on the router's clock, in ms."""
+    """Time of arrival on the router's clock, in ms."""
     caller_timeout_ms: int
-    """How long the caller waits from then on; 0 where it did not say."""
+    """Time that the caller waits after arrival, in ms; 0 if not stated."""
     prompt: exchange_.Prompt
     caller: exchange_.Caller
     route: ty.Optional[pb.Route] = None
-    """Route that the face has chosen; else host and target tell it."""
+    """Route selected by the API; if None, it is found by host and target."""
     priority: ty.Optional[int] = None
-    """Rank that the face has chosen; else team and route tell it."""
+    """Priority set by the API; if None, that of the team or route applies."""
     traceparent: str = ''
-    """Trace that the request belongs to."""
+    """Trace context of the request, as a W3C ``traceparent`` value."""
 
 
 class Gateway:
-    """Takes requests in from all faces.
+    """Admits requests from all APIs and records their results.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times requests.
+        Clock for arrival times and durations.
     dispatcher : dispatcher.Dispatcher
-        Gets them answered.
+        Sends admitted requests to upstreams.
     quota : quota.Quota
-        Limits of the teams.
+        Rate limits of the teams.
     demand : demand.Demand
-        Counts what is asked for.
+        Counts requested tokens by service.
     metrics : metrics.ServingMetrics
-        Counts them.
+        Counts requests and observes their latencies.
     decisions : decisions.Decisions
-        Notes what was decided on each.
+        Records the decisions on each request.
     tracer : tracing.Tracing
-        Opens a span for each.
+        Opens a span for each request.
     """
 
     def __init__(
@@ -98,49 +99,53 @@
         self._demand = demand
         self._metrics = metrics
         self._routes: ty.Optional[route_table.RouteTable] = None
-        self._takes_all_until = 0
-        self._leaves_at: ty.Optional[int] = None
+        self._accept_all_until = 0
+        self._stops_at: ty.Optional[int] = None
         self.config_is_stale: ty.Callable[[], bool] = lambda: False
-        """Says whether a newer configuration is known to be in force at a
-        peer."""
+        """Return whether a peer is known to use a newer configuration."""
         self.take_quota: ty.Callable[[str, int], int] = quota.take
-        """Lets a team's tokens pass, or says how long to wait, in ms."""
+        """Deduct tokens of a team; return 0 or the time to wait, in ms."""
         self.in_flight = 0
-        """Requests that are being answered."""
-
-    def drain(self, accept_all_until: int, ends_at: int) -> None:
-        """Take less and less on: the router ends at `ends_at`, in ms.
-
-        From `accept_all_until` on, only what is answered by then in any
-        case: the others would be cut off by the end.
+        """Number of admitted requests whose responses have not ended."""
+
+    def drain(self, accept_all_until: int, stops_at: int) -> None:
+        """Stop accepting requests that may outlast this router.
+
+        Parameters
+        ----------
+        accept_all_until : int
+            Time until which all requests are accepted, in ms. Later ones
+            are accepted only if their deadline is not after `stops_at`.
+        stops_at : int
+            Time at which the router stops, in ms.
         """
-        self._takes_all_until = accept_all_until
-        self._leaves_at = ends_at
+        self._accept_all_until = accept_all_until
+        self._stops_at = stops_at
 
     def close(self) -> None:
-        """Pass on nothing any more: the router ends now."""
-        self._takes_all_until, self._leaves_at = 0, 0
+        """Refuse all new requests: the router stops now."""
+        self._accept_all_until, self._stops_at = 0, 0
 
     def configure(self, config: pb.Config) -> None:
-        """Put a configuration into force."""
+        """Apply a configuration."""
         self._routes = route_table.RouteTable(config)
         self._quota.configure(config.teams)
 
     def handle(
-        self, asked: IncomingRequest
+        self, request: IncomingRequest
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        """Return the answer, or why there is none.
+        """Return the response to a request, or a failure.
 
-        Where it is a `reply.Reply`, its ``close`` must be called.
+        The caller of this method must call ``close`` of a `reply.Reply`.
         """
         self.in_flight += 1
         span = self._tracer.start(
-            'router.request', asked.traceparent, request=asked.id
+            'router.request', request.traceparent, request=request.id
         )
-        asked.traceparent = self._tracer.traceparent_of(span)
+        request.traceparent = self._tracer.traceparent_of(span)
         result: ty.Union[reply_.Reply, failures.Failure, None] = None
         try:
-            result = self._handle(asked, span)
+            result = self._handle(request, span)
         finally:
             if not isinstance(result, reply_.Reply):
                 self.in_flight -= 1
@@ -150,74 +155,74 @@
     def retryable_if_stale(
         self, failure: failures.Failure
     ) -> failures.Failure:
-        """Return a final "no", but not from what is old, or nothing yet.
+        """Return `failure`, made retryable if the configuration is outdated.
 
-        Callers don't ask again after it; what they ask for may be in the
-        newer configuration that is on its way here.
+        Callers do not retry a permanent failure, although a newer
+        configuration that has not arrived here yet may allow the request.
         """
-        why, retry_ms = self._outdated()
-        if not why:
+        reason, retry_ms = self._stale_config()
+        if not reason:
             return failure
         detail = f'{failure.reason} {failure.detail}'.strip()
-        return failures.not_run(why, detail, retry_ms)
+        return failures.not_run(reason, detail, retry_ms)
 
     def retry_ms(self) -> int:
-        """Return when to come back who was told "no" here; 0 for never."""
-        return self._outdated()[1]
+        """Return the retry time of a rejected request, in ms; 0 for none."""
+        return self._stale_config()[1]
 
-    def _outdated(self) -> tuple[str, int]:
-        """Return why a "no" is not final here, and when to come back."""
+    def _stale_config(self) -> tuple[str, int]:
+        """Return why a rejection is not final, and its retry time in ms."""
         if self._routes is None:
-            return 'no_config', _START_RETRY_MS
+            return 'no_config', _NO_CONFIG_RETRY_MS
         if self.config_is_stale():
-            return 'config_behind', _BEHIND_RETRY_MS
+            return 'config_behind', _STALE_CONFIG_RETRY_MS
         return '', 0
 
     def _handle(
-        self, asked: IncomingRequest, span: tracing.Span
+        self, request: IncomingRequest, span: tracing.Span
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        found = self._read(asked)
-        if isinstance(found, failures.Failure):
-            return self._refused(asked, found, '')
-        exchange, service = found
-        if self._is_too_late(exchange):
-            failure = failures.not_run('leaving', '', _ELSEWHERE_MS)
-            return self._refused(asked, failure, service.name)
+        admitted = self._resolve(request)
+        if isinstance(admitted, failures.Failure):
+            return self._record_refusal(request, admitted, '')
+        exchange, service = admitted
+        if self._outlasts_router(exchange):
+            failure = failures.not_run('leaving', '', _OTHER_ROUTER_RETRY_MS)
+            return self._record_refusal(request, failure, service.name)
         wait_ms = self.take_quota(exchange.team, exchange.cost)
         if wait_ms:
             failure = failures.not_run(
                 'team_limit', self._quota.state(exchange.team), wait_ms
             )
-            return self._refused(asked, failure, service.name)
+            return self._record_refusal(request, failure, service.name)
         self._demand.count_request(service.name, exchange.prompt.tokens_in)
         result = self._dispatcher.answer(exchange, service)
         if isinstance(result, failures.Failure):
             if result.kind is failures.FailureKind.NOT_RUN:
                 self._quota.give_back(exchange.team, exchange.cost)
-            return self._refused(asked, result, service.name)
-        return self._begun(exchange, service, result, span)
+            return self._record_refusal(request, result, service.name)
+        return self._record_response(exchange, service, result, span)
 
-    def _is_too_late(self, exchange: exchange_.Exchange) -> bool:
-        """Return whether the router may be gone before the answer is."""
-        leaves_at = self._leaves_at
-        if leaves_at is None or exchange.arrived_at < self._takes_all_until:
+    def _outlasts_router(self, exchange: exchange_.Exchange) -> bool:
+        """Return whether the router may stop before the request ends."""
+        stops_at = self._stops_at
+        if stops_at is None or exchange.arrived_at < self._accept_all_until:
             return False
-        return exchange.deadline > leaves_at
+        return exchange.deadline > stops_at
 
-    def _begun(
+    def _record_response(
         self,
         exchange: exchange_.Exchange,
         service: pb.Service,
         reply: reply_.Reply,
         span: tracing.Span,
     ) -> reply_.Reply:
-        """Count an answer that has begun, and its end when it comes."""
+        """Count a response that has begun, and record its end when closed."""
         priority = str(exchange.priority)
-        waited = self._clock.now() - exchange.arrived_at
+        waited_ms = self._clock.now() - exchange.arrived_at
         outcome = str(reply.head.status)
         self._metrics.requests.labels(service.name, outcome).inc()
         self._metrics.first_byte.labels(service.name, priority).observe(
-            waited / 1000
+            waited_ms / 1000
         )
         close = reply.close
 
@@ -225,9 +230,9 @@
             close()
             span.end()
             self.in_flight -= 1
-            took = self._clock.now() - exchange.arrived_at
+            took_ms = self._clock.now() - exchange.arrived_at
             self._metrics.answer_time.labels(service.name, priority).observe(
-                took / 1000
+                took_ms / 1000
             )
             self._decisions.note(
                 exchange.id,
@@ -236,90 +241,93 @@
                 team=exchange.team,
                 upstream=reply.upstream,
                 status=outcome,
-                first_ms=waited,
+                first_ms=waited_ms,
                 target_ms=exchange.route.target_ms,
-                ms=took,
+                ms=took_ms,
             )
 
         reply.close = close_and_count
         return reply
 
-    def _read(
-        self, asked: IncomingRequest
+    def _resolve(
+        self, request: IncomingRequest
     ) -> ty.Union[tuple[exchange_.Exchange, pb.Service], failures.Failure]:
         routes = self._routes
         if routes is None:
-            return failures.not_run('no_config', '', _START_RETRY_MS)
-        route = asked.route or routes.route(
-            asked.host, asked.target.partition('?')[0]
+            return failures.not_run('no_config', '', _NO_CONFIG_RETRY_MS)
+        route = request.route or routes.route(
+            request.host, request.target.partition('?')[0]
         )
         if route is None:
-            missing = failures.missing('no_route', asked.target[:80])
+            missing = failures.missing('no_route', request.target[:80])
             return self.retryable_if_stale(missing)
-        team = routes.team_of(asked.key) if asked.key else None
+        team = routes.team_of(request.key) if request.key else None
         if team is None and routes.requires_key and not route.public:
             return self.retryable_if_stale(failures.invalid('no_key'))
         service = routes.services.get(routes.pick_service(route))
         if service is None:
             return failures.not_run('no_service', route.name)
-        deadline = asked.arrived_at + route.timeout_ms
-        if asked.caller_timeout_ms:
+        deadline = request.arrived_at + route.timeout_ms
+        if request.caller_timeout_ms:
             deadline = min(
-                deadline, asked.arrived_at + asked.caller_timeout_ms
+                deadline, request.arrived_at + request.caller_timeout_ms
             )
-        priority = _priority(asked, route, team)
+        priority = _priority(request, route, team)
         exchange = exchange_.Exchange(
-            id=asked.id,
-            method=asked.method,
-            target=asked.target,
-            headers=asked.headers,
-            body=asked.body,
+            id=request.id,
+            method=request.method,
+            target=request.target,
+            headers=request.headers,
+            body=request.body,
             route=route,
             team=team.name if team else '',
             priority=priority,
             urgency=urgency.level(
                 priority,
-                asked.prompt.tokens_in,
+                request.prompt.tokens_in,
                 route.target_ms,
                 self._demand.prefill_rate(service.name),
             ),
-            arrived_at=asked.arrived_at,
+            arrived_at=request.arrived_at,
             deadline=deadline,
-            caller=asked.caller,
-            prompt=asked.prompt,
-            cost=_cost(asked.prompt, team),
-            traceparent=asked.traceparent,
+            caller=request.caller,
+            prompt=request.prompt,
+            cost=_cost(request.prompt, team),
+            traceparent=request.traceparent,
         )
         return exchange, service
 
-    def _refused(
-        self, asked: IncomingRequest, failure: failures.Failure, service: str
+    def _record_refusal(
+        self, request: IncomingRequest, failure: failures.Failure, service: str
     ) -> failures.Failure:
         self._metrics.requests.labels(service, failure.reason).inc()
         self._decisions.note(
-            asked.id,
+            request.id,
             'refused',
             reason=failure.reason,
             kind=failure.kind.value,
             detail=failure.detail,
             retry_after_ms=failure.retry_after_ms,
-            ms=self._clock.now() - asked.arrived_at,
+            ms=self._clock.now() - request.arrived_at,
         )
         return failure
 
 
 def _priority(
-    asked: IncomingRequest, route: pb.Route, team: ty.Optional[pb.Team]
+    request: IncomingRequest, route: pb.Route, team: ty.Optional[pb.Team]
 ) -> int:
-    if asked.priority is not None:
-        return asked.priority
+    if request.priority is not None:
+        return request.priority
     if team is not None and team.priority >= 0:
         return team.priority
     return route.priority
 
 
 def _cost(prompt: exchange_.Prompt, team: ty.Optional[pb.Team]) -> int:
-    """Return what a request counts towards its team's limit."""
+    """Return the cost of a request under the limit of its team.
+
+    In tokens, or 1 if the limit of the team is in requests.
+    """
     if team is None:
         return 0
     if not team.by_tokens:
--- a/src/peridotmast/serving/metrics.py
+++ b/src/peridotmast/serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the way of a request."""
+"""Counters and latency histograms of the request path."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 _LATENCY_S = (0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2,
               2.0, 4.0, 8.0, 16.0)  # fmt: skip
-"""Bounds of latency buckets: close together around the usual targets."""
+"""Upper bounds of the latency buckets, in s; dense around common latency
+targets."""
 
 
 class ServingMetrics:
-    """Metrics of one router's requests; labels are few by construction.
+    """Request metrics of one router, with a bounded number of label values.
 
     Parameters
     ----------
     registry : prometheus_client.CollectorRegistry
-        Where they are kept.
+        Registry in which the metrics are registered.
     """
 
     def __init__(self, registry: prometheus_client.CollectorRegistry) -> None:
--- a/src/peridotmast/serving/prefill_rate.py
+++ b/src/peridotmast/serving/prefill_rate.py
@@ -1,4 +1,4 @@
-"""How fast engines read prompts, as this router's own requests show it."""
+"""Prefill rates of engines, estimated from the requests of this router."""
 
 from __future__ import annotations
 
@@ -6,76 +6,77 @@
 import typing as ty
 
 _SAMPLES = 64
-"""Samples kept for a service: about a minute of one small router's."""
+"""Samples kept per service: about one minute of requests at a small router."""
 
-_ENOUGH = 12
-"""Samples from which on they are gone by: of fewer, one slow engine's would
-be a good part."""
+_MIN_SAMPLES = 12
+"""Minimum number of samples for an estimate: in a smaller set, the samples of
+one slow engine would have too much weight."""
 
-_LEAST_TOKENS = 1000
-"""Shortest prompt that is a sample: for shorter ones most of the time goes
-on the way and in the engine's step."""
+_MIN_TOKENS = 1000
+"""Shortest prompt used as a sample, in tokens: for shorter prompts, network
+time and the engine step take most of the time to the first token."""
 
 _QUANTILE = 0.6
-"""Whatever disturbs a sample makes it slower: a neighbour, a queue that is
-not known of yet, an engine that is grey or cold. So the speed of an engine at
-its work lies above the median: with the time that goes elsewhere taken off,
-953 samples at engines that read 38.1 tokens a ms gave 38.0 and 239 at ones
-that read 56.9 gave 56.7, on days with slow and crashed engines."""
+"""Quantile of the samples that is taken as the rate. Every disturbance makes a
+sample slower: a noisy neighbour, a queue that is not known here yet, a
+degraded or cold engine. The rate of a healthy engine therefore lies above the
+median. With the fixed overhead subtracted, 953 samples at engines that prefill
+38.1 tokens per ms gave 38.0, and 239 samples at engines that prefill 56.9 gave
+56.7, on days with slow and crashed engines."""
 
-_SHORT_TOKENS = 300
-"""Longest prompt whose time goes elsewhere: on the way, in the engine's step
-and its first token."""
+_MAX_SHORT_TOKENS = 300
+"""Longest prompt used to measure the fixed overhead, in tokens: its time to
+first token consists of network time, the engine step and the first token."""
 
 _SHORT_SAMPLES = 32
-_LEAST_SHORT = 4
-"""Samples of short prompts that are kept, and from which on they are gone
-by."""
+_MIN_SHORT_SAMPLES = 4
+"""Number of samples of short prompts that are kept, and the minimum for an
+estimate of the fixed overhead."""
 
-_USUAL = 0.25
-"""Part of the short ones that is not disturbed at all."""
+_SHORT_QUANTILE = 0.25
+"""Fraction of the short samples that is free of disturbances."""
 
 
 class PrefillRates:
-    """Speeds of reading by service, from first tokens at idle engines."""
+    """Prefill rates by service, from first-token times at idle engines."""
 
     def __init__(self) -> None:
         self._samples: dict[str, collections.deque[tuple[int, int]]] = {}
-        self._short: dict[str, collections.deque[int]] = {}
+        self._short_ms: dict[str, collections.deque[int]] = {}
 
     def add_sample(self, service: str, tokens: int, ms: int) -> None:
-        """Take in that an engine with nothing to read took `ms` for `tokens`.
+        """Add the time to first token at an engine without other prefills.
 
         Parameters
         ----------
         tokens : int
-            Those of the prompt that it did not hold.
+            Prompt tokens that were not in the KV cache of the engine.
         ms : int
-            Time from the request to its first event.
+            Time from sending the request to its first event, in ms.
         """
-        if 0 < tokens <= _SHORT_TOKENS:
-            self._short.setdefault(
+        if 0 < tokens <= _MAX_SHORT_TOKENS:
+            self._short_ms.setdefault(
                 service, collections.deque(maxlen=_SHORT_SAMPLES)
             ).append(ms)
-        elif tokens >= _LEAST_TOKENS:
+        elif tokens >= _MIN_TOKENS:
             self._samples.setdefault(
                 service, collections.deque(maxlen=_SAMPLES)
             ).append((tokens, ms))
 
     def tokens_per_ms(self, service: str) -> ty.Optional[float]:
-        """Return tokens a ms, or None where too little is known."""
+        """Return the rate in tokens per ms; None with too few samples."""
         samples = self._samples.get(service, ())
-        if len(samples) < _ENOUGH:
+        if len(samples) < _MIN_SAMPLES:
             return None
-        elsewhere = self._elsewhere_ms(service)
-        speeds = sorted(
-            tokens / max(1, ms - elsewhere) for tokens, ms in samples
+        overhead_ms = self._overhead_ms(service)
+        rates = sorted(
+            tokens / max(1, ms - overhead_ms) for tokens, ms in samples
         )
-        return speeds[int(_QUANTILE * len(speeds))]
+        return rates[int(_QUANTILE * len(rates))]
 
-    def _elsewhere_ms(self, service: str) -> int:
-        """Return the part of the time to a first event that is no reading."""
-        short = sorted(self._short.get(service, ()))
-        if len(short) < _LEAST_SHORT:
+    def _overhead_ms(self, service: str) -> int:
+        """Return the fixed part of the time to the first event, in ms."""
+        short_ms = sorted(self._short_ms.get(service, ()))
+        if len(short_ms) < _MIN_SHORT_SAMPLES:
             return 0
-        return short[int(_USUAL * len(short))]
+        return short_ms[int(_SHORT_QUANTILE * len(short_ms))]
--- a/src/peridotmast/serving/reply.py
+++ b/src/peridotmast/serving/reply.py
@@ -1,4 +1,4 @@
-"""What a request comes to: an answer on its way to the caller."""
+"""The response to a request, while it is sent to the caller."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 
 
 class BrokenAnswer(Exception):
-    """An answer that broke off after it had begun; it must look broken."""
+    """A response was truncated after it had begun.
+
+    The caller must be able to detect that it is incomplete.
+    """
 
 
 @dataclasses.dataclass
 class Reply:
-    """Status and headers of an upstream, and the body as it comes."""
+    """Status, headers and body of the response of an upstream."""
 
     head: connection_.ResponseHead
     body: ty.Union[bytes, ty.Iterator[bytes]]
-    """The whole body, or its bytes as they come; the iterator raises
-    `BrokenAnswer` where the rest does not come."""
+    """The complete body, or an iterator over its bytes as they arrive; the
+    iterator raises `BrokenAnswer` if the body is truncated."""
     upstream: str = ''
-    """Id of the upstream that gave it."""
+    """Name of the upstream that sent the response."""
     close: ty.Callable[[], None] = lambda: None
-    """Gives back what the answer holds; called once it is out or given up."""
+    """Release the resources of the response; called once it was sent or
+    abandoned."""
--- a/src/peridotmast/serving/retry_budget.py
+++ b/src/peridotmast/serving/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many repeats a router may send to a service."""
+"""Limits how many retries a router sends to a service."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 from peridotmast import clock as clock_
 
-_SAFETY = 0.8
-"""Part of the fleet's budget that is used: routers count their windows from
-different moments, and a request that was cut off may not have been counted."""
+_USED_SHARE = 0.8
+"""Fraction of the fleet's budget that is used: routers start their windows
+at different times, and an interrupted request may not have been counted."""
 
 
 class RetryBudget:
-    """Repeats within a share of a service's own requests.
+    """Limits retries to a fraction of the requests of each service.
 
-    Each router goes by what it saw itself, so nothing need be agreed: the
-    sum over all routers is the fleet's requests times the ratio, and the
-    slack that the fleet has beside it is split evenly.
+    Each router uses only its own counts, so no coordination is needed: over
+    all routers the limits add up to the requests of the fleet times the
+    ratio. The additional slack of the fleet is split evenly between routers.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times the window.
+        Clock of the window.
     ratio : float
-        Repeats for each request.
+        Retries allowed per request.
     window_ms : int
-        Window in which both are counted.
+        Length of the window in which both are counted, in ms.
     slack : float
-        Repeats of the whole fleet beside the ratio.
+        Additional retries of the whole fleet in a window.
     """
 
     def __init__(
@@ -39,35 +39,37 @@
         self._window_ms = window_ms
         self._slack = slack
         self._requests: dict[str, collections.deque[int]] = {}
-        self._repeats: dict[str, collections.deque[int]] = {}
+        self._retries: dict[str, collections.deque[int]] = {}
         self.routers: ty.Callable[[], int] = lambda: 1
-        """Returns how many routers share the slack."""
+        """Return the number of routers that share the slack."""
 
     def set_limits(self, ratio: float, window_ms: int, slack: float) -> None:
-        """Put changed limits into force."""
+        """Change the limits."""
         self._ratio = ratio
         self._window_ms = window_ms
         self._slack = slack
 
     def count_request(self, service: str) -> None:
-        """Count a request that goes to `service` for the first time."""
-        self._in_window(self._requests, service).append(self._clock.now())
+        """Count a new request to `service`; retries are not counted here."""
+        self._times_in_window(self._requests, service).append(
+            self._clock.now()
+        )
 
     def take(self, service: str) -> bool:
-        """Allow one repeat at `service`, if there is room for it."""
-        requests = len(self._in_window(self._requests, service))
-        repeats = self._in_window(self._repeats, service)
+        """Take one retry to `service`; return False if none is left."""
+        requests = len(self._times_in_window(self._requests, service))
+        retries = self._times_in_window(self._retries, service)
         allowed = self._ratio * requests + self._slack / self.routers()
-        if len(repeats) + 1 > allowed * _SAFETY:
+        if len(retries) + 1 > allowed * _USED_SHARE:
             return False
-        repeats.append(self._clock.now())
+        retries.append(self._clock.now())
         return True
 
-    def _in_window(
-        self, counted: dict[str, collections.deque[int]], service: str
+    def _times_in_window(
+        self, counts: dict[str, collections.deque[int]], service: str
     ) -> ty.Any:
-        moments = counted.setdefault(service, collections.deque())
-        limit = self._clock.now() - self._window_ms
-        while moments and moments[0] <= limit:
-            moments.popleft()
-        return moments
+        times = counts.setdefault(service, collections.deque())
+        oldest = self._clock.now() - self._window_ms
+        while times and times[0] <= oldest:
+            times.popleft()
+        return times
--- a/src/peridotmast/serving/route_table.py
+++ b/src/peridotmast/serving/route_table.py
@@ -1,4 +1,4 @@
-"""Which route and team a request belongs to."""
+"""Lookup of routes by host and path, and of teams by API key."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class RouteTable:
-    """Routes by host and path, teams by key, of one configuration.
+    """Routes by host and path and teams by API key of one configuration.
 
     Parameters
     ----------
     config : pb.Config
-        The configuration in force.
+        The configuration.
     seed : int
-        Seed of the choice between the services of a split.
+        Seed of the random choice between the services of a split route.
     """
 
     def __init__(self, config: pb.Config, seed: int = 0) -> None:
@@ -33,7 +33,7 @@
 
     @property
     def requires_key(self) -> bool:
-        """Whether routes that are not public need a key."""
+        """Whether routes that are not public require an API key."""
         return bool(self.teams)
 
     def route(self, host: str, path: str) -> ty.Optional[pb.Route]:
@@ -50,7 +50,8 @@
         routes = self._hosts.get(host)
         if routes is None:
             routes = self._hosts.get(host.rpartition(':')[0], {})
-        # A prefix ends with a slash: only as many can fit as the path has.
+        # Every prefix ends with a slash, so only the path up to each of its
+        # slashes can match.
         end = path.rfind('/')
         while end >= 0:
             route = routes.get(path[: end + 1])
@@ -60,11 +61,11 @@
         return None
 
     def team_of(self, key: str) -> ty.Optional[pb.Team]:
-        """Return the team that holds `key`."""
+        """Return the team of an API key; None if it is unknown."""
         return self._teams.get(key)
 
     def pick_service(self, route: pb.Route) -> str:
-        """Return the service for the next request on `route`."""
+        """Return the service of one request on `route`, chosen by weight."""
         services = route.services
         if len(services) == 1:
             return services[0]
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one upstream, and the head of its answer."""
+"""One attempt: sends a request to an upstream and reads the response head."""
 
 from __future__ import annotations
 
@@ -19,47 +19,49 @@
 from peridotmast.wire import connection as connection_
 from peridotmast.wire import pool as pool_
 
-_FOREIGN_LIMIT = 3
-"""Answers to other requests that are passed over on one connection."""
+_MAX_FOREIGN_RESPONSES = 3
+"""Responses to other requests that are skipped in one attempt."""
 
-_FOREIGN_BYTES = 1 << 20
-"""Longest body of such an answer that is read away."""
+_MAX_FOREIGN_BYTES = 1 << 20
+"""Largest body of such a response that is read and discarded."""
 
 Verdict = dialect_.Verdict
 
 _UNATTRIBUTED = frozenset(
     (Verdict.FOREIGN, Verdict.ELSEWHERE, Verdict.GARBLED)
 )
-"""Verdicts on answers that may come from another upstream."""
+"""Verdicts on responses that may come from another upstream."""
 
-_InUse = weakref.WeakKeyDictionary[connection_.Connection, ids.Fingerprint]
+_AttemptMap = weakref.WeakKeyDictionary[
+    connection_.Connection, ids.Fingerprint
+]
 
 
 @dataclasses.dataclass
 class Sent:
-    """An attempt whose answer has begun."""
+    """An attempt whose response head was read."""
 
     place: placement.Place
     conn: connection_.Connection
     head: connection_.ResponseHead
     verdict: Verdict
-    at: int
-    """Moment at which the request went out, in ms."""
+    sent_at: int
+    """Time at which the request was sent, in ms."""
 
 
 class Sender:
-    """Sends requests over kept connections and checks whose answer comes.
+    """Sends requests over pooled connections and matches the responses.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times the waits.
+        Clock for deadlines.
     pool : pool_.ConnectionPool
-        Connections to upstreams.
+        Pool of connections to upstreams.
     dialect : dialect.Dialect
-        What upstreams speak.
+        Encodes requests and interprets response heads.
     decisions : decisions.Decisions
-        Notes answers that belong to others.
+        Records responses that belong to other requests.
     crashes : crash_tracker.CrashTracker
         Records failed attempts and responses of upstreams.
     limits : upstream_limits.UpstreamLimits
@@ -81,40 +83,43 @@
         self._decisions = decisions
         self._crashes = crashes
         self._limits = limits
-        self._in_use: weakref.WeakKeyDictionary[
-            upstream_view.UpstreamView, _InUse
+        self._attempts: weakref.WeakKeyDictionary[
+            upstream_view.UpstreamView, _AttemptMap
         ] = weakref.WeakKeyDictionary()
 
     def send(
         self,
         exchange: exchange_.Exchange,
         place: placement.Place,
-        silence_ms: int,
+        head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint] = None,
     ) -> ty.Union[Sent, failures.Failure]:
-        """Send the request and wait for the head of its answer.
+        """Send the request and wait for the response head.
 
         Parameters
         ----------
-        silence_ms : int
-            Longest time without the head.
+        head_timeout_ms : int
+            Time limit for the response head, in ms.
 
         Returns
         -------
         Sent or Failure
-            The kind of a failure tells whether the request may have run.
+            The kind of the failure states whether the request may have
+            run.
         """
         view = place.view
         conn = self._pool.take(view.address)
         if isinstance(conn, failures.Failure):
             view.health.failed()
             return conn
-        in_use = self._in_use.setdefault(view, weakref.WeakKeyDictionary())
-        in_use[conn] = exchange.fingerprint
+        attempts = self._attempts.setdefault(view, weakref.WeakKeyDictionary())
+        attempts[conn] = exchange.fingerprint
         sent: ty.Union[Sent, failures.Failure, None] = None
         sent_at = self._clock.now()
         try:
-            sent = self._exchange(exchange, place, conn, silence_ms, resume)
+            sent = self._attempt(
+                exchange, place, conn, head_timeout_ms, resume
+            )
         finally:
             if not isinstance(sent, Sent):
                 conn.close()
@@ -130,17 +135,17 @@
         sent_at: int,
         was_answering: bool = False,
     ) -> None:
-        """Record that an answer did not arrive or was incomplete.
+        """Record that a response did not arrive or was incomplete.
 
         Parameters
         ----------
         sent_at : int
             Time at which the request was sent, in ms.
         was_answering : bool, optional
-            Whether the upstream had sent an event of the answer.
+            Whether the upstream had sent an event of the response.
         """
         if failure.reason == crash_tracker_.BLOCK_REASON:
-            # Cancelled by this router: not a failure of the upstream.
+            # Cancelled by this router, so the upstream did not fail.
             return
         view.health.failed()
         self._crashes.note_failure(
@@ -148,20 +153,20 @@
         )
 
     def finish(self, sent: Sent) -> None:
-        """Take the connection of an answer that has ended back."""
-        in_use = self._in_use.get(sent.place.view)
-        if in_use is not None:
-            in_use.pop(sent.conn, None)
+        """Return the connection of a complete response to the pool."""
+        attempts = self._attempts.get(sent.place.view)
+        if attempts is not None:
+            attempts.pop(sent.conn, None)
         self._pool.give_back(sent.place.view.address, sent.conn)
 
     def abort_run(self, view: upstream_view.UpstreamView) -> None:
-        """Break off what an upstream's run has left unanswered.
+        """Cancel all attempts in progress at a run of an upstream.
 
-        Another run has begun at its address: what was sent to the one
-        before is lost, also where its connections have not noticed.
+        Another run has started at the same address, so the requests sent to
+        this run are lost even if their connections still look open.
         """
         self._pool.forget(view.address)
-        for conn in list(self._in_use.pop(view, ())):
+        for conn in list(self._attempts.pop(view, ())):
             conn.cancel('upstream_restarted')
 
     def cancel_attempts(self, fingerprint: ids.Fingerprint) -> None:
@@ -169,32 +174,34 @@
 
         An attempt queued at an upstream would crash it once it runs.
         """
-        for in_use in self._in_use.values():
-            for conn, conn_fingerprint in list(in_use.items()):
+        for attempts in self._attempts.values():
+            for conn, conn_fingerprint in list(attempts.items()):
                 if conn_fingerprint == fingerprint:
                     conn.cancel(crash_tracker_.BLOCK_REASON)
 
-    def _exchange(
+    def _attempt(
         self,
         exchange: exchange_.Exchange,
         place: placement.Place,
         conn: connection_.Connection,
-        silence_ms: int,
+        head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint],
     ) -> ty.Union[Sent, failures.Failure]:
         now = self._clock.now()
-        left = exchange.deadline - now
-        if left <= 0:
-            return failures.not_run('deadline', 'no time was left to send')
-        headers = self._dialect.headers(exchange, place.view, left, resume)
-        deadline = min(exchange.deadline, now + silence_ms)
+        left_ms = exchange.deadline - now
+        if left_ms <= 0:
+            return failures.not_run(
+                'deadline', 'deadline passed before sending'
+            )
+        headers = self._dialect.headers(exchange, place.view, left_ms, resume)
+        deadline = min(exchange.deadline, now + head_timeout_ms)
         place.view.health.sent()
         failure = conn.send(
             exchange.method, exchange.target, headers, exchange.body, deadline
         )
         if failure is not None:
             return failure
-        for _ in range(_FOREIGN_LIMIT):
+        for _ in range(_MAX_FOREIGN_RESPONSES):
             head = conn.read_head(exchange.method, deadline)
             if isinstance(head, failures.Failure):
                 return head
@@ -211,10 +218,12 @@
                 upstream=place.view.name,
                 status=head.status,
             )
-            rest = conn.read_all(deadline, _FOREIGN_BYTES)
-            if isinstance(rest, failures.Failure):
-                return rest
-        return failures.unknown('foreign_answers', 'none was its own')
+            body = conn.read_all(deadline, _MAX_FOREIGN_BYTES)
+            if isinstance(body, failures.Failure):
+                return body
+        return failures.unknown(
+            'foreign_answers', 'no response matched the request'
+        )
 
     def _note_limit(
         self,
@@ -223,7 +232,7 @@
         head: connection_.ResponseHead,
         sent_at: int,
     ) -> None:
-        """Record the limit that an answer states, or that it states none."""
+        """Record the limit that a response states, or that it states none."""
         limit = self._dialect.limit(head)
         if isinstance(limit, failures.Failure):
             self._decisions.note(
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -1,4 +1,4 @@
-"""Moves running streams off upstreams that leave, by what is lost."""
+"""Migrates running streams away from upstreams that are leaving."""
 
 from __future__ import annotations
 
@@ -15,71 +15,74 @@
 from peridotmast.serving import upstream_view
 from peridotmast.serving import upstreams as upstreams_
 
-_LAST_MS = 800
-"""How long before an upstream is taken its streams are moved. Most end by
-themselves until then, and what is moved is paid for by its memory; a move
-takes tens of ms, and some time is left for a second try."""
+_MIGRATE_BEFORE_MS = 800
+"""Time before an upstream disappears at which its streams are migrated, in ms.
+Most streams end by themselves before, and a migration costs a copy of the KV
+cache. A migration takes tens of ms, which leaves time for a second attempt."""
 
 _REPORT_LAG_MS = 400
-"""Time after which an engine's report shows that it leaves: reports are a
-few hundred ms old."""
+"""Time after which the report of an engine shows that it is leaving, in ms:
+reports are a few hundred ms old."""
 
-_SPARE_MS = 250
-"""Time that a stream must have left beyond its own end to be left alone."""
+_END_MARGIN_MS = 250
+"""Margin by which a stream must be expected to end before the upstream
+disappears to stay there, in ms."""
 
 
 @dataclasses.dataclass(frozen=True)
 class KvCopy:
-    """A stopped run's memory."""
+    """KV cache of a stopped run."""
 
     location: str
-    """Where it lies, as engines name it."""
+    """Location of the KV cache, as engines name it."""
     is_at_target: bool
-    """Whether the target has it; else it is still at the source."""
+    """Whether the target engine holds it; otherwise the source still does."""
 
 
 class EngineControl(ty.Protocol):
-    """What engines do for routers beside running requests."""
+    """Control calls that engines offer beside running requests."""
 
     def leaves_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
-        """Return how long an engine will be there; 0 where it can't say.
+        """Return how long an engine remains, in ms; 0 if it is unknown.
 
         Parameters
         ----------
         born : int
-            When the run that is meant began; 0 where that is not known.
+            Start time of the run of the upstream; 0 if unknown.
         """
 
     def move(
         self, address: str, request_id: str, target: str
     ) -> ty.Union[KvCopy, failures.Failure]:
-        """Stop a run and copy its memory to another engine."""
+        """Stop a run and copy its KV cache to another engine."""
 
 
 class StreamMigrator:
-    """Sees to the streams of this router at upstreams that leave.
+    """Migrates the streams of this router when an upstream leaves.
 
-    A stream that will end in time is left; the others go on elsewhere from
-    where they are, with their memory, so nothing is read or run again.
+    A stream that is expected to end in time stays. The others resume at
+    another engine with a copy of their KV cache, so that neither prefill nor
+    generated tokens are recomputed.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times the leaving.
+        Clock for the notice period.
     relay : stream_relay.StreamRelay
-        Knows the streams.
+        Lists the open streams of an upstream.
     places : placement.Placement
-        Chooses where they go on.
+        Selects the target upstream.
     control : EngineControl
-        Moves them.
+        Control calls to engines.
     decisions : decisions.Decisions
-        Notes it for each request.
+        Records the result for each request.
     spawn : callable
-        Runs a task.
+        Starts a named task.
     drain_ms : int
-        How long an upstream stays that does not say how long.
+        Time that an upstream remains after its notice if it does not state
+        one, in ms.
     """
 
     def __init__(
@@ -94,7 +97,7 @@
     ) -> None:
         self._clock = clock
         self._relay = relay
-        self._places = places
+        self._placement = places
         self._control = control
         self._decisions = decisions
         self._spawn = spawn
@@ -103,32 +106,34 @@
         self._log = logs.get('mover')
 
     def on_change(self, view: upstream_view.UpstreamView) -> None:
-        """Take note of an upstream whose state has changed."""
-        leaves = view.record.state in (upstreams_.LEAVING, upstreams_.GONE)
-        if not leaves or view.run in self._leaving:
+        """Start migrations if an upstream with streams is now leaving."""
+        is_leaving = view.record.state in (upstreams_.LEAVING, upstreams_.GONE)
+        if not is_leaving or view.run in self._leaving:
             return
         if any(s.service.moves for s in self._relay.streams_at(view)):
             self._leaving.add(view.run)
-            self._spawn('move_off', self._move_off, view)
+            self._spawn('move_off', self._migrate_streams, view)
 
-    def _move_off(self, view: upstream_view.UpstreamView) -> None:
-        began = self._clock.now()
+    def _migrate_streams(self, view: upstream_view.UpstreamView) -> None:
+        noticed_at = self._clock.now()
         green.sleep_ms(_REPORT_LAG_MS)
-        left = self._control.leaves_ms(view.address, view.born)
-        told = not isinstance(left, failures.Failure) and left > 0
-        ends = began + self._drain_ms
-        if not isinstance(left, failures.Failure) and left:
-            ends = self._clock.now() + left
+        left_ms = self._control.leaves_ms(view.address, view.born)
+        is_stated = not isinstance(left_ms, failures.Failure) and left_ms > 0
+        gone_at = noticed_at + self._drain_ms
+        if not isinstance(left_ms, failures.Failure) and left_ms:
+            gone_at = self._clock.now() + left_ms
         self._log.info(
-            'upstream_leaves',
+            'upstream_leaving',
             upstream=view.name,
-            left_ms=ends - self._clock.now(),
-            told=told,
+            left_ms=gone_at - self._clock.now(),
+            told=is_stated,
             streams=len(self._relay.streams_at(view)),
         )
-        green.sleep_ms(max(0, ends - _LAST_MS - self._clock.now()))
+        green.sleep_ms(
+            max(0, gone_at - _MIGRATE_BEFORE_MS - self._clock.now())
+        )
         for stream in self._relay.streams_at(view):
-            if self._ends_in_time(stream, ends):
+            if self._ends_in_time(stream, gone_at):
                 self._note(stream, 'left_alone', view)
             else:
                 self._spawn('move', self.move, stream, view)
@@ -136,13 +141,13 @@
     def move(
         self, stream: stream_relay.Stream, view: upstream_view.UpstreamView
     ) -> None:
-        """Move one stream to where it fits best."""
+        """Migrate one stream to the upstream that placement selects."""
         exchange = stream.exchange
-        place = self._places.choose(exchange, stream.service, {view.name})
+        place = self._placement.choose(exchange, stream.service, {view.name})
         if place is None:
             self._note(stream, 'nowhere_to_move', view)
             return
-        stream.move_begins()
+        stream.begin_migration()
         copy: ty.Union[KvCopy, failures.Failure] = failures.unknown('cut_off')
         try:
             copy = self._control.move(
@@ -151,7 +156,7 @@
         finally:
             if not isinstance(copy, KvCopy):
                 place.release()
-                stream.move_ends(None)
+                stream.end_migration(None)
         if isinstance(copy, failures.Failure):
             self._note(stream, 'not_moved', view, copy.reason)
             return
@@ -159,11 +164,11 @@
             place.release()
             place = placement.Place(view, exchange)
         self._note(stream, 'moved', view, place.view.name)
-        stream.move_ends(stream_relay.Moved(place, copy.location))
+        stream.end_migration(stream_relay.MigratedRun(place, copy.location))
 
-    def _ends_in_time(self, stream: stream_relay.Stream, ends: int) -> bool:
+    def _ends_in_time(self, stream: stream_relay.Stream, gone_at: int) -> bool:
         expected = stream.expected_end(self._clock.now())
-        return expected is not None and expected <= ends - _SPARE_MS
+        return expected is not None and expected <= gone_at - _END_MARGIN_MS
 
     def _note(
         self,
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -1,4 +1,4 @@
-"""The events of a stream, from upstream to caller, over broken upstreams."""
+"""Forwards streams to callers and resumes them when an upstream fails."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 from peridotmast.serving import upstream_view
 from peridotmast.wire import event_reader
 
-_MOVE_MS = 1500
-"""Longest wait for the end of a move whose stream has already stopped."""
+_MIGRATION_WAIT_MS = 1500
+"""Time limit for a migration to end after its stream stopped, in ms."""
 
-_SILENCE_GAPS = 4
-"""Pauses within the target after which a stream counts as silent: an engine
-that reads a long prompt between two tokens may take more than one."""
+_STALL_GAPS = 4
+"""Multiple of the route's target gap after which a stream counts as stalled:
+the prefill of a long prompt between two tokens can exceed one target gap."""
 
 
 class StreamRelay:
-    """Passes events on and, where a stream may be resumed, goes on with it.
+    """Forwards the events of streams and resumes interrupted streams.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times the silences.
+        Clock for stall time-outs and deadlines.
     sender : sender.Sender
-        Sends a stream on to another upstream.
+        Sends the resume request to another upstream.
     places : placement.Placement
-        Chooses that upstream.
+        Selects that upstream.
     budget : retry_budget.RetryBudget
-        Bounds how often that is done.
+        Limits how often streams are resumed.
     crashes : crash_tracker.CrashTracker
         Tracks requests that crash upstreams.
     metrics : metrics.ServingMetrics
-        Counts what breaks and what goes on.
+        Counts resumed streams.
     decisions : decisions.Decisions
-        Notes it for each request.
+        Records interruptions and resumes of each request.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._open: list[Stream] = []
 
     def streams_at(self, view: upstream_view.UpstreamView) -> list[Stream]:
-        """Return the streams that come from a run of an upstream now."""
+        """Return the open streams that one run of an upstream serves."""
         return [s for s in self._open if s.sent.place.view is view]
 
     def begin(
@@ -78,42 +78,47 @@
         exchange: exchange_.Exchange,
         service: pb.Service,
         sent: sender_.Sent,
-        silence_ms: int,
+        first_event_ms: int,
     ) -> ty.Union[Stream, failures.Failure]:
-        """Wait for the first event of an answer whose head has come.
+        """Wait for the first event of a response whose head was read.
 
-        Where it is a `Stream`, `close` must be called.
+        The caller must pass a returned `Stream` to `close`.
+
+        Parameters
+        ----------
+        first_event_ms : int
+            Time limit for the first event, in ms.
         """
         stream = Stream(exchange, service, sent, self._clock)
         self._open.append(stream)
         failure: ty.Optional[failures.Failure] = failures.unknown('cut_off')
         try:
-            failure = self._first_event(stream, silence_ms)
+            failure = self._first_event(stream, first_event_ms)
         finally:
             if failure is not None:
                 self._open.remove(stream)
         return stream if failure is None else failure
 
     def events(self, stream: Stream) -> ty.Iterator[bytes]:
-        """Yield the answer's bytes, whole events at a time.
+        """Yield the bytes of the response, in complete events only.
 
         Raises
         ------
         BrokenAnswer
-            If the rest does not come.
+            If the stream is interrupted and can't be resumed.
         """
         while True:
-            if stream.held:
-                yield stream.release_held()
+            if stream.pending:
+                yield stream.take_pending()
             if stream.ended:
                 return
             self._read_more(stream)
 
     def close(self, stream: Stream) -> None:
-        """Give back what the stream holds, whether it has ended or not."""
+        """Release the resources of a stream, complete or not."""
         if stream in self._open:
             self._open.remove(stream)
-        stream.give_up_move()
+        stream.drop_migration()
         stream.sent.place.release()
         if stream.ended:
             self._crashes.note_success(stream.exchange.fingerprint)
@@ -122,32 +127,32 @@
             stream.sent.conn.close()
 
     def _first_event(
-        self, stream: Stream, silence_ms: int
+        self, stream: Stream, first_event_ms: int
     ) -> ty.Optional[failures.Failure]:
-        deadline = self._clock.now() + silence_ms
-        while not stream.held and not stream.ended:
-            bound = min(stream.exchange.deadline, deadline)
-            data = stream.sent.conn.read_some(bound)
+        deadline = self._clock.now() + first_event_ms
+        while not stream.pending and not stream.ended:
+            first_deadline = min(stream.exchange.deadline, deadline)
+            data = stream.sent.conn.read_some(first_deadline)
             if isinstance(data, failures.Failure):
-                moved = self._go_where_moved(stream)
-                if moved is None:
+                migrated = self._resume_at_target(stream)
+                if migrated is None:
                     self._note_failure(stream, data)
                     return data
-                if isinstance(moved, failures.Failure):
-                    return moved
+                if isinstance(migrated, failures.Failure):
+                    return migrated
                 continue
             stream.sent.place.view.was_heard()
-            stream.take(data)
+            stream.feed(data)
         stream.sent.place.was_read()
         stream.sent.place.view.health.succeeded()
         return None
 
     def _read_more(self, stream: Stream) -> None:
         exchange = stream.exchange
-        data = stream.sent.conn.read_some(self._patient_until(stream))
+        data = stream.sent.conn.read_some(self._stall_deadline(stream))
         if not isinstance(data, failures.Failure):
             stream.sent.place.view.was_heard()
-            stream.take(data)
+            stream.feed(data)
             return
         failure: ty.Optional[failures.Failure] = data
         while failure is not None:
@@ -159,58 +164,63 @@
                 reason=failure.reason,
                 detail=failure.detail,
             )
-            moved = self._go_where_moved(stream)
-            if moved is None:
+            migrated = self._resume_at_target(stream)
+            if migrated is None:
                 if failure is data:
-                    # Later failures are of attempts to resume elsewhere, and
-                    # must not be recorded for the previous upstream.
+                    # Later failures belong to attempts to resume at other
+                    # upstreams, not to the previous one.
                     self._note_failure(stream, failure)
-                moved = self._resume(stream, failure)
-            failure = moved if isinstance(moved, failures.Failure) else None
+                migrated = self._resume(stream, failure)
+            failure = (
+                migrated if isinstance(migrated, failures.Failure) else None
+            )
 
     def _note_failure(self, stream: Stream, failure: failures.Failure) -> None:
         sent = stream.sent
         view = sent.place.view
         self._sender.note_failure(
-            stream.exchange, view, failure, sent.at, stream.is_answering
+            stream.exchange, view, failure, sent.sent_at, stream.is_answering
         )
 
-    def _patient_until(self, stream: Stream) -> int:
-        """Return until when its upstream may say nothing, in ms.
+    def _stall_deadline(self, stream: Stream) -> int:
+        """Return the time by which the next bytes must arrive, in ms.
 
-        Silence is a reason to go on elsewhere, and none to end an answer:
-        its upstream may be reading a prompt again.
+        A stall is a reason to resume at another upstream, but not to end a
+        stream that can't be resumed: its upstream may be recomputing the
+        prefill.
         """
         exchange = stream.exchange
-        if not stream.may_go_on():
+        if not stream.may_resume():
             return exchange.deadline
-        silence = _SILENCE_GAPS * exchange.route.target_gap_ms
-        return min(exchange.deadline, self._clock.now() + silence)
+        stall_ms = _STALL_GAPS * exchange.route.target_gap_ms
+        return min(exchange.deadline, self._clock.now() + stall_ms)
 
-    def _go_where_moved(
+    def _resume_at_target(
         self, stream: Stream
     ) -> ty.Union[sender_.Sent, failures.Failure, None]:
-        """Go on with a run that was moved; None where none was."""
-        moved = stream.wait_for_move()
-        if moved is None:
+        """Resume where the run was migrated to; None if it was not."""
+        migrated = stream.wait_for_migration()
+        if migrated is None:
             return None
         stream.sent.place.release()
-        point = dialect_.ResumePoint(max(0, stream.reader.last_id), moved.copy)
-        return self._send_on(stream, moved.place, point)
+        resume_point = dialect_.ResumePoint(
+            max(0, stream.reader.last_id), migrated.kv_location
+        )
+        return self._send_resume(stream, migrated.place, resume_point)
 
     def _resume(
         self, stream: Stream, failure: failures.Failure
     ) -> ty.Union[sender_.Sent, failures.Failure]:
-        """Go on at another upstream, which reads the prompt again.
+        """Resume at another upstream, which recomputes the prefill.
 
         Raises
         ------
         BrokenAnswer
-            If it may not go on anywhere.
+            If the stream may not be resumed or no upstream is available.
         """
         exchange = stream.exchange
-        over = self._clock.now() >= exchange.deadline
-        if over or not stream.may_go_on():
+        expired = self._clock.now() >= exchange.deadline
+        if expired or not stream.may_resume():
             raise reply_.BrokenAnswer(failure.reason)
         if self._crashes.retry_after_ms(exchange.fingerprint):
             raise reply_.BrokenAnswer(crash_tracker_.BLOCK_REASON)
@@ -221,20 +231,20 @@
         if place is None:
             raise reply_.BrokenAnswer('no_upstream')
         stream.tried.add(place.view.name)
-        point = dialect_.ResumePoint(max(0, stream.reader.last_id))
-        return self._send_on(stream, place, point)
+        resume_point = dialect_.ResumePoint(max(0, stream.reader.last_id))
+        return self._send_resume(stream, place, resume_point)
 
-    def _send_on(
+    def _send_resume(
         self,
         stream: Stream,
         place: placement.Place,
-        point: dialect_.ResumePoint,
+        resume_point: dialect_.ResumePoint,
     ) -> ty.Union[sender_.Sent, failures.Failure]:
         exchange = stream.exchange
-        silence = 2 * _SILENCE_GAPS * exchange.route.target_gap_ms
+        stall_ms = 2 * _STALL_GAPS * exchange.route.target_gap_ms
         result: ty.Union[sender_.Sent, failures.Failure, None] = None
         try:
-            result = self._sender.send(exchange, place, silence, point)
+            result = self._sender.send(exchange, place, stall_ms, resume_point)
         finally:
             if not isinstance(result, sender_.Sent):
                 place.release()
@@ -244,29 +254,29 @@
             place.release()
             result.conn.close()
             return failures.not_run(result.verdict.value)
-        stream.go_on(result)
+        stream.continue_from(result)
         self._metrics.resumed_streams.labels(stream.service.name).inc()
         self._decisions.note(
             exchange.id,
             'stream_goes_on',
             upstream=place.view.name,
             last_event=stream.reader.last_id,
-            copy=point.copy,
+            copy=resume_point.copy,
         )
         return result
 
 
 @dataclasses.dataclass(frozen=True)
-class Moved:
-    """Where a run that was moved goes on."""
+class MigratedRun:
+    """Where a migrated run continues."""
 
     place: placement.Place
-    copy: str
-    """Where its memory lies."""
+    kv_location: str
+    """Location of the KV cache of the run."""
 
 
 class Stream:
-    """One stream and how far it has come."""
+    """One stream and its progress."""
 
     def __init__(
         self,
@@ -278,89 +288,92 @@
         self.exchange = exchange
         self.service = service
         self.sent = sent
-        """The attempt that it comes from now."""
+        """The attempt that currently supplies the events."""
         self.reader = event_reader.EventReader()
         self.tried: set[str] = {sent.place.view.name}
-        """Upstreams that it was run at anew."""
-        self.held = b''
-        """Events that were not passed on yet."""
+        """Upstreams at which the stream was run from the prompt."""
+        self.pending = b''
+        """Received events that were not forwarded yet."""
         self.ended = False
-        """Whether the upstream ended it as complete."""
+        """Whether the upstream marked the stream as complete."""
         self.is_answering = False
         """Whether the current attempt has sent a new event."""
         self._clock = clock
         self._first: ty.Optional[tuple[int, int]] = None
-        self._move: ty.Optional[ty.Any] = None
+        self._migration: ty.Optional[ty.Any] = None
 
-    def take(self, data: bytes) -> None:
-        """Take in the next bytes; none mean the end."""
+    def feed(self, data: bytes) -> None:
+        """Add received bytes; empty `data` marks the end of the stream."""
         if data:
             last_id = self.reader.last_id
-            self.held += self.reader.feed(data)
+            self.pending += self.reader.feed(data)
             self.is_answering |= self.reader.last_id > last_id
             if self._first is None and self.reader.last_id >= 0:
                 self._first = self._clock.now(), self.reader.last_id
             return
         self.ended = True
-        self.held += self.reader.rest
+        self.pending += self.reader.rest
 
-    def release_held(self) -> bytes:
-        """Return what was held, to be passed on."""
-        held, self.held = self.held, b''
-        return held
+    def take_pending(self) -> bytes:
+        """Return the pending events and clear them."""
+        pending, self.pending = self.pending, b''
+        return pending
 
     def expected_end(self, now: int) -> ty.Optional[int]:
-        """Return when it ends at the pace so far; None if that is unknown."""
+        """Return the estimated end of the stream, in ms; None if unknown.
+
+        It is extrapolated from the mean time per event so far.
+        """
         if self._first is None:
             return None
-        at, number = self._first
-        passed = self.reader.last_id - number
-        if passed <= 0:
+        first_at, first_id = self._first
+        event_count = self.reader.last_id - first_id
+        if event_count <= 0:
             return None
-        pace = (now - at) / passed
+        ms_per_event = (now - first_at) / event_count
         events = self.exchange.prompt.tokens_out / self.service.event_tokens
-        return int(now + max(0.0, events - self.reader.last_id) * pace)
+        return int(now + max(0.0, events - self.reader.last_id) * ms_per_event)
 
-    def may_go_on(self) -> bool:
-        """Return whether its route lets it run at one more upstream."""
+    def may_resume(self) -> bool:
+        """Return whether the route allows a run at one more upstream."""
         route = self.exchange.route
         return route.resumable and len(self.tried) < route.attempts
 
-    def go_on(self, sent: sender_.Sent) -> None:
-        """Take the rest from another attempt."""
+    def continue_from(self, sent: sender_.Sent) -> None:
+        """Continue the stream from another attempt."""
         self.sent = sent
         self.is_answering = False
         self.reader.restart()
 
-    def move_begins(self) -> None:
-        """Note that its run is about to be stopped and moved."""
-        self._move = green.Event()
-
-    def move_ends(self, moved: ty.Optional[Moved]) -> None:
-        """Note what came of the move; None where it was not moved."""
-        move = self._move
-        if move is None:
-            # The caller left meanwhile; nobody goes on with it.
-            if moved is not None:
-                moved.place.release()
+    def begin_migration(self) -> None:
+        """Mark that the run is about to be stopped and migrated."""
+        self._migration = green.Event()
+
+    def end_migration(self, migrated: ty.Optional[MigratedRun]) -> None:
+        """Store the result of the migration; None if it failed."""
+        migration = self._migration
+        if migration is None:
+            # The stream was closed in the meantime, so nothing resumes.
+            if migrated is not None:
+                migrated.place.release()
             return
-        if not move.ready():
-            move.send(moved)
+        if not migration.ready():
+            migration.send(migrated)
 
-    def wait_for_move(self) -> ty.Optional[Moved]:
-        """Return where it goes on, once that is known; None if nowhere."""
-        move, moved = self._move, None
-        if move is None:
+    def wait_for_migration(self) -> ty.Optional[MigratedRun]:
+        """Wait for the migration; return its result, None if there is none."""
+        migration, migrated = self._migration, None
+        if migration is None:
             return None
-        with green.Timeout(_MOVE_MS / 1000, False):
-            moved = move.wait()
-        self._move = None
-        return moved
-
-    def give_up_move(self) -> None:
-        """Go on nowhere: the stream is over."""
-        move, self._move = self._move, None
-        if move is not None and move.ready():
-            moved = move.wait()
-            if moved is not None:
-                moved.place.release()
+        with green.Timeout(_MIGRATION_WAIT_MS / 1000, False):
+            migrated = migration.wait()
+        self._migration = None
+        return migrated
+
+    def drop_migration(self) -> None:
+        """Abandon a migration because the stream is closed."""
+        migration, self._migration = self._migration, None
+        if migration is not None and migration.ready():
+            migrated = migration.wait()
+            if migrated is not None:
+                migrated.place.release()
--- a/src/peridotmast/serving/urgency.py
+++ b/src/peridotmast/serving/urgency.py
@@ -1,41 +1,47 @@
-"""How urgent a request is to an engine that has several waiting."""
+"""Urgency level by which engines order their queued requests."""
 
 from __future__ import annotations
 
-MOST, LEAST = 0, 9
-"""Ends of the scale: the lower, the sooner."""
+MOST_URGENT, LEAST_URGENT = 0, 9
+"""Ends of the scale: a lower level is served earlier."""
 
-_RANK_STEP = 2
-"""How far two ranks lie apart on it."""
+_PRIORITY_STEP = 2
+"""Difference in level between two adjacent priorities."""
 
-_PRIOR_READING = 36.0
-"""Tokens a ms that an engine is taken to read until that is seen."""
+_DEFAULT_PREFILL_RATE = 36.0
+"""Prefill rate assumed until one was measured, in tokens per ms."""
 
 _STEPS = ((0.1, -2), (0.35, 0), (0.7, 1))
-"""By which part of its target a prompt takes to be read: short ones pass
-those before them, which wait for a few ms more; long ones, which leave little
-slack or none, let the others pass, for which they would be most of the
-wait."""
+"""Pairs of an upper bound on the prefill time, as a fraction of the latency
+target, and the change in level. Short prompts overtake queued requests, which
+then wait only a few ms longer. Long prompts, which have little or no slack in
+any case, are overtaken, since they would dominate the wait of the others."""
 
-_LONGEST_STEP = 3
+_LONG_PROMPT_STEP = 3
 
 
 def level(
-    rank: int, tokens: int, target_ms: int, prefill_rate: float | None
+    priority: int, tokens: int, target_ms: int, prefill_rate: float | None
 ) -> int:
-    """Return a request's level on the scale.
+    """Return the urgency level of a request.
 
     Parameters
     ----------
-    rank : int
-        Rank among all requests, 0 first.
+    priority : int
+        Priority among all requests; 0 is the highest.
     tokens : int
-        Those of its prompt.
+        Length of the prompt.
     target_ms : int
         Latency target, in ms.
-    reading : float, optional
-        Tokens a ms that engines were seen to read.
+    prefill_rate : float, optional
+        Measured prefill rate of the engines, in tokens per ms.
     """
-    part = tokens / (prefill_rate or _PRIOR_READING) / max(1, target_ms)
-    step = next((step for most, step in _STEPS if part < most), _LONGEST_STEP)
-    return max(MOST, min(LEAST, _RANK_STEP * rank + step))
+    share = (
+        tokens / (prefill_rate or _DEFAULT_PREFILL_RATE) / max(1, target_ms)
+    )
+    step = next(
+        (step for bound, step in _STEPS if share < bound), _LONG_PROMPT_STEP
+    )
+    return max(
+        MOST_URGENT, min(LEAST_URGENT, _PRIORITY_STEP * priority + step)
+    )
--- a/src/peridotmast/serving/usage.py
+++ b/src/peridotmast/serving/usage.py
@@ -1,4 +1,4 @@
-"""Requests that upstreams began, counted by team and window of time."""
+"""Counts requests that upstreams started, by team and usage window."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _KEPT_WINDOWS = 8
-"""Windows that are kept: reports are due two windows later, and the next
-holder of the duty may be late by a lease."""
+"""Number of windows kept: a window is reported two windows later, and a new
+holder of the reporting duty may be late by the length of a lease."""
 
-_TOLD_WINDOWS = 4
-"""Windows that a head tells of: those that are open or due."""
+_SENT_WINDOWS = 4
+"""Number of windows that a group head sends: the open one and those that are
+not reported yet."""
 
 Counts = dict[str, int]
 
 
 class Usage:
-    """This router's counts and what it has heard of the others'.
+    """Usage counts of this router and of all other routers.
 
-    Every router keeps every router's counts, so that whoever holds the duty
-    can report a window, also that of a router which was killed since.
+    Every router keeps the counts of every other, so that any holder of the
+    reporting duty can report a window, including the counts of a router that
+    was killed in the meantime.
 
     Parameters
     ----------
     fleet_now : callable
-        Returns ms since 1970 by the fleet's clock.
+        Returns the time of the fleet clock, in ms since 1970.
     window_ms : int
-        Length of a window.
+        Length of a window, in ms.
     """
 
     def __init__(
@@ -36,7 +38,7 @@
     ) -> None:
         self._fleet_now = fleet_now
         self._window_ms = window_ms
-        self._mine: dict[int, collections.Counter[str]] = {}
+        self._own: dict[int, collections.Counter[str]] = {}
         self._others: dict[tuple[str, int], dict[int, Counts]] = {}
         self._groups: dict[int, dict[int, Counts]] = {}
         self._fleet: dict[int, Counts] = {}
@@ -46,24 +48,24 @@
         return ms // self._window_ms
 
     def window_now(self) -> int:
-        """Return the number of the window that is open."""
+        """Return the number of the current window."""
         return self.window_at(self._fleet_now())
 
     def count_started(self, team: str, ago_ms: int = 0) -> None:
-        """Count a request that an upstream began `ago_ms` ago."""
+        """Count a request of `team` that an upstream started `ago_ms` ago."""
         if not team:
             return
         window = self.window_at(self._fleet_now() - ago_ms)
-        counter = self._mine.setdefault(window, collections.Counter())
+        counter = self._own.setdefault(window, collections.Counter())
         counter[team] += 1
-        self._drop_old(self._mine, window)
+        self._drop_old(self._own, window)
 
     def counts(self) -> list[pb.UsageCount]:
         """Return this router's own counts, by window."""
-        self._forget_ended()
+        self._drop_ended_runs()
         return [
             pb.UsageCount(window=window, requests=dict(counter))
-            for window, counter in self._mine.items()
+            for window, counter in self._own.items()
         ]
 
     def merge_router(
@@ -72,7 +74,7 @@
         incarnation: int,
         counts: ty.Iterable[pb.UsageCount],
     ) -> None:
-        """Take in another router's counts."""
+        """Store the counts that another router has sent."""
         known = self._others.setdefault((router, incarnation), {})
         for count in counts:
             known[count.window] = dict(count.requests)
@@ -81,12 +83,15 @@
     def merge_group(
         self, group: int, counts: ty.Iterable[pb.UsageCount]
     ) -> None:
-        """Take in another group's counts, from whoever is its head."""
-        _raise_to(self._groups.setdefault(group, {}), counts)
+        """Merge the counts of another group, sent by its current head."""
+        _merge_max(self._groups.setdefault(group, {}), counts)
         self._drop_old(self._groups[group], self.window_now())
 
     def regroup(self, is_member: ty.Callable[[str], bool]) -> None:
-        """Drop what other groups' heads tell under their new numbers."""
+        """Drop the counts of groups and former members after a regrouping.
+
+        The groups are renumbered, so counts under old numbers are invalid.
+        """
         self._groups = {}
         self._others = {
             key: windows
@@ -95,66 +100,70 @@
         }
 
     def merge_fleet(self, counts: ty.Iterable[pb.UsageCount]) -> None:
-        """Take in from the own head what all others count."""
-        _raise_to(self._fleet, counts)
+        """Merge the counts of all other routers, sent by the group head."""
+        _merge_max(self._fleet, counts)
         self._drop_old(self._fleet, self.window_now())
 
     def total(self, window: int) -> Counts:
         """Return the requests of each team in `window`, at all routers.
 
-        What the head has told, or what this router has heard itself, where
-        that is more: of either, some may be missing, and nothing is counted
-        twice.
+        For each team, the larger of the count sent by the head and the count
+        received directly: either may be incomplete, but neither counts a
+        request twice.
         """
-        told = collections.Counter(self._mine.get(window, {}))
-        told.update(self._fleet.get(window, {}))
-        return dict(told | collections.Counter(self._heard(window)))
+        total_from_head = collections.Counter(self._own.get(window, {}))
+        total_from_head.update(self._fleet.get(window, {}))
+        return dict(
+            total_from_head | collections.Counter(self._received(window))
+        )
 
     def group_counts(self) -> list[pb.UsageCount]:
-        """Return what this router and its members count, by window."""
+        """Return the counts of this router and its members, by window."""
         return [
-            pb.UsageCount(window=window, requests=self._members(window))
+            pb.UsageCount(window=window, requests=self._group_total(window))
             for window in self._windows()
         ]
 
     def others_counts(
         self, members: ty.Iterable[str]
     ) -> ty.Iterator[list[pb.UsageCount]]:
-        """Yield for each of some members what all but that one count."""
-        everybody = {w: self._heard(w) for w in self._windows()}
+        """Yield, for each of `members`, the counts of all other routers."""
+        all_counts = {w: self._received(w) for w in self._windows()}
         runs = collections.defaultdict(list)
         for (router, _), windows in self._others.items():
             runs[router].append(windows)
         for member in members:
-            found = []
-            for window, heard in everybody.items():
-                counts = dict(heard)
+            counts_of_others = []
+            for window, received in all_counts.items():
+                counts = dict(received)
                 for windows in runs.get(member, ()):
                     for team, count in windows.get(window, {}).items():
                         counts[team] -= count
-                found.append(pb.UsageCount(window=window, requests=counts))
-            yield found
-
-    def _heard(self, window: int) -> Counts:
-        """Return what this router knows of itself, members and groups."""
-        total = collections.Counter(self._members(window))
+                counts_of_others.append(
+                    pb.UsageCount(window=window, requests=counts)
+                )
+            yield counts_of_others
+
+    def _received(self, window: int) -> Counts:
+        """Return the counts of this router, its members and other groups."""
+        total = collections.Counter(self._group_total(window))
         for windows in self._groups.values():
             total.update(windows.get(window, {}))
         return dict(total)
 
-    def _members(self, window: int) -> Counts:
-        total = collections.Counter(self._mine.get(window, {}))
+    def _group_total(self, window: int) -> Counts:
+        total = collections.Counter(self._own.get(window, {}))
         for counts in self._others.values():
             total.update(counts.get(window, {}))
         return dict(total)
 
     def _windows(self) -> list[int]:
-        """Return the windows that may still be reported."""
+        """Return the windows that are not reported yet."""
         newest = self.window_now()
-        return list(range(newest - _TOLD_WINDOWS + 1, newest + 1))
+        return list(range(newest - _SENT_WINDOWS + 1, newest + 1))
 
-    def _forget_ended(self) -> None:
-        """Drop the runs of routers of which no window is kept any more."""
+    def _drop_ended_runs(self) -> None:
+        """Drop the router runs that have no window left."""
         newest = self.window_now()
         for key, windows in list(self._others.items()):
             self._drop_old(windows, newest)
@@ -166,10 +175,10 @@
             del windows[window]
 
 
-def _raise_to(
+def _merge_max(
     known: dict[int, Counts], counts: ty.Iterable[pb.UsageCount]
 ) -> None:
-    """Take counts in where they are more: none ever falls."""
+    """Merge counts by maximum, so that no count ever decreases."""
     for count in counts:
         before = collections.Counter(known.get(count.window, {}))
         known[count.window] = dict(
