--- a/features/callers.feature
+++ b/features/callers.feature
@@ -3,8 +3,8 @@
   Background:
     Given a fleet of 2 routers
 
-  Scenario Outline: Requests go by the route with the longest prefix
-    When a caller asks for "<path>" at host "<host>" with the key "<key>"
+  Scenario Outline: Requests are matched to the route with the longest prefix
+    When a caller requests "<path>" from host "<host>" with the key "<key>"
     Then the status is <status>
 
     Examples:
@@ -18,13 +18,13 @@
       | /holds/seat   | peridot.example | wrong    | 401    |
       | /holds/seat   | peridot.example |          | 401    |
 
-  Scenario: The upstream's answer comes back as it was given
+  Scenario: Target and response are forwarded unchanged
     When a caller sends "seat 12" to the target "/holds/seat?x=%2F%2f"
-    Then the status is 200 and the body "done:seat 12" with its seal
-    And the upstream got the target "/holds/seat?x=%2F%2f"
+    Then the status is 200 and the body is "done:seat 12" with the upstream's seal
+    And the upstream receives the target "/holds/seat?x=%2F%2f"
 
-  Scenario: The system's own headers are never taken from a caller
-    When a caller sends these headers along
+  Scenario: Internal headers are not accepted from callers
+    When a caller sends these headers
       | name              | value     |
       | X-Tenant          | kalnins   |
       | X-Expect-Instance | somewhere |
@@ -37,64 +37,64 @@
       | X-Own             | kept      |
       | Connection        | x-hop     |
       | X-Hop             | dropped   |
-    Then the upstream got the team "noor" and not the key
-    And the upstream got "X-Own" as "kept" and none of the others
+    Then the upstream receives the team "noor" but not the API key
+    And the upstream receives "X-Own" as "kept" and none of the other headers
 
-  Scenario: What is left of the caller's time goes on to the upstream
-    When a caller asks with 3000 ms left
-    Then the upstream got at most 3000 ms and more than 2000 ms
+  Scenario: The remaining time of the caller is forwarded to the upstream
+    When a caller sends a request with a deadline of 3000 ms
+    Then the upstream receives a deadline of at most 3000 ms and more than 2000 ms
 
   Scenario: A request on a public route needs no key
     Given the route "pages" is public
-    When a caller asks for "/pages/a" at host "peridot.example" with the key ""
+    When a caller requests "/pages/a" from host "peridot.example" with the key ""
     Then the status is 200
 
-  Scenario: A route that is split by weight reaches both services
-    Given another service takes half of the route "pages"
+  Scenario: Requests on a weighted route reach both services
+    Given another service gets half of the requests of the route "pages"
     Then 60 requests for "/pages/a" reach both services
 
-  Scenario: A key is taken away while its caller is connected
-    When a caller asks for "/holds/seat" over a kept connection
-    And the team's key is taken away
-    Then the kept connection gets 401 within 2000 ms
+  Scenario: A key is removed while a caller is connected
+    When a caller requests "/holds/seat" over a persistent connection
+    And the API key of the team is removed
+    Then the persistent connection gets 401 within 2000 ms
 
-  Scenario: A route's timeout is over while the upstream works
+  Scenario: The timeout of a route expires while the upstream works
     Given the route "holds" has a timeout of 300 ms
     And every upstream of "booking" hangs
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 504 after at least 290 ms and less than 800 ms
 
-  Scenario: A stream that lasts longer than its route's timeout
+  Scenario: A stream outlasts the timeout of its route
     Given the route "once" has a timeout of 400 ms
     When a caller streams 400 tokens from "/once/x"
-    Then the stream is visibly broken after less than 1000 ms
+    Then the stream ends incomplete after less than 1000 ms
 
-  Scenario: A router that knows no configuration says so
-    Given a router that starts while the store is out
-    When a caller asks it for "/holds/seat"
-    Then the status is 503 with a time to come back
+  Scenario: A router without a configuration refuses requests as retryable
+    Given a router that starts while the store is down
+    When a caller requests "/holds/seat" from that router
+    Then the status is 503 with a retry time
 
-  # By reading: who knows no configuration, or an old one, turned a request away for
-  # good by bounds that were not the ones in force, and by models that it had not
-  # read yet. The same cause as in `spread`: what is known to be old, or to be nothing,
-  # was answered from as if it were final.
-  Scenario: A router that knows no configuration says so of bounds and models too
-    Given a router that starts while the store is out
-    When a caller sends it a body of 2000000 bytes
-    Then the status is 503 with a time to come back
-    When a caller sends it a header of 20000 bytes
-    Then the status is 503 with a time to come back
+  # Guards against permanent refusals by a router without a configuration or with an
+  # outdated one: it applied limits that were not in force and did not know new models.
+  # Found by code review. As in `spread`, a router must not treat a configuration that
+  # is known to be missing or outdated as final.
+  Scenario: A router without a configuration refuses sizes and models as retryable
+    Given a router that starts while the store is down
+    When a caller sends that router a body of 2000000 bytes
+    Then the status is 503 with a retry time
+    When a caller sends that router a header of 20000 bytes
+    Then the status is 503 with a retry time
     When this is posted to "/v1/chat/completions"
       """
       {"model": "x", "messages": []}
       """
-    Then the status is 503 and the reason holds "no_config"
+    Then the status is 503 and the reason contains "no_config"
     When this is posted to "/v1/services/booking/hold"
       """
       {"payload": "1"}
       """
-    Then the status is 503 and the reason holds "no_config"
+    Then the status is 503 and the reason contains "no_config"
 
-  Scenario: Two requests on one connection, and what callers leave out
-    When a caller sends a request without an id or a deadline
+  Scenario: Request id and deadline are optional
+    When a caller sends two requests without an id or a deadline
     Then the status is 200
--- a/features/chat.feature
+++ b/features/chat.feature
@@ -1,24 +1,24 @@
-Feature: The product's own callers take the same way
+Feature: The chat API uses the same request path as the platform's API
 
   Background:
     Given a fleet of 2 routers
 
-  Scenario: A chat completion, streamed and whole
-    When a caller chats for 30 tokens, streamed
-    Then it has the engine's whole answer
-    When a caller chats for 30 tokens, in one piece
-    Then it has the engine's whole answer
+  Scenario: A chat completion is returned as a stream or in one response
+    When a caller requests a streamed chat completion of 30 tokens
+    Then the caller receives the complete answer of the engine
+    When a caller requests a chat completion of 30 tokens in one response
+    Then the caller receives the complete answer of the engine
 
-  Scenario: A service call
+  Scenario: A service call returns the answer of the service
     When a caller calls the service "booking" with "seat 9"
-    Then it has the answer "done:seat 9"
+    Then the caller receives "done:seat 9"
 
-  Scenario Outline: What is wrong with a request is said
+  Scenario Outline: An invalid request is refused with a reason
     When this is posted to "<path>"
       """
       <body>
       """
-    Then the status is <status> and the reason holds "<reason>"
+    Then the status is <status> and the reason contains "<reason>"
 
     Examples:
       | path                  | body                                   | status | reason          |
@@ -33,27 +33,25 @@
       | /v1/services/no/such  | {"payload": "x"}                       | 404    | no_route        |
       | /v1/other             | {}                                     | 404    | no_such_path    |
 
-  Scenario: Engines are killed under many chats
-    When 12 callers chat for 60 tokens while an engine is killed
-    Then each has the engine's whole answer or was told that it broke
-
-  Scenario: A chat that may run only once
-    When a caller chats once for 300 tokens and its engine is killed
-    Then it is told that it broke and it ran once
-
-  # Seen: a caller was told that its streamed answer was complete, with no text in it.
-  # How: the engine had answered 500. Cause: an answer was told as a stream whatever
-  # its status was. Proof: both ways of asking, of engines that answer nothing else.
-  Scenario: What an engine fails is not told as a whole answer
-    When all engines fail what they are asked
-    And a caller chats for 30 tokens, streamed, and once only
-    Then it is told that the engine failed
-
-  # Seen: callers asked one router that was gone until their time was over, while two
-  # others served. How: the one that had named the routers had just started and knew
-  # of none but itself; then it ended. Cause: its answer took the place of all that
-  # the caller had known. Proof: the others are there, and asked.
-  Scenario: A caller that was named one router only goes back to those it knew
-    When a caller is named one router only, which ends then
-    Then the other router answers it
+  Scenario: An engine is killed during many chats
+    When 12 callers request 60 tokens each while an engine is killed
+    Then each receives the complete answer of the engine or an error
+
+  Scenario: A non-idempotent chat is not retried
+    When a caller sends a non-idempotent chat of 300 tokens and its engine is killed
+    Then the caller gets an error and the request ran once
+
+  # Guards against reporting a failed request as a complete empty stream: every
+  # response of an engine was relayed as a stream, even one with status 500.
+  Scenario: An error response of an engine is not relayed as a complete stream
+    When all engines fail every request
+    And a caller sends a non-idempotent chat of 30 tokens
+    Then the caller is told that the engine failed
+
+  # Guards against callers that use a stopped router until their deadlines while
+  # others serve. A router that had just started knew only itself; its answer replaced
+  # all addresses that the caller knew, and then it stopped.
+  Scenario: A caller that learned of only one router falls back to its initial ones
+    When a caller is told of only one router, which then stops
+    Then the other router answers the caller
 
--- a/features/duties.feature
+++ b/features/duties.feature
@@ -1,13 +1,13 @@
 Feature: One router reports usage and orders upstreams, whoever it is
 
   Scenario: Each window is reported once, with all routers' requests
-    Given a fleet of 3 routers whose usage windows are 1 s long
+    Given a fleet of 3 routers with usage windows of 1 s
     When 30 requests are sent to all routers within a window
     Then that window's report says 30 for "noor"
     And no two reports of a window differ
 
   Scenario: The holder is killed between two windows
-    Given a fleet of 3 routers whose usage windows are 1 s long
+    Given a fleet of 3 routers with usage windows of 1 s
     When requests go on while the holder of the duties is killed
     Then reports go on with a higher number
     And no two reports of a window differ
@@ -20,7 +20,7 @@
   # Proof: with a store that answers the holder once another one has the duties, the
   # platform gets a lower number after a higher one.
   Scenario: A holder that waited for the store sends nothing once its time is over
-    Given a fleet of 3 routers whose usage windows are 1 s long
+    Given a fleet of 3 routers with usage windows of 1 s
     When the store keeps the holder waiting until another one has the duties
     Then reports go on with a higher number
     And the former holder has been answered by the store
@@ -79,7 +79,7 @@
 
   Scenario Outline: A request that ran twice counts once
     Given a fleet of 1 routers
-    And every upstream of "<service>" fails everything
+    And every upstream of "<service>" fails every request
     When a caller posts "letter" to "<path>"
     Then it was run 2 times or more
     And 1 requests of "noor" count as begun
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Set-up around the scenarios: one hub, nothing left behind."""
+"""Behave hooks: one event hub for all scenarios, clean-up after each."""
 
 from __future__ import annotations
 
@@ -12,32 +12,36 @@
 from peridotmast import logs
 
 KNOWN_RED = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
-"""Scenarios that fail for a fault that is not mended yet, one a line:
+"""List of scenarios that fail because of an open fault, one per line:
 ``file: scenario | cause | issue | command, seed and what was seen``."""
-MOST_RED = 3
+MAX_KNOWN_RED = 3
 LOG_BYTES = 3000
-"""Shown of each process's log where a step fails: about 15 of its lines, so
-that the output of a run in which much fails can still be read."""
+"""Bytes printed from the end of each process log after a failed step: about 15
+lines, so that the output of a run with many failures stays readable."""
 
 
 def before_all(context):
     green.setup()
     logs.setup(os.environ.get('PERIDOTMAST_TEST_LOG', 'critical'))
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    assert len(lines) <= MOST_RED, f'{KNOWN_RED.name}: too many lines'
-    context.red = {line.partition('|')[0].strip(): line for line in lines}
-    context.runs_red = context.config.userdata.getbool('red')
+    assert len(lines) <= MAX_KNOWN_RED, f'{KNOWN_RED.name}: too many lines'
+    context.known_red = {
+        line.partition('|')[0].strip(): line for line in lines
+    }
+    context.runs_known_red = context.config.userdata.getbool('red')
 
 
 def after_feature(context, feature):
-    named = {n for n in context.red if n.startswith(f'{feature.filename}: ')}
-    known = {f'{feature.filename}: {s.name}' for s in feature.scenarios}
-    assert named <= known, f'{KNOWN_RED.name} names {named - known}'
+    listed = {
+        n for n in context.known_red if n.startswith(f'{feature.filename}: ')
+    }
+    existing = {f'{feature.filename}: {s.name}' for s in feature.scenarios}
+    assert listed <= existing, f'{KNOWN_RED.name} names {listed - existing}'
 
 
 def before_scenario(context, scenario):
-    line = context.red.get(f'{scenario.filename}: {scenario.name}')
-    if line and not context.runs_red:
+    line = context.known_red.get(f'{scenario.filename}: {scenario.name}')
+    if line and not context.runs_known_red:
         print(f'known red, passed over: {line}')
         scenario.skip('known red')
     context.folder = tempfile.mkdtemp()
@@ -47,7 +51,7 @@
 
 
 def after_step(context, step):
-    # The formatter of `make test` shows a letter for each scenario, no more.
+    # The formatter of `make test` prints only one letter for each scenario.
     if not step.status.has_failed():
         return
     print(f'\nfailed: {step.location}: {step.keyword} {step.name}')
@@ -64,11 +68,11 @@
     for close in reversed(context.closing):
         close()
     if context.fleet is not None:
-        broken = {
+        violations = {
             router.cfg.name: router.checks.violations
             for router in context.fleet.routers
             if router.checks.violations
         }
         context.fleet.stop()
-        assert not broken, f'promises broken inside: {broken}'
+        assert not violations, f'invariants violated: {violations}'
     shutil.rmtree(context.folder)
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,18 +1,18 @@
-Feature: What fails can be traced from what a run of the features prints
+Feature: A test run prints enough to diagnose a failed step
 
-  Scenario Outline: A step that fails is named, with its error and logs
-    Given features of which a step fails with <error>
-    When they are run as `make test` runs them
-    Then the run fails, and prints the step's place, its name and "<error>"
-    And it prints the end of the log that the scenario left
-    And its counts are told as before
+  Scenario Outline: A failed step is printed with its error and logs
+    Given features with a step that fails with <error>
+    When the features run with the options of `make test`
+    Then the run fails and prints the location and name of the step and "<error>"
+    And the run prints the end of the log file of the scenario
+    And the run prints its summary as usual
 
     Examples:
       | error                     |
       | AssertionError: 3 engines |
       | ValueError: no number     |
 
-  Scenario: What passes prints no more than before
-    Given features of which no step fails
-    When they are run as `make test` runs them
-    Then the run passes, and prints no failed step
+  Scenario: A passing run prints no diagnostics
+    Given features without a failing step
+    When the features run with the options of `make test`
+    Then the run passes and prints no failed step
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,96 +1,96 @@
-Feature: Routers find each other and speak for each other
+Feature: Routers discover each other and share what they know
 
-  Scenario: All routers are in every answer on where to connect
+  Scenario: Every directory lists all routers
     Given a fleet of 3 routers
     Then every directory names all 3, near ones first
 
-  Scenario: Routers find each other through the store alone
-    Given a fleet of 3 routers that know no seeds
+  Scenario: Routers discover each other through the store alone
+    Given a fleet of 3 routers without seeds
     Then every directory names all 3, near ones first
 
-  # Seen: 33 of 195 routers served a third of all requests, up to 306 where others
-  # had 30. How: callers were named those of their failure domain and the first 30 of
-  # the others by name, the same ones in every answer. Proof: answers of many routers.
-  Scenario: No router is named to many more callers than another one
+  # Guards against uneven load: 33 of 195 routers served a third of all requests, up to
+  # 306 each where others had 30. Directories listed the routers of the caller's failure
+  # domain and then always the same first 30 others by name.
+  Scenario: All routers are listed about equally often
     Given 195 routers in 6 failure domains, as 12 of them know them
     When callers of each failure domain ask them 20 times each
     Then each answer names 64, all of the caller's failure domain first
     And no router is named more than 1.5 times as often as the mean
 
-  Scenario: A failure domain of more routers than an answer holds
+  Scenario: A failure domain has more routers than a directory lists
     Given 330 routers in 3 failure domains, as 12 of them know them
     When callers of each failure domain ask them 20 times each
     Then each answer names 64 of the caller's failure domain
     And no router is named more than 1.5 times as often as the mean
 
-  Scenario: A router that joins in an outage is found through its seeds
+  Scenario: A router that joins during a store outage is found through seeds
     Given a fleet of 2 routers
     When the store is out and a third router starts
     Then every directory names all 3, near ones first
 
-  Scenario: A router that comes back under its name is its next run
+  Scenario: A restarted router with the same name counts as a new run
     Given a fleet of 3 routers
     When a router is killed and started again
     Then every directory names all 3, near ones first
 
-  # Seen: 195 routers that had all been killed entered the store anew by four calls
-  # each, with three for what else it tells: the writing was refused since the entry
-  # was there, and what was there said the same.
-  Scenario: A router that starts again at its address is found by what it wrote
+  # Guards against needless store calls: 195 routers that had all been killed
+  # needed four calls each to enter the store again, with three for its other contents.
+  # The write was refused although the existing entry had the same content.
+  Scenario: A router that restarts at its address keeps its store entry
     Given a store that 5 routers have entered
     When one of them starts again at its address
     Then it knows all the others after 1 call of the store
 
-  Scenario: A router that starts again elsewhere says so
+  Scenario: A router that restarts at another address updates its store entry
     Given a store that 5 routers have entered
     When one of them starts again at another address
     Then it knows all the others after 3 calls of the store
     And one that starts after it finds it at its new address
 
-  Scenario: A router whose entry was not answered enters once
+  Scenario: A router whose first write got no reply has one store entry
     Given a store that 5 routers have entered
     When its entry is not answered, and it tries again
     Then it knows all the others, who find it
 
-  Scenario: Of two that start at once at least one knows the other
+  Scenario: Of two routers that start concurrently at least one knows the other
     Given a store that 0 routers have entered
     When two start at once, each step of the one between two of the other
     Then at least one of them knows the other
 
-  Scenario: A beacon that nobody signed changes nothing
+  Scenario: An unsigned beacon is ignored
     Given a fleet of 2 routers that sign their beacons
     When a forged beacon says that a third router serves
     Then no router has heard of a third one
     And every directory names all 2, near ones first
 
-  Scenario: A revision that nothing is left of is not asked for for ever
+  Scenario: A revision without any record is not requested forever
     Given a fleet of 2 routers
     When one router's upstreams go up to a revision without a record
     Then the other one is level with it within 1500 ms
     And it began no watch anew
 
-  Scenario: Readiness
-    Given a router that starts while the store is out
+  Scenario: A router is ready only after it has read the store
+    Given a router that starts while the store is down
     Then it is not ready
     When the store is back
     Then it is ready within 4000 ms
 
-  # Seen: after 195 routers had started at once each had begun three watches of the
-  # store, since it had heard of nobody yet: 184 of them asked anew for all three when
-  # the store failed 5 s later, and each news was told to all by the store.
-  Scenario: Of those that start at once few watch the store
+  # Guards against a thundering herd at the store. Of 195 routers that started at once,
+  # each began three watches because it knew no peer yet: 184 of them repeated all three
+  # when the store failed 5 s later, and the store sent every change to all of them.
+  Scenario: Of routers that start at once only a few watch the store
     Given 40 members that start at once and know each other
     Then 6 of them watch each kind
     When 1600 ms pass in which 20 of them say nothing
     Then 6 of them watch each kind
 
-  Scenario: In large fleets few routers watch the store
+  Scenario: In a large fleet only a few routers watch the store
     Given 40 members that hear each other
     Then 6 of them watch each kind
     When half of them fall silent
     Then 6 of the others watch each kind
 
-  Scenario: Who does not watch asks for news at once, who does after a while
+  Scenario: A router without a watch asks a peer at once, one with a watch later
     Given a router that does not watch and one that does
     When both hear that a peer is ahead, twice within 250 ms
     Then the one that does not watch has asked it
@@ -98,26 +98,26 @@
     When both hear it once more after 100 ms
     Then the other one has asked it too
 
-  Scenario: News reaches every router of a fleet of which few watch
+  Scenario: Changes reach all routers although only a few watch the store
     Given a fleet of 12 routers
     When an engine says that it leaves
     Then every router knows it within 2000 ms
     When the operators change the configuration 1 times
     Then the last one is in force everywhere within 2000 ms
 
-  Scenario: What was decided on a request is told by its id
+  Scenario: Operators can look up the decisions on a request by its id
     Given a fleet of 2 routers
     When a caller asks one router and an operator asks the other for its id
     Then the operator is told upstream, status and duration
     And what the upstream was chosen by
 
-  Scenario: Metrics and health
+  Scenario: Metrics and health are reported
     Given a fleet of 1 routers
     When 3 requests are sent to "/holds/seat"
     Then its metrics count 3 requests with status 200 and their latencies
     And its health says which versions are in force
 
-  Scenario: A span for each hop
-    Given a fleet of 1 routers that write spans
+  Scenario: Router and attempt have spans of the trace of the caller
+    Given a fleet of 1 routers that export spans
     When a caller sends a request with a trace
     Then the spans of router and attempt belong to it
--- a/features/incarnation.feature
+++ b/features/incarnation.feature
@@ -30,18 +30,18 @@
     And asked as the one born at 2000 it does
 
   Scenario: A resumable stream goes on elsewhere
-    Given a fleet of 1 routers whose routes allow pauses of 20000 ms
+    Given a fleet of 1 routers whose routes have a target gap of 20000 ms
     When a caller streams 200 tokens from "/chat/x" and its upstream starts again
     Then its events are complete and in order
 
   Scenario: It goes on too where its connection has not noticed
-    Given a fleet of 1 routers whose routes allow pauses of 20000 ms
+    Given a fleet of 1 routers whose routes have a target gap of 20000 ms
     When a caller streams 200 tokens from "/chat/x" and its upstream starts again behind a silent connection
     Then its events are complete and in order
 
   Scenario: What may run once is never said not to have run
     Given a fleet of 1 routers
-    And every upstream of "booking" works for 60000 ms
+    And every upstream of "booking" takes 60000 ms for a request
     When a caller asks "/holds/seat" and its upstream starts again behind a silent connection
     Then its answer promises nothing and it was run once
 
--- a/features/odd_upstreams.feature
+++ b/features/odd_upstreams.feature
@@ -36,12 +36,12 @@
   Scenario: A refusal without a run is passed on as a promise
     Given the upstream answers with "a refusal that says not run"
     When a caller posts "seat 12" to "/holds/seat"
-    Then the status is 503 with a time to come back
+    Then the status is 503 with a retry time
 
   Scenario: Another upstream has the address
     Given the upstream answers with "another upstream's name"
     When a caller posts "seat 12" to "/holds/seat"
-    Then the status is 503 with a time to come back
+    Then the status is 503 with a retry time
 
   Scenario: An answer that comes before all of a long body was sent
     Given the upstream answers before it has read the body
--- a/features/once.feature
+++ b/features/once.feature
@@ -1,42 +1,42 @@
-Feature: A request runs exactly as often as it may
+Feature: A request runs no more often than its route allows
 
-  Scenario: A non-idempotent request whose answer is lost is not sent again
+  Scenario: A non-idempotent request is not retried after a lost response
     Given a fleet of 1 routers
-    And every upstream of "booking" loses its answers
+    And every upstream of "booking" drops its responses
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 502 and it ran exactly once
 
-  Scenario: A non-idempotent request that was refused goes to another upstream
+  Scenario: A refused non-idempotent request is retried at another upstream
     Given a fleet of 1 routers
-    And one upstream of "booking" refuses everything
+    And one upstream of "booking" refuses every request
     When 10 requests are sent to "/holds/seat"
     Then all have the status 200 and ran exactly once
 
-  Scenario: An idempotent request is sent again after a failure
+  Scenario: An idempotent request is retried after a failure
     Given a fleet of 1 routers
-    And one upstream of "booking" fails everything
+    And one upstream of "booking" fails every request
     When 10 requests are sent to "/pages/seat"
     Then all have the status 200
 
   Scenario: No more upstreams are tried than the route allows
     Given a fleet of 1 routers with 5 services
-    And every upstream of "booking" fails everything
+    And every upstream of "booking" fails every request
     When 5 requests are sent to "/pages/seat"
-    Then none ran more than 3 times
+    Then no request ran more than 3 times
     And all have the status 500
 
-  Scenario: A refused request truly did not run
+  Scenario: A request refused with 503 did not run
     Given a fleet of 1 routers
-    And every upstream of "booking" refuses everything
+    And every upstream of "booking" refuses every request
     When 10 requests are sent to "/holds/seat"
     Then all have the status 503 and ran exactly 0 times
 
-  Scenario: An idempotent request that ran before it was refused is told so
+  Scenario: An idempotent request that may have run is not reported as refused
     Given a fleet of 1 routers with 2 services
     And of two upstreams of "booking" one loses its answers and one refuses
     When 10 requests are sent to "/pages/seat"
     Then those that ran have the status 502 and the others 503
     And all of them are told when to come back
 
-  Scenario: Random upstreams, and the promises to every request
+  Scenario: Statuses are truthful with randomly faulty upstreams
     Then in 40 random histories every status is true
--- a/features/spread.feature
+++ b/features/spread.feature
@@ -124,25 +124,25 @@
       """
       {"model": "x", "messages": []}
       """
-    Then the status is 503 and the reason holds "unknown_model"
+    Then the status is 503 and the reason contains "unknown_model"
     When this is posted to "/v1/services/nowhere/x"
       """
       {"payload": "1"}
       """
-    Then the status is 503 and the reason holds "no_route"
+    Then the status is 503 and the reason contains "no_route"
 
   Scenario: Nor that anything is larger than it may be
     Given a fleet of 1 routers
     When the router hears of a configuration that is newer than its own
     And a caller sends a body of 5000000 bytes
-    Then the status is 503 with a time to come back
+    Then the status is 503 with a retry time
     When a caller sends a header of 40000 bytes
-    Then the status is 503 with a time to come back
+    Then the status is 503 with a retry time
     When this is posted to "/v1/chat/completions"
       """
       {"model": "draft-7b", "messages": [], "max_tokens": 99999}
       """
-    Then the status is 503 and the reason holds "max_tokens"
+    Then the status is 503 and the reason contains "max_tokens"
 
   # By reading: whoever starts asks the seeds in the order in which they are told, all
   # the same one first. Its answer tells of every router, 8 kB at 80 of them, and a call
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform's callers, and of requests that are not right."""
+"""Steps for callers of the platform's API and for malformed requests."""
 
 from __future__ import annotations
 
@@ -18,30 +18,33 @@
 from peridotmast.wire import connection as connection_
 
 
-def spy(context):
-    """Remember the environments that upstreams get."""
+def record_environs(context):
+    """Record the WSGI environments of all requests at the upstreams."""
     context.environs = []
     for guest in context.fleet.guests:
         app = guest.upstream.app
         run = app._run
 
-        def remember(request_id, environ, body, start, run=run):
+        def record(request_id, environ, body, start, run=run):
             context.environs.append(environ)
             return run(request_id, environ, body, start)
 
-        app._run = remember
+        app._run = record
 
 
 @when('a caller sends "{text}" to the target "{target}"')
-def sends_to_target(context, text, target):
-    spy(context)
+def send_to_target(context, text, target):
+    record_environs(context)
     context.last = helpers.send_request(
         fleet_steps.router_address(context), target, body=text.encode()
     )
 
 
-@then('the status is {status:d} and the body "{text}" with its seal')
-def status_body_seal(context, status, text):
+@then(
+    'the status is {status:d} and the body is "{text}" with the upstream\'s '
+    'seal'
+)
+def has_status_body_and_seal(context, status, text):
     answer = context.last
     assert answer.status == status, answer
     assert answer.body == text.encode(), answer
@@ -49,30 +52,32 @@
     assert answer.header(names.REQUEST_ID) == answer.request_id, answer
 
 
-@then('the upstream got the target "{target}"')
-def upstream_target(context, target):
+@then('the upstream receives the target "{target}"')
+def upstream_receives_target(context, target):
     found = context.environs[-1]['peridotmast.target']
     assert found == target, found
 
 
-@when('a caller sends these headers along')
-def sends_headers(context):
-    spy(context)
+@when('a caller sends these headers')
+def send_headers(context):
+    record_environs(context)
     context.sent = [(row['name'], row['value']) for row in context.table]
     context.last = helpers.send_request(
         fleet_steps.router_address(context), headers=context.sent
     )
 
 
-@then('the upstream got the team "{team}" and not the key')
-def got_team(context, team):
+@then('the upstream receives the team "{team}" but not the API key')
+def upstream_receives_team(context, team):
     headers = dict(context.environs[-1]['headers_raw'])
     assert headers[names.TEAM] == team, headers
     assert names.AUTHORIZATION not in headers, headers
 
 
-@then('the upstream got "{name}" as "{value}" and none of the others')
-def got_none(context, name, value):
+@then(
+    'the upstream receives "{name}" as "{value}" and none of the other headers'
+)
+def upstream_receives_one_header(context, name, value):
     headers = context.environs[-1]['headers_raw']
     assert (name, value) in headers, headers
     for other, text in context.sent:
@@ -80,16 +85,19 @@
             assert (other, text) not in headers, (other, headers)
 
 
-@when('a caller asks with {ms:d} ms left')
-def asks_with_time(context, ms):
-    spy(context)
+@when('a caller sends a request with a deadline of {ms:d} ms')
+def send_with_deadline(context, ms):
+    record_environs(context)
     context.last = helpers.send_request(
         fleet_steps.router_address(context), deadline_ms=ms
     )
 
 
-@then('the upstream got at most {most:d} ms and more than {least:d} ms')
-def got_time(context, most, least):
+@then(
+    'the upstream receives a deadline of at most {most:d} ms and more than '
+    '{least:d} ms'
+)
+def upstream_receives_deadline(context, most, least):
     left = int(dict(context.environs[-1]['headers_raw'])[names.DEADLINE_MS])
     assert least < left <= most, left
 
@@ -104,16 +112,16 @@
             == 200
         )
     for service in (shape_.SERVICE, 'other'):
-        came = [
+        requests = [
             arrival
             for guest in helpers.guests(context, service)
             for arrival in guest.upstream.app.arrivals
         ]
-        assert len(came) > count // 5, (service, len(came))
+        assert len(requests) > count // 5, (service, len(requests))
 
 
-@when('a caller asks for "{path}" over a kept connection')
-def over_kept(context, path):
+@when('a caller requests "{path}" over a persistent connection')
+def request_over_persistent_connection(context, path):
     context.conn = connection_.Connection(
         fleet_steps.router_address(context), clock_.SystemClock()
     )
@@ -122,14 +130,14 @@
     assert first.status == 200, first
 
 
-@when("the team's key is taken away")
-def key_away(context):
+@when('the API key of the team is removed')
+def remove_key(context):
     config = context.fleet.shape.config.replace('keys = key-noor\n', '')
     context.fleet.write_config(config)
 
 
-@then('the kept connection gets {status:d} within {ms:d} ms')
-def kept_gets(context, status, ms):
+@then('the persistent connection gets {status:d} within {ms:d} ms')
+def persistent_connection_gets(context, status, ms):
     def refused():
         return helpers.send_request('', conn=context.conn).status == status
 
@@ -137,13 +145,13 @@
     context.conn.close()
 
 
-@when('a caller asks it for "{path}"')
-def asks_it(context, path):
+@when('a caller requests "{path}" from that router')
+def request_from_that_router(context, path):
     context.last = helpers.send_request(context.router.address, path)
 
 
-@when('a caller sends a request without an id or a deadline')
-def without_id(context):
+@when('a caller sends two requests without an id or a deadline')
+def send_without_id_and_deadline(context):
     raw = (
         f'POST /holds/x HTTP/1.1\r\nHost: {shape_.HOST}\r\n'
         f'{names.AUTHORIZATION}: {helpers.KEY}\r\n'
@@ -157,55 +165,55 @@
 
 
 @when('these raw bytes are sent to a router')
-def raw_bytes(context):
+def send_raw_bytes(context):
     text = context.text.replace('~', '\r\n')
-    # The table's cells end without the blanks that a last line may need.
+    # Table cells are stripped, so the request has no trailing blanks.
     context.raw = helpers.raw_exchange(
         fleet_steps.router_address(context), text.rstrip(' ').encode()
     )
 
 
-@then('the raw answer begins with "{text}" and the connection ends')
-def raw_begins(context, text):
+@then('the raw response starts with "{text}" and the connection is closed')
+def raw_response_starts(context, text):
     assert context.raw.startswith(text.encode()), context.raw[:200]
     assert context.raw.count(b'HTTP/1.1') == 1, context.raw
 
 
-@then('the raw answer ends with "{text}"')
-def raw_ends(context, text):
+@then('the raw response ends with "{text}"')
+def raw_response_ends(context, text):
     assert context.raw.endswith(text.encode()), context.raw
 
 
 @when('a caller sends a header of {size:d} bytes')
-def large_header(context, size):
+def send_header(context, size):
     context.last = helpers.send_request(
         fleet_steps.router_address(context), headers=[('X-Large', 'x' * size)]
     )
 
 
-@when('a caller sends it a body of {size:d} bytes')
-def large_body_to_it(context, size):
+@when('a caller sends that router a body of {size:d} bytes')
+def send_body_to_that_router(context, size):
     context.last = helpers.send_request(
         context.router.address, body=b'x' * size
     )
 
 
-@when('a caller sends it a header of {size:d} bytes')
-def large_header_to_it(context, size):
+@when('a caller sends that router a header of {size:d} bytes')
+def send_header_to_that_router(context, size):
     context.last = helpers.send_request(
         context.router.address, headers=[('X-Large', 'x' * size)]
     )
 
 
 @when('a caller sends a body of {size:d} bytes')
-def large_body(context, size):
+def send_body(context, size):
     context.last = helpers.send_request(
         fleet_steps.router_address(context), body=b'x' * size
     )
 
 
 @when('a caller posts {size:d} bytes to "{path}"')
-def posts_bytes(context, size, path):
+def post_bytes(context, size, path):
     context.last = helpers.send_request(
         fleet_steps.router_address(context), path, body=b'x' * size
     )
@@ -218,7 +226,7 @@
 
 
 @when('a caller sends the body "{text}" in chunks of {size:d} bytes')
-def in_chunks(context, text, size):
+def send_chunked(context, text, size):
     parts = [text[at : at + size] for at in range(0, len(text), size)]
     chunks = ''.join(f'{len(part):x}\r\n{part}\r\n' for part in parts)
     raw = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n'
@@ -227,36 +235,36 @@
     )
 
 
-@when('a caller sends half of its body and closes')
-def half_body(context):
+@when('a caller sends half of its body and closes the connection')
+def send_half_body_and_close(context):
     sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(f'{HEAD}Content-Length: 100\r\n\r\nhalf'.encode())
     green.sleep_ms(50)
     sock.close()
 
 
-@when('a caller sends half of its body and ends its side')
-def half_body_and_end(context):
+@when('a caller sends half of its body and half-closes the connection')
+def send_half_body_and_half_close(context):
     sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(f'{HEAD}Content-Length: 100\r\n\r\nhalf'.encode())
     sock.shutdown(socket.SHUT_WR)
     context.raw = helpers.read_rest(sock)
 
 
-@given('callers have {ms:d} ms for their heads')
-def heads_in(context, ms):
+@given('a header timeout of {ms:d} ms')
+def header_timeout(context, ms):
     config = context.fleet.shape.config.replace(
         '[limits]', f'[limits]\nheader_timeout_ms = {ms}'
     )
     fleet_steps.change_config(context, config)
 
 
-@when('a caller sends a head that never ends')
-def endless_head(context):
+@when('a caller sends headers that never end')
+def send_endless_headers(context):
     sock = helpers.raw_connect(fleet_steps.router_address(context))
     sock.sendall(b'POST /holds/x HTTP/1.1\r\nHost: a\r\n')
 
-    def drip():
+    def send_header_lines():
         for _ in range(20):
             green.sleep_ms(50)
             try:
@@ -264,21 +272,21 @@
             except OSError:
                 return
 
-    green.spawn(drip)
+    green.spawn(send_header_lines)
     context.raw = helpers.read_rest(sock)
 
 
 @when('a caller sends a body that looks like a request')
-def hidden_request(context):
-    hidden = f'{HEAD}Content-Length: 0\r\n\r\n'.replace('raw-1', 'hidden')
-    raw = f'{HEAD}Content-Length: {len(hidden)}\r\n\r\n{hidden}'
+def send_body_with_request(context):
+    inner = f'{HEAD}Content-Length: 0\r\n\r\n'.replace('raw-1', 'hidden')
+    raw = f'{HEAD}Content-Length: {len(inner)}\r\n\r\n{inner}'
     context.raw = helpers.raw_exchange(
         fleet_steps.router_address(context), raw.encode(), 500
     )
 
 
 @then('exactly one request was run')
-def one_run(context):
+def exactly_one_run(context):
     runs = [
         request_id
         for guest in context.fleet.guests
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the product's own callers."""
+"""Steps for callers of the chat API."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 PROMPT = 'Draft a reply about the late cake'
 
 
-@when('a caller chats for {tokens:d} tokens, streamed')
-def chats_streamed(context, tokens):
+@when('a caller requests a streamed chat completion of {tokens:d} tokens')
+def chat_streamed(context, tokens):
     context.tokens = tokens
     answer = context.fleet.caller('noor').chat(oracle.MODEL, PROMPT, tokens)
     assert answer.complete, answer
-    context.said = answer.text
+    context.received = answer.text
 
 
-@when('a caller chats for {tokens:d} tokens, in one piece')
-def chats_whole(context, tokens):
+@when(
+    'a caller requests a chat completion of {tokens:d} tokens in one response'
+)
+def chat_in_one_response(context, tokens):
     context.tokens = tokens
     body = {
         'model': oracle.MODEL,
@@ -34,7 +36,7 @@
     }
     reply = post(context, '/v1/chat/completions', body)
     assert reply.status == 200, reply
-    context.said = reply.json()['choices'][0]['message']['content']
+    context.received = reply.json()['choices'][0]['message']['content']
 
 
 def post(context, path, body):
@@ -47,30 +49,30 @@
     )
 
 
-@then("it has the engine's whole answer")
-def whole_answer(context):
-    assert context.said == oracle.chat_text(PROMPT, context.tokens)
+@then('the caller receives the complete answer of the engine')
+def receives_complete_answer(context):
+    assert context.received == oracle.chat_text(PROMPT, context.tokens)
 
 
 @when('a caller calls the service "{service}" with "{payload}"')
-def calls_service(context, service, payload):
-    context.said = (
+def call_service(context, service, payload):
+    context.received = (
         context.fleet.caller('noor').call(service, 'hold', payload).text
     )
 
 
-@then('it has the answer "{text}"')
-def has_answer(context, text):
-    assert context.said == text, context.said
+@then('the caller receives "{text}"')
+def receives_text(context, text):
+    assert context.received == text, context.received
 
 
 @when('this is posted to "{path}"')
-def is_posted(context, path):
+def post_body(context, path):
     context.reply = post(context, path, context.text.encode())
 
 
-@then('the status is {status:d} and the reason holds "{reason}"')
-def reason_holds(context, status, reason):
+@then('the status is {status:d} and the reason contains "{reason}"')
+def reason_contains(context, status, reason):
     error = context.reply.json()['error']
     text = f'{error["code"]} {error["reason"]}'
     assert context.reply.status == status, context.reply
@@ -78,8 +80,11 @@
     assert error['not_run'] is True, error
 
 
-@when('{count:d} callers chat for {tokens:d} tokens while an engine is killed')
-def chat_under_kill(context, count, tokens):
+@when(
+    '{count:d} callers request {tokens:d} tokens each while an engine is '
+    'killed'
+)
+def chats_with_engine_kill(context, count, tokens):
     context.tokens = tokens
     context.prompts = [f'{PROMPT} {number}' for number in range(count)]
     tasks = [
@@ -100,25 +105,28 @@
     context.answers = [task.wait() for task in tasks]
 
 
-@then("each has the engine's whole answer or was told that it broke")
-def whole_or_told(context):
+@then('each receives the complete answer of the engine or an error')
+def complete_or_error(context):
     for prompt, answer in zip(context.prompts, context.answers):
-        wanted = oracle.chat_text(prompt, context.tokens)
+        expected = oracle.chat_text(prompt, context.tokens)
         if answer.failure is None:
-            assert answer.text == wanted, answer
+            assert answer.text == expected, answer
         else:
-            assert wanted.startswith(answer.text), answer
+            assert expected.startswith(answer.text), answer
     assert all(answer.complete for answer in context.answers)
 
 
-@when('a caller chats once for {tokens:d} tokens and its engine is killed')
-def chats_once(context, tokens):
+@when(
+    'a caller sends a non-idempotent chat of {tokens:d} tokens and its engine'
+    ' is killed'
+)
+def chat_with_engine_kill(context, tokens):
     caller = context.fleet.caller('noor')
-    seen = []
+    texts = []
 
     def on_text(text):
-        seen.append(text)
-        if len(seen) == 5:
+        texts.append(text)
+        if len(texts) == 5:
             for guest in helpers.guests(context, shape_.ENGINES):
                 if guest.upstream.app.in_work:
                     context.fleet.lose(guest)
@@ -128,8 +136,8 @@
     )
 
 
-@then('it is told that it broke and it ran once')
-def told_once(context):
+@then('the caller gets an error and the request ran once')
+def error_and_one_run(context):
     answer = context.answer
     assert answer.failure is not None and not answer.complete, answer
     ids = [attempt.request_id for attempt in answer.attempts]
@@ -142,33 +150,33 @@
     json.loads(context.reply.body)
 
 
-@when('all engines fail what they are asked')
-def engines_fail(context):
+@when('all engines fail every request')
+def all_engines_fail(context):
     for guest in context.fleet.running(shape_.ENGINES):
         guest.upstream.app.faults = {'error': 1.0}
 
 
-@when('a caller chats for {tokens:d} tokens, streamed, and once only')
-def chats_once_only(context, tokens):
+@when('a caller sends a non-idempotent chat of {tokens:d} tokens')
+def chat_non_idempotent(context, tokens):
     context.answer = context.fleet.caller('noor').chat(
         oracle.MODEL, PROMPT, tokens, idempotent=False, deadline_ms=3000
     )
 
 
-@then('it is told that the engine failed')
-def told_failed(context):
+@then('the caller is told that the engine failed')
+def told_engine_failed(context):
     assert not context.answer.complete, context.answer
     assert context.answer.failure.reason == 'engine_failed: 500'
     [attempt] = context.answer.attempts
     assert attempt.status == 504, attempt
 
 
-@when('a caller is named one router only, which ends then')
-def named_one(context):
+@when('a caller is told of only one router, which then stops')
+def told_of_one_router(context):
     fleet = context.fleet
     context.caller = fleet.caller('noor', 1)
     first = fleet.routers[0]
-    # A beacon that comes now would tell it of the other one again.
+    # A beacon received now would add the other router again.
     first.beacons.stop()
     for peer in list(first.members.peers()):
         first.members._peers.pop(peer.member.name)
@@ -178,8 +186,8 @@
     first.stop()
 
 
-@then('the other router answers it')
-def other_answers(context):
+@then('the other router answers the caller')
+def other_router_answers(context):
     answer = context.caller.chat(oracle.MODEL, PROMPT, 4, deadline_ms=3000)
     assert answer.complete, answer
     other = context.fleet.routers[1].chat_address
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run features of their own, to see what a run prints."""
+"""Steps that run a separate feature and check the output of the run."""
 
 from __future__ import annotations
 
@@ -33,77 +33,81 @@
     {statement}
 """
 RUN_S = 60
-"""Bound on a run of one scenario: an import on a busy machine takes
-seconds."""
+"""Time limit of a run of one scenario, in s: imports take seconds on a busy
+machine."""
 
 
-def write(context, statement):
-    context.inner = pathlib.Path(context.folder, 'project', 'features')
-    steps = context.inner / 'steps'
+def write_project(context, statement):
+    context.features_folder = pathlib.Path(
+        context.folder, 'project', 'features'
+    )
+    steps = context.features_folder / 'steps'
     steps.mkdir(parents=True)
-    shutil.copy(FEATURES / 'environment.py', context.inner)
-    (context.inner / 'counting.feature').write_text(FEATURE)
+    shutil.copy(FEATURES / 'environment.py', context.features_folder)
+    (context.features_folder / 'counting.feature').write_text(FEATURE)
     (steps / 'steps.py').write_text(STEPS.format(statement=statement))
 
 
-@given('features of which a step fails with {error}')
-def failing(context, error):
+@given('features with a step that fails with {error}')
+def failing_feature(context, error):
     kind, _, text = error.partition(': ')
-    write(context, f'raise {kind}({text!r})')
+    write_project(context, f'raise {kind}({text!r})')
 
 
-@given('features of which no step fails')
-def passing(context):
-    write(context, 'pass')
+@given('features without a failing step')
+def passing_feature(context):
+    write_project(context, 'pass')
 
 
-@when('they are run as `make test` runs them')
-def run_them(context):
-    made = subprocess.run(
+@when('the features run with the options of `make test`')
+def run_features(context):
+    dry_run = subprocess.run(
         ['make', '--no-print-directory', '-n', 'test', 'VENV=.venv'],
         cwd=FEATURES.parent,
         capture_output=True,
         text=True,
         check=True,
     )
-    words = made.stdout.splitlines()[-1].split()
-    start = next(n for n, w in enumerate(words) if w.endswith('/behave'))
+    command = dry_run.stdout.splitlines()[-1].split()
+    start = next(n for n, w in enumerate(command) if w.endswith('/behave'))
     context.run = subprocess.run(
-        [sys.executable, '-m', 'behave', *words[start + 1 :]],
-        cwd=context.inner.parent,
+        [sys.executable, '-m', 'behave', *command[start + 1 :]],
+        cwd=context.features_folder.parent,
         env={**os.environ, 'PYTHONWARNINGS': 'ignore'},
         capture_output=True,
         text=True,
         timeout=RUN_S,
     )
-    context.printed = context.run.stdout + context.run.stderr
+    context.output = context.run.stdout + context.run.stderr
 
 
-@then('the run fails, and prints the step\'s place, its name and "{error}"')
-def names_step(context, error):
-    assert context.run.returncode == 1, context.printed
-    place = 'failed: features/counting.feature:4: When engines are counted'
-    assert place in context.printed, context.printed
-    assert error in context.printed, context.printed
+@then(
+    'the run fails and prints the location and name of the step and "{error}"'
+)
+def prints_failed_step(context, error):
+    assert context.run.returncode == 1, context.output
+    location = 'failed: features/counting.feature:4: When engines are counted'
+    assert location in context.output, context.output
+    assert error in context.output, context.output
 
 
-@then('it prints the end of the log that the scenario left')
-def shows_log(context):
-    wanted = 'end of router-1.ini.log:\nevent=odd'
-    assert wanted in context.printed, context.printed
+@then('the run prints the end of the log file of the scenario')
+def prints_log_end(context):
+    expected = 'end of router-1.ini.log:\nevent=odd'
+    assert expected in context.output, context.output
 
 
-@then('its counts are told as before')
-def counts_told(context):
-    # What .ci/run takes its last line from.
+@then('the run prints its summary as usual')
+def prints_summary(context):
+    # .ci/run takes the last line of its output from this summary.
     found = re.findall(
-        r'^\d+ scenarios? passed, \d+ failed.*', context.printed, re.M
+        r'^\d+ scenarios? passed, \d+ failed.*', context.output, re.M
     )
-    assert len(found) == 1, context.printed
+    assert len(found) == 1, context.output
 
 
-@then('the run passes, and prints no failed step')
-def prints_none(context):
-    assert context.run.returncode == 0, context.printed
-    assert 'failed: ' not in context.printed, context.printed
-    assert 'event=odd' not in context.printed, context.printed
+@then('the run passes and prints no failed step')
+def prints_no_failure(context):
+    assert context.run.returncode == 0, context.output
+    assert 'failed: ' not in context.output, context.output
+    assert 'event=odd' not in context.output, context.output
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Fleets, faults of upstreams, and requests, as many features need them."""
+"""Steps for fleets, upstream faults and requests, used by many features."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 CONFIG = shape_.CONFIG
 
 
-def with_route(config, name, **values):
-    """Return the configuration with a route's keys changed."""
+def replace_route_keys(config, name, **values):
+    """Return the configuration with some keys of a route changed."""
     lines = []
-    inside = False
+    in_section = False
     for line in config.split('\n'):
         if line.startswith('['):
-            inside = line == f'[route {name}]'
+            in_section = line == f'[route {name}]'
         key = line.partition('=')[0].strip()
-        if inside and key in values:
+        if in_section and key in values:
             continue
         lines.append(line)
         if line == f'[route {name}]':
@@ -35,7 +35,7 @@
 
 
 def change_config(context, config):
-    """Write a configuration and wait until it is in force."""
+    """Write a configuration and wait until all routers have applied it."""
     version = context.fleet.write_config(config)
     context.fleet.shape.config = config
     helpers.wait_until(
@@ -43,7 +43,7 @@
             router.config.routes.version >= version
             for router in context.fleet.serving()
         ),
-        f'version {version}',
+        f'configuration version {version}',
     )
     return version
 
@@ -62,7 +62,7 @@
     'a fleet of {count:d} routers with one reclaimable engine in each'
     ' failure domain'
 )
-def reclaimable_fleet(context, count):
+def fleet_with_reclaimable_engines(context, count):
     times = engine_.EngineTimes(step_ms=10, batch=32)
     fleet = helpers.start_fleet(context, routers=count, engines=0, times=times)
     for domain in fleet.domains:
@@ -70,32 +70,30 @@
     wait_until_known(context, 4)
 
 
-@given('a fleet of {count:d} routers whose routes allow pauses of {ms:d} ms')
-def fleet_with_pauses(context, count, ms):
-    config = with_route(CONFIG, 'chat', target_gap_ms=ms)
-    config = with_route(config, 'once', target_gap_ms=ms)
+@given(
+    'a fleet of {count:d} routers whose routes have a target gap of {ms:d} ms'
+)
+def fleet_with_target_gap(context, count, ms):
+    config = replace_route_keys(CONFIG, 'chat', target_gap_ms=ms)
+    config = replace_route_keys(config, 'once', target_gap_ms=ms)
     helpers.start_fleet(context, routers=count, config=config)
 
 
-@given(
-    'a fleet of {count:d} routers whose callers may take nothing for {ms:d} ms'
-)
-def fleet_with_write_bound(context, count, ms):
+@given('a fleet of {count:d} routers with a write timeout of {ms:d} ms')
+def fleet_with_write_timeout(context, count, ms):
     helpers.start_fleet(context, routers=count, router={'write_ms': ms})
 
 
 @given(
-    'a fleet of {count:d} routers with entries that come back within'
-    ' {seconds:d} s'
+    'a fleet of {count:d} routers that tolerate missing entries for '
+    '{seconds:d} s'
 )
-def fleet_with_lapse(context, count, seconds):
+def fleet_with_entry_tolerance(context, count, seconds):
     bounds = {'lapse_s': float(seconds)}
     helpers.start_fleet(context, routers=count, bounds=bounds)
 
 
-@given(
-    'a fleet of {count:d} routers whose usage windows are {seconds:d} s long'
-)
+@given('a fleet of {count:d} routers with usage windows of {seconds:d} s')
 def fleet_with_windows(context, count, seconds):
     bounds = {'usage_window_s': float(seconds)}
     helpers.start_fleet(context, routers=count, bounds=bounds)
@@ -119,12 +117,12 @@
     helpers.start_fleet(context, routers=count, config=config)
 
 
-@given('a fleet of {count:d} routers that know no seeds')
+@given('a fleet of {count:d} routers without seeds')
 def fleet_without_seeds(context, count):
     helpers.start_fleet(context, routers=count, router={'seeds': []})
 
 
-@given('a fleet of {count:d} routers that write spans')
+@given('a fleet of {count:d} routers that export spans')
 def fleet_with_spans(context, count):
     context.spans = f'{context.folder}/spans.jsonl'
     helpers.start_fleet(context, routers=count, trace_file=context.spans)
@@ -133,20 +131,22 @@
 @given('the route "{name}" is public')
 def public_route(context, name):
     change_config(
-        context, with_route(context.fleet.shape.config, name, public='true')
+        context,
+        replace_route_keys(context.fleet.shape.config, name, public='true'),
     )
 
 
 @given('the route "{name}" has a timeout of {ms:d} ms')
 def route_timeout(context, name, ms):
     change_config(
-        context, with_route(context.fleet.shape.config, name, timeout_ms=ms)
+        context,
+        replace_route_keys(context.fleet.shape.config, name, timeout_ms=ms),
     )
 
 
-@given('another service takes half of the route "{name}"')
+@given('another service gets half of the requests of the route "{name}"')
 def split_route(context, name):
-    config = with_route(
+    config = replace_route_keys(
         context.fleet.shape.config,
         name,
         services='booking, other',
@@ -157,60 +157,60 @@
     wait_until_known(context, 1, 'other')
 
 
-def spoil(context, service, **faults):
+def set_upstream_faults(context, service, **faults):
     for guest in helpers.guests(context, service):
         guest.upstream.app.faults = faults
 
 
 @given('every upstream of "{service}" hangs')
-def all_hang(context, service):
-    spoil(context, service, hang=1.0)
+def all_upstreams_hang(context, service):
+    set_upstream_faults(context, service, hang=1.0)
 
 
-@given('every upstream of "{service}" loses its answers')
-def all_lose(context, service):
-    spoil(context, service, lose=1.0)
+@given('every upstream of "{service}" drops its responses')
+def all_upstreams_drop_responses(context, service):
+    set_upstream_faults(context, service, lose=1.0)
 
 
-@given('every upstream of "{service}" refuses everything')
-def all_refuse(context, service):
-    spoil(context, service, refuse=1.0)
+@given('every upstream of "{service}" refuses every request')
+def all_upstreams_refuse(context, service):
+    set_upstream_faults(context, service, refuse=1.0)
 
 
-@given('every upstream of "{service}" fails everything')
-def all_fail(context, service):
-    spoil(context, service, error=1.0)
+@given('every upstream of "{service}" fails every request')
+def all_upstreams_fail(context, service):
+    set_upstream_faults(context, service, error=1.0)
 
 
-@given('every upstream of "{service}" works for {ms:d} ms')
-def all_slow(context, service, ms):
+@given('every upstream of "{service}" takes {ms:d} ms for a request')
+def all_upstreams_slow(context, service, ms):
     for guest in helpers.guests(context, service):
         guest.upstream.app._work_ms = ms
 
 
-@given('one upstream of "{service}" refuses everything')
-def one_refuses(context, service):
+@given('one upstream of "{service}" refuses every request')
+def one_upstream_refuses(context, service):
     helpers.guests(context, service)[0].upstream.app.faults = {'refuse': 1.0}
 
 
-@given('one upstream of "{service}" fails everything')
-def one_fails(context, service):
+@given('one upstream of "{service}" fails every request')
+def one_upstream_fails(context, service):
     helpers.guests(context, service)[0].upstream.app.faults = {'error': 1.0}
 
 
-@given('engines cut one event in {count:d}')
-def engines_cut(context, count):
-    spoil(context, shape_.ENGINES, cut=1 / count)
+@given('engines truncate one event in {count:d}')
+def engines_truncate(context, count):
+    set_upstream_faults(context, shape_.ENGINES, cut=1 / count)
 
 
-@given('no engine takes copies')
-def no_copies(context):
+@given('no engine accepts copies of KV caches')
+def no_engine_accepts_copies(context):
     for guest in helpers.guests(context, shape_.ENGINES):
         guest.upstream.app.moves_refused = True
 
 
-@given('a router that starts while the store is out')
-def router_in_outage(context):
+@given('a router that starts while the store is down')
+def router_starts_in_outage(context):
     shape = shape_.FleetShape(routers=0)
     context.fleet = fleet_.Fleet(shape, seed=7)
     context.fleet.start()
@@ -219,13 +219,13 @@
 
 
 def wait_until_known(context, count, service=shape_.ENGINES):
-    """Wait until every router knows so many live upstreams."""
+    """Wait until every router knows `count` live upstreams of `service`."""
     helpers.wait_until(
         lambda: all(
             len(router.table.live(service)) == count
             for router in context.fleet.serving()
         ),
-        f'{count} of {service}',
+        f'{count} live upstreams of {service}',
     )
 
 
@@ -233,17 +233,17 @@
     return context.fleet.serving()[number].address
 
 
-@when('a caller asks for "{path}" at host "{host}" with the key "{key}"')
-def asks_for(context, path, host, key):
-    ask_with_key(context, path, host, key)
+@when('a caller requests "{path}" from host "{host}" with the key "{key}"')
+def request_with_key(context, path, host, key):
+    send_with_key(context, path, host, key)
 
 
-@when('a caller asks for "{path}" at host "{host}" with the key ""')
-def asks_without_key(context, path, host):
-    ask_with_key(context, path, host, '')
+@when('a caller requests "{path}" from host "{host}" with the key ""')
+def request_without_key(context, path, host):
+    send_with_key(context, path, host, '')
 
 
-def ask_with_key(context, path, host, key):
+def send_with_key(context, path, host, key):
     value = f'{names.KEY_SCHEME}{key}' if key else ''
     context.last = helpers.send_request(
         router_address(context), path, host=host, key=value
@@ -259,7 +259,7 @@
 
 
 @when('{count:d} requests are sent to "{path}"')
-def many_requests(context, count, path):
+def send_requests(context, count, path):
     tasks = [
         green.spawn(
             helpers.send_request,
@@ -273,7 +273,7 @@
 
 
 @when('{count:d} callers stream {tokens:d} tokens from "{path}"')
-def many_streams(context, count, tokens, path):
+def start_streams(context, count, tokens, path):
     context.tokens = tokens
     context.bodies = [f'letter {number}'.encode() for number in range(count)]
     context.tasks = [
@@ -288,13 +288,13 @@
     ]
     # A fixed delay alone can end before the engines receive the requests.
     helpers.wait_until(
-        lambda: len(arrivals_at_engines(context)) >= count,
+        lambda: len(engine_arrivals(context)) >= count,
         'the requests have arrived at the engines',
     )
     green.sleep_ms(200)
 
 
-def arrivals_at_engines(context):
+def engine_arrivals(context):
     return [
         arrival
         for guest in helpers.guests(context, shape_.ENGINES)
@@ -314,7 +314,7 @@
     assert context.last.status == status, context.last
 
 
-@then('the status is {status:d} with a time to come back')
+@then('the status is {status:d} with a retry time')
 def status_with_time(context, status):
     assert context.last.status == status, context.last
     assert float(context.last.header(names.RETRY_AFTER)) > 0, context.last
@@ -324,7 +324,7 @@
     'the status is {status:d} after at least {least:d} ms and less than'
     ' {most:d} ms'
 )
-def status_in_time(context, status, least, most):
+def status_within(context, status, least, most):
     assert context.last.status == status, context.last
     assert least <= context.last.ms < most, context.last.ms
 
@@ -336,7 +336,7 @@
 
 
 @then('all have the status {status:d} and ran exactly once')
-def all_once(context, status):
+def all_ran_once(context, status):
     all_ran(context, status, 1)
 
 
@@ -353,41 +353,41 @@
     assert helpers.run_count(context, context.last.request_id) == 1
 
 
-@then('none ran more than {count:d} times')
-def none_more(context, count):
+@then('no request ran more than {count:d} times')
+def ran_at_most(context, count):
     runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert max(runs) <= count, runs
 
 
-@then('no upstream got anything')
-def nothing_came(context):
+@then('no upstream received a request')
+def no_upstream_request(context):
     green.sleep_ms(100)
-    came = [
+    arrivals = [
         arrival
         for guest in context.fleet.guests
         for arrival in guest.upstream.app.arrivals
     ]
-    assert not came, came
+    assert not arrivals, arrivals
 
 
 def expected_stream(body, tokens):
-    """Return the engines' answer to `body`, as its text."""
+    """Return the text of the expected response of an engine to `body`."""
     from peridotmast.standin import answers
 
     seed = answers.answer_seed('', '', body.decode('latin-1'))
     return ''.join(answers.token(seed, at) for at in range(tokens))
 
 
-def text_of(answer):
+def stream_text(answer):
     found = re.findall(rb'"text": "([^"]*)"', answer.body)
     return b''.join(found).decode()
 
 
 def is_complete(answer, body, tokens):
     numbers = helpers.event_ids(answer.body)
-    in_order = numbers == list(range(1, len(numbers) + 1))
+    is_ordered = numbers == list(range(1, len(numbers) + 1))
     return (
         answer.complete
-        and in_order
-        and text_of(answer) == expected_stream(body, tokens)
+        and is_ordered
+        and stream_text(answer) == expected_stream(body, tokens)
     )
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -1,4 +1,4 @@
-"""What the steps of many features share."""
+"""Helpers shared by the steps of many features."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def start_fleet(context, **values):
-    """Start a fleet that is stopped with the scenario."""
+    """Start a fleet that is stopped at the end of the scenario."""
     router = {'fatal_invariants': True, **values.pop('router', {})}
     bounds = {'lease_ms': 1000, **values.pop('bounds', {})}
     shape = shape_.FleetShape(router=router, bounds=bounds, **values)
@@ -37,7 +37,7 @@
 
 
 def wait_until(condition, what, limit_ms=LONG_MS):
-    """Wait until `condition` holds; fail with `what` where it does not."""
+    """Wait until `condition` holds; fail with `what` after `limit_ms`."""
     clock = clock_.SystemClock()
     deadline = clock.now() + limit_ms
     while not condition():
@@ -46,7 +46,7 @@
 
 
 class Answer:
-    """What came back for one request."""
+    """The response to one request."""
 
     def __init__(self, request_id):
         self.request_id = request_id
@@ -58,8 +58,10 @@
         self.ms = 0
 
     def header(self, name):
-        wanted = name.lower()
-        return next((v for n, v in self.headers if n.lower() == wanted), '')
+        lower_name = name.lower()
+        return next(
+            (v for n, v in self.headers if n.lower() == lower_name), ''
+        )
 
     def __repr__(self):
         return f'{self.status} {self.headers} {self.body[:200]} {self.failure}'
@@ -78,14 +80,14 @@
     on_bytes=None,
     conn=None,
 ):
-    """Send one request as the platform's callers do; return the answer."""
+    """Send one request as a caller of the platform's API does."""
     clock = clock_.SystemClock()
     answer = Answer(request_id or f'req-{next(_ids)}')
     began = clock.now()
     deadline = began + LONG_MS
-    own = conn is None
+    is_own = conn is None
     conn = conn or connection_.Connection(address, clock)
-    if own:
+    if is_own:
         answer.failure = conn.connect(1000)
     lines = [('Host', host), (names.REQUEST_ID, answer.request_id)]
     if key:
@@ -98,7 +100,7 @@
     if answer.failure is None:
         _read(conn, method, deadline, answer, on_bytes)
     answer.ms = clock.now() - began
-    if own:
+    if is_own:
         conn.close()
     return answer
 
@@ -123,7 +125,7 @@
 
 
 def raw_exchange(address, data, wait_ms=1500):
-    """Send raw bytes; return all that comes back before the end."""
+    """Send raw bytes; return all bytes received until the connection ends."""
     sock = raw_connect(address)
     sock.sendall(data)
     return read_rest(sock, wait_ms)
@@ -137,17 +139,17 @@
 
 
 def read_rest(sock, wait_ms=1500):
-    """Return what comes until the other side closes or time is over."""
-    parts = []
+    """Return the bytes received until the peer closes or `wait_ms` pass."""
+    chunks = []
     with green.Timeout(wait_ms / 1000, False):
         while data := sock.recv(65536):
-            parts.append(data)
+            chunks.append(data)
     sock.close()
-    return b''.join(parts)
+    return b''.join(chunks)
 
 
 def make_limits(clock):
-    """Return what a router keeps limits by, without the rest of it."""
+    """Return the limits of a router without the rest of the router."""
     return types.SimpleNamespace(
         quota=quota_.Quota(clock),
         budget=retry_budget.RetryBudget(clock, 0.2, 10_000, 50),
@@ -172,14 +174,14 @@
 
 def arrival_count(context, request_id):
     return sum(
-        came == request_id
+        arrived_id == request_id
         for guest in context.fleet.guests
-        for _, came in guest.upstream.app.arrivals
+        for _, arrived_id in guest.upstream.app.arrivals
     )
 
 
 def event_ids(body):
-    """Return the ids of the events in a body."""
+    """Return the ids of the events in a response body."""
     return [
         int(line[4:]) for line in body.split(b'\n') if line.startswith(b'id: ')
     ]
--- a/features/steps/memory_store.py
+++ b/features/steps/memory_store.py
@@ -1,4 +1,4 @@
-"""A store in memory, whose faults are set, for focused tests."""
+"""An in-memory store with fault injection, for focused tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 
 
 class MemoryStore:
-    """Objects with one revision; writes may be lost, late or refused."""
+    """Versioned objects with one global revision and injected faults.
+
+    `is_down` fails every call. The other fault counters apply to the next
+    writes: `lose_replies` applies a write without a reply, `delay_writes`
+    holds it back until `apply_delayed_writes`, `drop_writes` discards it.
+    """
 
     def __init__(self):
         self.objects = {}
@@ -72,9 +77,9 @@
         return None
 
     def apply_delayed_writes(self):
-        """Do the writes that were under way, if their condition holds."""
-        late, self._delayed = self._delayed, []
-        return [self._write(*write) for write in late]
+        """Apply the delayed writes whose expected revision still matches."""
+        delayed, self._delayed = self._delayed, []
+        return [self._write(*write) for write in delayed]
 
     def _write(self, kind, name, spec, revision):
         current = self.objects.get((kind, name))
--- a/features/steps/raw_upstream.py
+++ b/features/steps/raw_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that sends scripted bytes, right or wrong."""
+"""An upstream that sends scripted bytes, valid or not."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
     Parameters
     ----------
     script : callable
-        Gets the socket, the request's id (empty where it has none) and its
-        number on the connection; false ends the connection.
+        Called with the socket, the request id (empty if there is none) and
+        the number of the request on its connection; a false result closes
+        the connection.
+    reads_body : bool, optional
+        Whether request bodies are read.
     """
 
     def __init__(self, script, reads_body=True):
@@ -27,10 +30,10 @@
         self._reads_body = reads_body
         self.requests = []
         self.numbers = []
-        """Number of each request on its connection."""
+        """Number of each request on its connection, in order of arrival."""
         self.bytes_after = b''
         self._sock = green_socket.socket()
-        # Small, so that a long body can't be sent while it is not read.
+        # A small buffer blocks the sender of a long body that is not read.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
         self._sock.bind(('127.0.0.1', 0))
         self._sock.listen(16)
@@ -42,7 +45,7 @@
         self._sock.close()
 
     def register(self, fleet, service, name='raw-1'):
-        """Write its entry to the store."""
+        """Write a live entry of this upstream to the store."""
         from peridotmast.platform import upstream_codec
 
         record = pb.UpstreamRecord(
@@ -67,14 +70,14 @@
     def _serve(self, sock):
         number = 0
         try:
-            while (head := self._head(sock)) is not None:
+            while (head := self._read_head(sock)) is not None:
                 self.requests.append(head)
-                found = re.search(
+                match = re.search(
                     names.REQUEST_ID.encode() + rb': ([^\r]+)', head, re.I
                 )
                 number += 1
                 self.numbers.append(number)
-                request_id = found[1].decode() if found else ''
+                request_id = match[1].decode() if match else ''
                 if not self._script(sock, request_id, number):
                     break
         except OSError:
@@ -82,23 +85,23 @@
         finally:
             sock.close()
 
-    def _head(self, sock):
+    def _read_head(self, sock):
         data = b''
         while b'\r\n\r\n' not in data:
-            part = sock.recv(65536)
-            if not part:
+            chunk = sock.recv(65536)
+            if not chunk:
                 return None
-            data += part
+            data += chunk
         head, _, rest = data.partition(b'\r\n\r\n')
-        found = re.search(rb'content-length: (\d+)', head, re.I)
-        left = int(found[1]) - len(rest) if found else 0
+        match = re.search(rb'content-length: (\d+)', head, re.I)
+        left = int(match[1]) - len(rest) if match else 0
         while left > 0 and self._reads_body:
             left -= len(sock.recv(65536))
         return head
 
 
 def ok_response(request_id, body=b'fine', extra=b''):
-    """Return the bytes of a right answer."""
+    """Return the bytes of a valid response with status 200."""
     return (
         (
             f'HTTP/1.1 200 OK\r\n{names.REQUEST_ID}: {request_id}\r\n'
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps of streams: passed on, gone on with, moved, left by their callers."""
+"""Steps for streams: forwarding, resuming, migration and disconnects."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 @when('a caller streams {tokens:d} tokens from "{path}"')
-def streams(context, tokens, path):
+def stream_tokens(context, tokens, path):
     context.tokens = tokens
-    context.moments = []
+    context.event_times = []
     clock = clock_.SystemClock()
     context.last = fleet_steps.stream(
         fleet_steps.router_address(context),
         path,
         tokens,
         BODY,
-        on_bytes=lambda answer: context.moments.append(clock.now()),
+        on_bytes=lambda answer: context.event_times.append(clock.now()),
     )
 
 
-def upstream_of(context, request_id):
+def find_upstream(context, request_id):
     return next(
         (
             guest
@@ -50,13 +50,13 @@
 
 
 def stream_and(context, tokens, path, act):
-    """Stream, and do something to its upstream after a few events."""
+    """Stream, and call `act` with the upstream after five events."""
     context.tokens = tokens
     done = []
 
     def on_bytes(answer):
         if not done and len(helpers.event_ids(answer.body)) >= 5:
-            done.append(upstream_of(context, answer.request_id))
+            done.append(find_upstream(context, answer.request_id))
             act(done[0])
 
     context.last = fleet_steps.stream(
@@ -73,7 +73,7 @@
     'a caller streams {tokens:d} tokens from "{path}" and its upstream is'
     ' killed'
 )
-def stream_killed(context, tokens, path):
+def stream_and_kill(context, tokens, path):
     stream_and(context, tokens, path, context.fleet.lose)
 
 
@@ -81,7 +81,7 @@
     'a caller streams {tokens:d} tokens from "{path}" and its connection'
     ' goes silent'
 )
-def stream_silent(context, tokens, path):
+def stream_and_mute(context, tokens, path):
     stream_and(context, tokens, path, lambda guest: guest.upstream.mute())
 
 
@@ -89,72 +89,74 @@
     'a caller streams {tokens:d} tokens from "{path}" and its upstream pauses'
     ' for {ms:d} ms'
 )
-def stream_pauses(context, tokens, path, ms):
+def stream_and_pause(context, tokens, path, ms):
     stream_and(context, tokens, path, lambda guest: guest.upstream.mute(ms))
 
 
 @then('its events are complete and in order')
-def complete(context):
+def events_complete(context):
     assert fleet_steps.is_complete(context.last, BODY, context.tokens), (
         context.last.failure,
         helpers.event_ids(context.last.body),
     )
 
 
-@then('the first event came well before the last')
-def spread(context):
-    assert context.moments[-1] - context.moments[0] > 100, context.moments
+@then('the first event arrives well before the last')
+def events_arrive_spread(context):
+    assert context.event_times[-1] - context.event_times[0] > 100, (
+        context.event_times
+    )
 
 
-@then('the answer has the headers of its first upstream only')
+@then('the response has only the headers of its first upstream')
 def first_headers(context):
     seals = [v for n, v in context.last.headers if n == names.SEAL]
     assert len(seals) == 1, seals
     assert seals[0].startswith(context.first_upstream.name + '.'), seals
 
 
-@then('the stream is visibly broken after less than {ms:d} ms')
-def broken_soon(context, ms):
+@then('the stream ends incomplete after less than {ms:d} ms')
+def incomplete_within(context, ms):
     assert not context.last.complete, context.last
     assert context.last.ms < ms, context.last.ms
 
 
-@then('the stream is visibly broken and was run once')
-def broken_once(context):
+@then('the stream ends incomplete and the request ran once')
+def incomplete_and_ran_once(context):
     assert context.last.status == 200 and not context.last.complete
     assert helpers.run_count(context, context.last.request_id) == 1
 
 
-@then('each is complete and in order, or visibly broken')
-def whole_or_broken(context):
+@then('each stream is complete and in order, or detectably incomplete')
+def each_complete_or_incomplete(context):
     answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, answers):
-        whole = fleet_steps.is_complete(answer, body, context.tokens)
-        assert whole or not answer.complete, answer
+        is_whole = fleet_steps.is_complete(answer, body, context.tokens)
+        assert is_whole or not answer.complete, answer
     assert any(answer.complete for answer in answers)
 
 
-@then('each is complete and in order')
-def each_whole(context):
+@then('each stream is complete and in order')
+def each_complete(context):
     context.answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, context.answers):
-        whole = fleet_steps.is_complete(answer, body, context.tokens)
-        assert whole, (answer.failure, helpers.event_ids(answer.body)[-3:])
+        is_whole = fleet_steps.is_complete(answer, body, context.tokens)
+        assert is_whole, (answer.failure, helpers.event_ids(answer.body)[-3:])
 
 
-@then('of a stream cut anywhere only whole events are passed on')
-def whole_events_only(context):
+@then('only complete events are forwarded wherever a stream is cut')
+def only_complete_events(context):
     events = [b'id: %d\ndata: x y\n\n' % n for n in range(1, 5)]
     stream = b''.join(events)
     ends = {len(b''.join(events[:n])) for n in range(len(events) + 1)}
     for first, second in itertools.combinations(range(len(stream)), 2):
         reader = event_reader.EventReader()
-        passed = reader.feed(stream[:first])
-        passed += reader.feed(stream[first:second])
-        assert len(passed) == max(e for e in ends if e <= second), passed
+        forwarded = reader.feed(stream[:first])
+        forwarded += reader.feed(stream[first:second])
+        assert len(forwarded) == max(e for e in ends if e <= second), forwarded
         reader.restart()
         rest = reader.feed(stream)
-        assert passed + rest == stream, (first, second, rest)
+        assert forwarded + rest == stream, (first, second, rest)
 
 
 def open_raw(context, path, tokens=400):
@@ -170,42 +172,43 @@
     return sock
 
 
-@when('a caller of "{path}" closes in the middle of its stream')
-def leaves_stream(context, path):
+@when('a caller of "{path}" disconnects in the middle of its stream')
+def disconnect_in_stream(context, path):
     sock = open_raw(context, path)
     assert sock.recv(1000)
     green.sleep_ms(100)
     sock.close()
 
 
-@when('a caller of "{path}" closes while it waits')
-def leaves_waiting(context, path):
+@when('a caller of "{path}" disconnects while it waits')
+def disconnect_while_waiting(context, path):
     sock = open_raw(context, path)
     helpers.wait_until(
-        lambda: helpers.arrival_count(context, 'leaver'), 'its arrival'
+        lambda: helpers.arrival_count(context, 'leaver'),
+        'the request has arrived at the upstream',
     )
     sock.close()
 
 
-@then('the upstream hears of it within {ms:d} ms')
-def hears_of_it(context, ms):
-    def heard():
+@then('the upstream detects the disconnect within {ms:d} ms')
+def upstream_detects_disconnect(context, ms):
+    def detected():
         return any(
             'leaver' in guest.upstream.app.left_early
             for guest in context.fleet.guests
         )
 
-    helpers.wait_until(heard, 'the upstream hears', ms)
+    helpers.wait_until(detected, 'the upstream detects the disconnect', ms)
 
 
-@then('it was not run again')
-def not_again(context):
+@then('the request was not run again')
+def not_run_again(context):
     green.sleep_ms(300)
     assert helpers.arrival_count(context, 'leaver') == 1
 
 
-@when('a caller asks for a long stream and reads nothing')
-def reads_nothing(context):
+@when('a caller requests a long stream and reads nothing')
+def request_and_read_nothing(context):
     context.sock = open_raw(context, '/once/x', 200_000)
     context.closing.append(context.sock.close)
     for guest in helpers.guests(context, shape_.ENGINES):
@@ -213,12 +216,12 @@
         guest.upstream.times.stride = 2000
 
 
-@then('the router gives it up')
-def gives_up(context):
+@then('the router aborts the request')
+def router_aborts(context):
     router = context.fleet.routers[0]
     helpers.wait_until(
         lambda: router.serving.gateway.in_flight == 0,
-        'the router gives it up',
+        'the router aborts the request',
         15_000,
     )
 
@@ -231,13 +234,13 @@
         if guest.record.reclaimable and not guest.upstream.app.leaves_at
     ]
     fullest = max(engines, key=lambda guest: guest.upstream.app.in_work)
-    assert fullest.upstream.app.in_work, 'nothing is in work there'
+    assert fullest.upstream.app.in_work, 'no engine has a request in progress'
     domain = fullest.record.upstream.failure_domain
     context.fleet.reclaim(domain, ms)
     green.sleep_ms(100)
 
 
-def totals(context, name):
+def engine_total(context, name):
     return sum(
         guest.upstream.totals[name]
         for guest in context.fleet.guests
@@ -245,21 +248,21 @@
     )
 
 
-@then('none was run twice and nothing was read again')
-def nothing_again(context):
+@then('no request ran twice and no prefill was recomputed')
+def nothing_recomputed(context):
     for answer in context.answers:
         assert helpers.run_count(context, answer.request_id) == 1, answer
-    assert totals(context, 'recomputed') == 0
-    assert totals(context, 'moved') > 0
+    assert engine_total(context, 'recomputed') == 0
+    assert engine_total(context, 'moved') > 0
 
 
-@then('nothing was moved')
-def nothing_moved(context):
-    assert totals(context, 'moved') == 0
+@then('no stream was migrated')
+def nothing_migrated(context):
+    assert engine_total(context, 'moved') == 0
 
 
-@when('an engine says that it leaves while callers go on asking')
-def leaves_under_load(context):
+@when('an engine announces that it leaves while callers send requests')
+def engine_leaves_under_load(context):
     context.leaver = helpers.guests(context, shape_.ENGINES)[0]
     clock = context.fleet.clock
     context.left_at = clock.now() + 300
@@ -276,41 +279,47 @@
         assert task.wait().status == 200
 
 
-@then('no request reaches it later than {ms:d} ms after')
-def none_late(context, ms):
-    late = [
+@then('no request reaches it more than {ms:d} ms later')
+def no_late_request(context, ms):
+    late_arrivals = [
         at
         for at, _ in context.leaver.upstream.app.arrivals
         if at > context.left_at + ms
     ]
-    assert not late, (context.left_at, late)
-    assert context.leaver.upstream.app.arrivals, 'it got work before'
+    assert not late_arrivals, (context.left_at, late_arrivals)
+    assert context.leaver.upstream.app.arrivals, (
+        'the engine received no requests'
+    )
 
 
 @when("an engine leaves and one router's store calls fail from then on")
-def leaves_and_cut(context):
-    context.cut = context.fleet.routers[0]
-    context.cut.store.address = '127.0.0.1:1'
+def engine_leaves_and_router_loses_store(context):
+    context.cut_router = context.fleet.routers[0]
+    context.cut_router.store.address = '127.0.0.1:1'
     context.leaver = helpers.guests(context, shape_.ENGINES)[0]
     context.left_at = context.fleet.clock.now()
     context.fleet.store.app.set_faults(0)
-    for address in list(context.cut.store._http._pool._idle):
-        context.cut.store._http._pool.forget(address)
+    for address in list(context.cut_router.store._http._pool._idle):
+        context.cut_router.store._http._pool.forget(address)
     context.fleet.announce_leaving(context.leaver)
 
 
-@then('that router sends it nothing after {ms:d} ms')
-def cut_sends_nothing(context, ms):
+@then('that router sends it no request after {ms:d} ms')
+def cut_router_sends_nothing(context, ms):
     green.sleep_ms(ms)
     for number in range(30):
         body = b'cut %d' % number
-        answer = fleet_steps.stream(context.cut.address, '/chat/x', 2, body)
+        answer = fleet_steps.stream(
+            context.cut_router.address, '/chat/x', 2, body
+        )
         assert answer.status == 200, answer
-    none_late(context, ms) if context.leaver.upstream.app.arrivals else None
+    no_late_request(
+        context, ms
+    ) if context.leaver.upstream.app.arrivals else None
 
 
-@when("the store is out and an engine's entry runs out meanwhile")
-def entry_runs_out(context):
+@when('the store is down and the entry of an engine expires meanwhile')
+def entry_expires_in_outage(context):
     context.leaver = helpers.guests(context, shape_.ENGINES)[0]
     context.fleet.store.app.set_faults(600, outage=1.0)
     green.sleep_ms(300)
@@ -323,14 +332,14 @@
     green.sleep_ms(400)
 
 
-@when('the entry is back {ms:d} ms after the store')
-def entry_back(context, ms):
+@when('the entry is written again {ms:d} ms after the store is back')
+def write_entry_again(context, ms):
     green.sleep_ms(ms)
     context.fleet._write_entry(context.leaver)
 
 
-@then('the engine was never taken for gone')
-def never_gone(context):
+@then('no router ever considers the engine gone')
+def engine_never_gone(context):
     green.sleep_ms(2000)
     gone = [
         s for n, s in context.states if n == context.leaver.name and s == 3
@@ -338,20 +347,20 @@
     assert not gone, context.states
 
 
-@then('the engine is taken for gone within {ms:d} ms')
-def taken_for_gone(context, ms):
+@then('all routers consider the engine gone within {ms:d} ms')
+def engine_gone_everywhere(context, ms):
     helpers.wait_until(
         lambda: all(
             router.table.get(context.leaver.name).record.state == 3
             for router in context.fleet.serving()
         ),
-        'gone everywhere',
+        'all routers consider the engine gone',
         ms,
     )
 
 
-def send_to(context, engine, request_id, body, extra=()):
-    """Send a stream's request to an engine; return its connection."""
+def send_stream_request(context, engine, request_id, body, extra=()):
+    """Send a stream request to an engine; return the connection."""
     clock = clock_.SystemClock()
     conn = connection_.Connection(engine.address, clock)
     context.closing.append(conn.close)
@@ -369,20 +378,20 @@
     return conn
 
 
-@given('two engines that run a stream each and a third one')
-def two_streams(context):
+@given('two engines that run one stream each and a third engine')
+def two_engines_with_streams(context):
     times = engine_.EngineTimes(step_ms=5)
     context.engines = [engine_.Engine(f'e-{n}', times=times) for n in range(3)]
     for engine in context.engines:
         context.closing.append(engine.stop)
     context.bodies = {'one': b'first prompt', 'two': b'second prompt'}
     for engine, (name, body) in zip(context.engines, context.bodies.items()):
-        send_to(context, engine, name, body)
+        send_stream_request(context, engine, name, body)
     green.sleep_ms(100)
 
 
-@when('both streams are moved to the third one under one handle')
-def move_both(context):
+@when('both streams are migrated to the third engine with equal handles')
+def migrate_both(context):
     control = engine_control.EngineControl(2000)
     *sources, target = context.engines
     context.copies = {}
@@ -395,10 +404,10 @@
     assert handles == {'h77'}, context.copies
 
 
-@then('each goes on there as itself')
-def as_itself(context):
+@then('each stream resumes there with its own content')
+def resumes_with_own_content(context):
     for name, body in context.bodies.items():
-        conn = send_to(
+        conn = send_stream_request(
             context, context.engines[2], name, body,
             [(names.COPY_FROM, context.copies[name]), (names.LAST_EVENT, '1')],
         )  # fmt: skip
@@ -409,5 +418,5 @@
             if line.startswith('data: ')
         ]
         seed = answers.answer_seed('', '', body.decode())
-        whole = ''.join(answers.token(seed, at) for at in range(200))
-        assert whole.endswith(''.join(texts)), (name, texts[:3])
+        full_text = ''.join(answers.token(seed, at) for at in range(200))
+        assert full_text.endswith(''.join(texts)), (name, texts[:3])
--- a/features/strict.feature
+++ b/features/strict.feature
@@ -8,8 +8,8 @@
       """
       <head>
       """
-    Then the raw answer begins with "HTTP/1.1 <status>" and the connection ends
-    And no upstream got anything
+    Then the raw response starts with "HTTP/1.1 <status>" and the connection is closed
+    And no upstream received a request
 
     Examples:
       | status | head                                                            |
@@ -36,25 +36,25 @@
   Scenario: A body that is too large
     When a caller sends a body of 5000000 bytes
     Then the status is 413
-    And no upstream got anything
+    And no upstream received a request
 
   Scenario: A body in chunks is whole at the upstream
     When a caller sends the body "seat 7" in chunks of 2 bytes
-    Then the raw answer ends with "done:seat 7"
+    Then the raw response ends with "done:seat 7"
 
   Scenario: A body that breaks off reaches no upstream
-    When a caller sends half of its body and closes
-    Then no upstream got anything
+    When a caller sends half of its body and closes the connection
+    Then no upstream received a request
 
   Scenario: A caller that ends its side within its body is told so
-    When a caller sends half of its body and ends its side
-    Then the raw answer begins with "HTTP/1.1 400" and the connection ends
-    And no upstream got anything
+    When a caller sends half of its body and half-closes the connection
+    Then the raw response starts with "HTTP/1.1 400" and the connection is closed
+    And no upstream received a request
 
   Scenario: Heads that never end are cut off
-    Given callers have 300 ms for their heads
-    When a caller sends a head that never ends
-    Then the raw answer begins with "HTTP/1.1 408" and the connection ends
+    Given a header timeout of 300 ms
+    When a caller sends headers that never end
+    Then the raw response starts with "HTTP/1.1 408" and the connection is closed
 
   Scenario: A request that hides in the body of another is never run
     When a caller sends a body that looks like a request
