--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -154,7 +154,7 @@
 
 def leaves_ms(context, born):
     control = engine_control.EngineControl(1000)
-    return control.leaves_ms(context.server.address, born)
+    return control.remaining_ms(context.server.address, born)
 
 
 @then('asked as the one born at {born:d} it does not tell when that leaves')
--- a/src/peridotmast/platform/dialect.py
+++ b/src/peridotmast/platform/dialect.py
@@ -60,8 +60,8 @@
                 if name.lower() != names.LAST_EVENT.lower()
             ]
             headers.append((names.LAST_EVENT, str(resume.last_event)))
-            if resume.copy:
-                headers.append((names.COPY_FROM, resume.copy))
+            if resume.kv_location:
+                headers.append((names.COPY_FROM, resume.kv_location))
         return headers
 
     def verdict(
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -27,7 +27,7 @@
     def __init__(self, timeout_ms: int) -> None:
         self._http = calls.HttpCalls(timeout_ms)
 
-    def leaves_ms(
+    def remaining_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
         """Return how long an engine will be there; 0 where it can't say."""
--- a/src/peridotmast/serving/dialect.py
+++ b/src/peridotmast/serving/dialect.py
@@ -36,7 +36,7 @@
 
     last_event: int
     """Id of the last event that the caller has received."""
-    copy: str = ''
+    kv_location: str = ''
     """Location of the KV cache of the run; empty to recompute the prefill."""
 
 
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -42,7 +42,7 @@
 class EngineControl(ty.Protocol):
     """Control calls that engines offer beside running requests."""
 
-    def leaves_ms(
+    def remaining_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
         """Return how long an engine remains, in ms; 0 if it is unknown.
@@ -117,7 +117,7 @@
     def _migrate_streams(self, view: upstream_view.UpstreamView) -> None:
         noticed_at = self._clock.now()
         green.sleep_ms(_REPORT_LAG_MS)
-        left_ms = self._control.leaves_ms(view.address, view.born)
+        left_ms = self._control.remaining_ms(view.address, view.born)
         is_stated = not isinstance(left_ms, failures.Failure) and left_ms > 0
         gone_at = noticed_at + self._drain_ms
         if not isinstance(left_ms, failures.Failure) and left_ms:
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -261,7 +261,7 @@
             'stream_goes_on',
             upstream=place.view.name,
             last_event=stream.reader.last_id,
-            copy=resume_point.copy,
+            copy=resume_point.kv_location,
         )
         return result
 
