--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -33,9 +33,9 @@
     When a router is killed and started again
     Then every directory names all 3, near ones first
 
-  # Guards against needless store calls: 195 routers that had all been killed
-  # needed four calls each to enter the store again, with three for its other contents.
-  # The write was refused although the existing entry had the same content.
+  # Guards against needless store calls: 195 routers that had all been killed needed
+  # four calls each to enter the store again, with three for its other contents. Their
+  # writes were refused because the entries, with the same content, already existed.
   Scenario: A router that restarts at its address keeps its store entry
     Given a store that 5 routers have entered
     When one of them starts again at its address
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -41,7 +41,7 @@
     clock = clock_.SystemClock()
     deadline = clock.now() + limit_ms
     while not condition():
-        assert clock.now() < deadline, f'not in {limit_ms} ms: {what}'
+        assert clock.now() < deadline, f'timed out after {limit_ms} ms: {what}'
         green.sleep_ms(10)
 
 
--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -157,10 +157,10 @@
         try:
             result = self._send(state, place)
         finally:
-            streaming = isinstance(result, reply_.Reply) and not isinstance(
+            is_streaming = isinstance(result, reply_.Reply) and not isinstance(
                 result.body, bytes
             )
-            if not streaming:
+            if not is_streaming:
                 place.release()
             span.end()
             self._log_attempt(state, place, result)
@@ -204,22 +204,22 @@
             return self._handle_not_run(exchange, sent)
         state.runs += 1
         state.accepted_by.add(place.view.name)
-        streams = exchange.is_stream and sent.verdict is Verdict.ANSWER
-        if not streams:
+        is_streaming = exchange.is_stream and sent.verdict is Verdict.ANSWER
+        if not is_streaming:
             self._count_started(state, sent.sent_at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
             place.view.health.failed()
             return failures.unknown('garbled', str(sent.head.status))
-        if streams:
+        if is_streaming:
             return self._begin_stream(state, sent, first_bytes_ms)
         return self._read_response(state, sent)
 
-    def _count_started(self, state: _RequestState, began_at: int) -> None:
+    def _count_started(self, state: _RequestState, started_at: int) -> None:
         """Count a request as started, at most once over all attempts."""
         if not state.counted:
             state.counted = True
-            ago_ms = self._clock.now() - began_at
+            ago_ms = self._clock.now() - started_at
             self._usage.count_started(state.exchange.team, ago_ms)
 
     def _count_unanswered(
@@ -317,13 +317,13 @@
     def _first_bytes_ms(self, state: _RequestState) -> int:
         """Return how long the next attempt may take to respond, in ms."""
         exchange = state.exchange
-        left = exchange.deadline - self._clock.now()
+        left_ms = exchange.deadline - self._clock.now()
         if not exchange.may_repeat:
-            return left
+            return left_ms
         if state.runs + 1 >= exchange.route.attempts:
-            return left
+            return left_ms
         limit = 2 * exchange.route.target_ms
-        return max(1, min(limit, int(left * _FIRST_BYTES_SHARE)))
+        return max(1, min(limit, int(left_ms * _FIRST_BYTES_SHARE)))
 
     def _final_failure(
         self, state: _RequestState, failure: failures.Failure
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -62,7 +62,7 @@
     ) -> None:
         self._clock = clock
         self._sender = sender
-        self._places = places
+        self._placement = places
         self._budget = budget
         self._crashes = crashes
         self._metrics = metrics
@@ -131,8 +131,8 @@
     ) -> ty.Optional[failures.Failure]:
         deadline = self._clock.now() + first_event_ms
         while not stream.pending and not stream.ended:
-            first_deadline = min(stream.exchange.deadline, deadline)
-            data = stream.sent.conn.read_some(first_deadline)
+            read_until = min(stream.exchange.deadline, deadline)
+            data = stream.sent.conn.read_some(read_until)
             if isinstance(data, failures.Failure):
                 migrated = self._resume_at_target(stream)
                 if migrated is None:
@@ -227,7 +227,7 @@
         if not self._budget.take(stream.service.name):
             raise reply_.BrokenAnswer('no_budget')
         stream.sent.place.release()
-        place = self._places.choose(exchange, stream.service, stream.tried)
+        place = self._placement.choose(exchange, stream.service, stream.tried)
         if place is None:
             raise reply_.BrokenAnswer('no_upstream')
         stream.tried.add(place.view.name)
@@ -353,7 +353,8 @@
         """Store the result of the migration; None if it failed."""
         migration = self._migration
         if migration is None:
-            # The stream was closed in the meantime, so nothing resumes.
+            # Nothing waits any more: the stream was closed, or the wait for
+            # the migration timed out.
             if migrated is not None:
                 migrated.place.release()
             return
