--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -17,7 +17,7 @@
 from peridotmast.coordination import fleet_clock
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.duties import holder as holder_
+from peridotmast.duties import duty_holder
 from peridotmast.duties import usage_reporter
 from peridotmast.embedded import shape as shape_
 from peridotmast import failures
@@ -79,7 +79,7 @@
         for other in context.starts:
             members.hear(member_of(context, other))
         lease = lease_.Lease(None, 'l', me, me, 4000, 600, context.clock)
-        holder = holder_.DutyHolder(lease, members, (), context.clock)
+        holder = duty_holder.DutyHolder(lease, members, (), context.clock)
         found[holder._rank()] = me
     return [found[rank] for rank in range(len(found))]
 
@@ -112,19 +112,19 @@
     """A duty that leaves something, and remembers what was left to it."""
 
     def __init__(self):
-        self.changes = 0
+        self.state_version = 0
         self.needed = 0
         self.left = []
 
-    def begin(self, left):
+    def start(self, left):
         self.left.append(left)
 
-    def act(self, fencing):
+    def run(self, fencing):
         pass
 
-    def leave(self, left):
+    def save(self, left):
         left.needs['pool'] = self.needed
-        for _ in range(self.changes):
+        for _ in range(self.state_version):
             left.orders.add(service='pool', coming=5)
 
 
@@ -145,7 +145,7 @@
         self._members = members_.Members(member_of(context, name), clock, 1000)
         self._peers = [member_of(context, other) for other in context.starts]
         self._runs = context.runs if 'runs' in context else []
-        self._holder = holder_.DutyHolder(
+        self._holder = duty_holder.DutyHolder(
             self.lease,
             self._members,
             (self.duty,),
@@ -168,7 +168,7 @@
         for peer in self._peers:
             self._members.hear(peer)
         self._holder.keep_lease()
-        self._holder.act()
+        self._holder.run_duties()
 
 
 def start_all(context, run):
@@ -254,7 +254,7 @@
 @when('{ms:d} ms later it orders, and is killed {later:d} ms after that')
 def orders_and_ends(context, ms, later):
     go_on(context, ms)
-    context.runs[0].duty.changes += 1
+    context.runs[0].duty.state_version += 1
     go_on(context, later)
     context.runs.pop(0)
 
@@ -490,9 +490,9 @@
 @when('the next holder begins')
 def next_holder(context):
     context.reporter = reporter(context)
-    context.reporter.begin(None)
+    context.reporter.start(None)
     for _ in range(4):
-        context.reporter.act(2)
+        context.reporter.run(2)
         context.clock.advance(WINDOW_MS // 2)
 
 
@@ -511,7 +511,7 @@
     set_up(context, 10)
     context.usage.began('noor')
     context.reporter = reporter(context)
-    context.reporter.begin(None)
+    context.reporter.start(None)
     context.store.lose_next = 1
 
 
@@ -521,7 +521,7 @@
         context.clock.advance(400)
         if number == 15:
             context.usage.began('noor')
-        context.reporter.act(1)
+        context.reporter.run(1)
 
 
 @then('each window was sent once, with what was written down')
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -18,10 +18,10 @@
 from peridotmast.coordination import tally
 from peridotmast.duties import capacity_plan
 from peridotmast.duties import event_plan
-from peridotmast.duties import need as need_
-from peridotmast.duties import order_book
-from peridotmast.duties import scale_round
+from peridotmast.duties import order_tracker
+from peridotmast.duties import required_capacity
 from peridotmast.duties import scaler as scaler_
+from peridotmast.duties import service_reconciler
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import demand as demand_
 from peridotmast.serving import reading
@@ -49,8 +49,8 @@
     context.market = capacity_plan.Market(
         market.prices,
         market.reclaimable_price,
-        market.least,
-        market.most,
+        market.min_per_domain,
+        market.max_per_domain,
         dict.fromkeys(DOMAINS, 0),
     )
 
@@ -77,7 +77,7 @@
 @then('the wanted ones include those {count:d}')
 def include(context, count):
     assert context.mix.firm['c'] >= count, context.mix
-    assert context.mix.left >= 3, context.mix
+    assert context.mix.left_after_loss >= 3, context.mix
 
 
 @then(
@@ -118,11 +118,11 @@
     mix = capacity_plan.cheapest_mix(market, needed)
     for domain in market.prices:
         total = mix.reclaimable[domain] + mix.firm[domain]
-        assert total <= max(market.most, market.least), mix
+        assert total <= max(market.max_per_domain, market.min_per_domain), mix
         assert mix.reclaimable[domain] <= market.limit(domain, True), mix
     best = brute_force(market, needed)
     if best is not None:
-        assert mix.left >= needed, (mix, best)
+        assert mix.left_after_loss >= needed, (mix, best)
         assert market.price(mix) <= market.price(best) + 1e-9, (mix, best)
 
 
@@ -133,16 +133,19 @@
     """
     names = sorted(market.prices, key=lambda d: (market.prices[d], d))
     ranges = [range(market.limit(domain, True) + 1) for domain in names] + [
-        range(market.most + 1) for _ in names
+        range(market.max_per_domain + 1) for _ in names
     ]
     found = []
     for counts in itertools.product(*ranges):
         spot, firm = counts[: len(names)], counts[len(names) :]
         totals = [a + b for a, b in zip(spot, firm)]
-        if any(t > market.most for t in totals):
+        if any(t > market.max_per_domain for t in totals):
             continue
         mix = capacity_plan.Mix(dict(zip(names, spot)), dict(zip(names, firm)))
-        if mix.left >= needed and min(totals) >= market.least:
+        if (
+            mix.left_after_loss >= needed
+            and min(totals) >= market.min_per_domain
+        ):
             found.append(mix)
     return min(found, key=market.price, default=None)
 
@@ -155,17 +158,17 @@
     mix = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, spot // 4), {'b': 1, 'c': firm - 1}
     )
-    found = capacity_plan.spare(context.market, mix, needed)
+    found = capacity_plan.find_removable(context.market, mix, needed)
     assert found == ('c', False), found
     tight = capacity_plan.Mix(dict.fromkeys(DOMAINS, 1), {})
-    assert capacity_plan.spare(context.market, tight, needed) is None
+    assert capacity_plan.find_removable(context.market, tight, needed) is None
 
 
 @then('a plan is kept for the same need, floor and market, and for no other')
 def plan_kept(context):
-    plans = capacity_plan.Plans()
+    plans = capacity_plan.PlanCache()
     floor = capacity_plan.Mix({'a': 1}, {'b': 1})
-    scarce = dataclasses.replace(context.market, reclaimable_most={'b': 0})
+    scarce = dataclasses.replace(context.market, reclaimable_limits={'b': 0})
     asked = [
         (context.market, 3, None),
         (context.market, 4, None),
@@ -210,7 +213,7 @@
     """Look at the service once, as the scaler does."""
     service = scaled_service(DOMAINS)
     context.orders.taken.clear()
-    round_ = scale_round.ScaleRound(
+    round_ = service_reconciler.ServiceReconciler(
         context.orders,
         context.book,
         context.plans,
@@ -223,15 +226,15 @@
     )
     round_.order_reclaimable()
     round_.order_firm()
-    round_.give_back(one=False)
+    round_.remove_excess(only_one=False)
 
 
 @given('{needed:d} are needed and one each is there, and {firm:d} firm ones')
 def needed_and_there(context, needed, firm):
     context.clock = clock_.ManualClock()
-    context.book = order_book.OrderBook(context.clock)
+    context.book = order_tracker.OrderTracker(context.clock)
     context.orders = _TakenOrders()
-    context.plans = capacity_plan.Plans()
+    context.plans = capacity_plan.PlanCache()
     context.there = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, 1), {**dict.fromkeys(DOMAINS, 0), 'b': firm}
     )
@@ -271,14 +274,14 @@
 @given('an order book')
 def an_order_book(context):
     context.clock = clock_.ManualClock()
-    context.book = order_book.OrderBook(context.clock)
+    context.book = order_tracker.OrderTracker(context.clock)
 
 
 @when('an order is refused {count:d} times')
 def refused_times(context, count):
     context.pauses = []
     for _ in range(count):
-        context.book.refused(KEY)
+        context.book.record_refused(KEY)
         waited = 0
         while not context.book.may_order(KEY):
             context.clock.advance(100)
@@ -289,14 +292,14 @@
 @then('the pauses before the next were {a:d}, {b:d} and {c:d} ms')
 def the_pauses(context, a, b, c):
     assert context.pauses == [a, b, c], context.pauses
-    assert context.book.is_closed(KEY)
-    context.book.given(KEY, 0, 1, 0)
-    assert not context.book.is_closed(KEY)
+    assert context.book.is_refused(KEY)
+    context.book.record_accepted(KEY, 0, 1, 0)
+    assert not context.book.is_refused(KEY)
 
 
 @when('{count:d} upstreams are ordered that boot in {ms:d} ms')
 def are_ordered(context, count, ms):
-    context.book.given(KEY, 0, count, ms)
+    context.book.record_accepted(KEY, 0, count, ms)
 
 
 @then('{count:d} are expected at once, and 0 after {ms:d} ms')
@@ -350,14 +353,14 @@
     (phase,) = event_plan.plan(context.event_config, context.now)
     assert phase.order_at == context.start - lead, phase
     ends = context.start + 600_000 + linger
-    assert phase.gives_back_at == ends, phase
+    assert phase.release_at == ends, phase
     assert phase.needed == 4, phase
     for at, needed in (
         (phase.order_at - 1, 0),
         (phase.order_at, 4),
         (ends, 0),
     ):
-        found = event_plan.needed_for([phase], 'pool', at)
+        found = event_plan.upstreams_needed([phase], 'pool', at)
         assert found == needed, (at, found)
     assert not event_plan.plan(context.event_config, ends)
 
@@ -434,9 +437,12 @@
 
 def rate_of(count):
     """Return a rate that `count` upstreams carry and one less does not."""
-    root = (math.sqrt(need_._SCATTER**2 + 4 * count) - need_._SCATTER) / 2
-    speed = PER_ENGINE * need_._PRIOR_SPEED
-    return 0.999 * root**2 * speed / need_._READ_SHARE
+    root = (
+        math.sqrt(required_capacity._SCATTER**2 + 4 * count)
+        - required_capacity._SCATTER
+    ) / 2
+    speed = PER_ENGINE * required_capacity._PRIOR_SPEED
+    return 0.999 * root**2 * speed / required_capacity._READ_SHARE
 
 
 class _Demand:
@@ -485,7 +491,7 @@
         context.clock,
         context.clock.wall,
     )
-    context.scaler.needs.settled = True
+    context.scaler.estimator.startup_complete = True
     context.service = pb.Service(name='pool')
     context.live = count
     context.revision = 0
@@ -494,7 +500,7 @@
 def need(context, ms=0):
     context.clock.advance(ms)
     per_engine = context.scaler_config.policy.tokens_per_second
-    return context.scaler.needs.of(
+    return context.scaler.estimator.estimate(
         context.service.name,
         context.live,
         0,
@@ -506,8 +512,10 @@
 
 @given('an upstream can carry {count:d} requests per second')
 def set_request_size(context, count):
-    speed = PER_ENGINE * need_._PRIOR_SPEED
-    context.demand.request_tokens = speed / need_._READ_SHARE / count
+    speed = PER_ENGINE * required_capacity._PRIOR_SPEED
+    context.demand.request_tokens = (
+        speed / required_capacity._READ_SHARE / count
+    )
 
 
 @when('upstreams state limits of {a:d}, {b:d} and {c:d} requests per second')
@@ -529,7 +537,7 @@
 @given('a scaler with {count:d} upstreams at the start of its fleet')
 def scaler_at_start(context, count):
     a_scaler(context, count)
-    context.scaler.needs.settled = False
+    context.scaler.estimator.startup_complete = False
     context.demand.known = False
 
 
@@ -538,10 +546,10 @@
     context.live = count
     for number in range(count):
         enter(context, f'u-{number}', 'fd-1', False)
-    context.scaler.needs.look(is_first=True)
-    assert not context.scaler.needs.settled
+    context.scaler.estimator.track_startup(is_first=True)
+    assert not context.scaler.estimator.startup_complete
     context.clock.advance(ms)
-    context.scaler.act(1)
+    context.scaler.run(1)
 
 
 @when(
@@ -551,19 +559,19 @@
 def reclaimable_come(context, count, more, ms):
     for number in range(count):
         enter(context, f'u-{number}', 'fd-1', False)
-    context.scaler.needs.look(is_first=True)
+    context.scaler.estimator.track_startup(is_first=True)
     context.clock.advance(ms)
     for number in range(more):
         enter(context, f'r-{number}', 'fd-1', True)
-    context.scaler.needs.look(is_first=True)
-    assert not context.scaler.needs.settled
+    context.scaler.estimator.track_startup(is_first=True)
+    assert not context.scaler.estimator.startup_complete
 
 
 @then('the start is over {ms:d} ms after that')
 def start_is_over(context, ms):
     context.clock.advance(ms)
-    context.scaler.needs.look(is_first=True)
-    assert context.scaler.needs.settled
+    context.scaler.estimator.track_startup(is_first=True)
+    assert context.scaler.estimator.startup_complete
 
 
 @when("the demand comes to be known as {count:d} upstreams'")
@@ -620,7 +628,7 @@
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(scaled_service(START_DOMAINS))
-    context.scaler.needs.settled = False
+    context.scaler.estimator.startup_complete = False
     for number in range(count):
         enter(context, f'firm-{number}', START_DOMAINS[number % 4], False)
 
@@ -628,13 +636,13 @@
 @when('the scaler acts until its reclaimable ones are there')
 def acts_until(context):
     for _ in range(12):
-        context.scaler.act(1)
+        context.scaler.run(1)
         context.clock.advance(250)
     context.ordered = list(context.orders.taken)
     for domain, count, reclaimable in context.ordered:
         for number in range(count if reclaimable else 0):
             enter(context, f'{domain}-{number}', domain, True)
-    context.scaler.act(1)
+    context.scaler.run(1)
 
 
 @given(
@@ -645,19 +653,19 @@
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(scaled_service(START_DOMAINS))
-    context.scaler.needs.settled = False
+    context.scaler.estimator.startup_complete = False
     for domain in START_DOMAINS:
         for number in range(reclaimable):
             enter(context, f'{domain}-{number}', domain, True)
     context.took_over = reclaimable * len(START_DOMAINS)
     context.left = pb.DutiesLeft(at_ms=context.clock.wall())
-    context.scaler.begin(context.left)
+    context.scaler.start(context.left)
 
 
 @given('the one before has found {count:d} to be needed')
 def found_needed(context, count):
     context.left.needs['pool'] = count
-    context.scaler.begin(context.left)
+    context.scaler.start(context.left)
 
 
 @given('it has ordered {count:d} more in "{domain}", which come in {ms:d} ms')
@@ -671,13 +679,13 @@
         coming=count,
         within_ms=ms,
     )
-    context.scaler.begin(context.left)
+    context.scaler.start(context.left)
 
 
 @given('all that was {ms:d} ms ago')
 def was_ago(context, ms):
     context.clock.advance(ms)
-    context.scaler.begin(context.left)
+    context.scaler.start(context.left)
 
 
 @then('no order was for fewer than {count:d} in "{domain}"')
@@ -690,7 +698,7 @@
 def acts_for(context, ms):
     context.demand.value = 100.0
     for _ in range(ms // 250):
-        context.scaler.act(2)
+        context.scaler.run(2)
         context.clock.advance(250)
 
 
@@ -715,7 +723,7 @@
 
 @then('at its first look {count:d} more were ordered')
 def ordered_at_first(context, count):
-    context.scaler.act(2)
+    context.scaler.run(2)
     counts = live_by_domain(context)
     wanted = {d: n for d, n, reclaimable in context.orders.taken}
     more = sum(n - counts[domain] for domain, n in wanted.items())
@@ -726,7 +734,7 @@
 def given_back_after(context, count, ms):
     before = sum(live_by_domain(context).values())
     for _ in range(ms // 250):
-        context.scaler.act(2)
+        context.scaler.run(2)
         context.clock.advance(250)
     after = sum(live_by_domain(context).values())
     assert before - after == count, (before, after)
@@ -777,7 +785,9 @@
 
 
 def whole_need(context):
-    return context.scaler.needs.of('pool', context.live, 0, PER_ENGINE, 0.03)
+    return context.scaler.estimator.estimate(
+        'pool', context.live, 0, PER_ENGINE, 0.03
+    )
 
 
 @when("the demand is {usual:d} upstreams' and seldom {seldom:d}")
@@ -828,7 +838,7 @@
     ' lost'
 )
 def ordered_beside(context, count, live, lost):
-    context.book.given(KEY, live, count, 4000)
+    context.book.record_accepted(KEY, live, count, 4000)
     assert context.book.expected(KEY, live) == live + count
     context.there = live - lost
 
@@ -852,7 +862,7 @@
 @when('the scaler acts once for a demand of {count:d} upstreams')
 def acts_once(context, count):
     context.demand.value = rate_of(count)
-    context.scaler.act(1)
+    context.scaler.run(1)
 
 
 @then('no failure domain is asked for more than {count:d} in all')
@@ -870,7 +880,7 @@
 def more_than_needed(context, needed, count):
     needed_and_there(context, needed, 0)
     context.there.reclaimable.update(dict.fromkeys(DOMAINS, count))
-    context.book.refused(('pool', 'a', True))
+    context.book.record_refused(('pool', 'a', True))
 
 
 @then('no reclaimable one is given back')
@@ -889,7 +899,7 @@
 
 @when('its engines are seen to read {times:g} times as fast as is said')
 def seen_to_read(context, times):
-    speed = PER_ENGINE * need_._PRIOR_SPEED / 1000
+    speed = PER_ENGINE * required_capacity._PRIOR_SPEED / 1000
     context.demand.speed = speed * times
 
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -187,7 +187,7 @@
             revision=3,
         )
         self.members = members = members_.Members(
-            me, clock_.AwakeClock(world.clock, AWAKE_MS), 1250
+            me, clock_.StallTolerantClock(world.clock, AWAKE_MS), 1250
         )
         checks = invariants.Invariants(
             prometheus_client.CollectorRegistry(), fatal=True
--- a/src/peridotmast/clock.py
+++ b/src/peridotmast/clock.py
@@ -38,7 +38,7 @@
         return Millis(time.time_ns() // 1_000_000)
 
 
-class AwakeClock:
+class StallTolerantClock:
     """A clock that leaves out what its process stood still for.
 
     A process that did not run for a while (a busy or paused machine) has
--- a/src/peridotmast/packing.py
+++ b/src/peridotmast/compression.py
@@ -10,16 +10,16 @@
 """
 
 
-class Unpackable(ValueError):
+class DecompressionError(ValueError):
     """Raised for bytes that are not packed, or unpack to too much."""
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return `data` packed."""
     return zlib.compress(data, _LEVEL)
 
 
-def unpack(data: bytes, most: int) -> bytes:
+def decompress(data: bytes, most: int) -> bytes:
     """Return packed `data` unpacked.
 
     Parameters
@@ -29,14 +29,14 @@
 
     Raises
     ------
-    Unpackable
+    DecompressionError
         If it is not packed as it should be, or unpacks to more.
     """
     unpacking = zlib.decompressobj()
     try:
         found = unpacking.decompress(data, most)
     except zlib.error as exc:
-        raise Unpackable(str(exc)) from exc
+        raise DecompressionError(str(exc)) from exc
     if unpacking.unconsumed_tail:
-        raise Unpackable('unpacks to too much')
+        raise DecompressionError('unpacks to too much')
     return found
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -9,11 +9,11 @@
 
 from google.protobuf import message
 
+from peridotmast import compression
 from peridotmast.coordination import beacon_check
 from peridotmast.coordination import members as members_
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _SHOWN = 200
@@ -159,7 +159,7 @@
     def _pack(self, beacon: pb.Beacon) -> bytes:
         # One of 1.8 kB takes half the bytes, which are paid for between
         # failure domains, for 46 us a round and 15 us at each peer.
-        data = packing.pack(beacon.SerializeToString())
+        data = compression.compress(beacon.SerializeToString())
         return self._tag(data) + data
 
     def _unpack(self, data: bytes) -> ty.Optional[pb.Beacon]:
@@ -169,8 +169,10 @@
             self._log.warning('beacon_unsigned', size=len(data))
             return None
         try:
-            beacon = pb.Beacon.FromString(packing.unpack(body, _BEACON_BYTES))
-        except (packing.Unpackable, message.DecodeError) as exc:
+            beacon = pb.Beacon.FromString(
+                compression.decompress(body, _BEACON_BYTES)
+            )
+        except (compression.DecompressionError, message.DecodeError) as exc:
             self._log.warning('beacon_garbled', error=str(exc))
             return None
         found = beacon_check.check(beacon)
--- a/src/peridotmast/duties/capacity_plan.py
+++ b/src/peridotmast/duties/capacity_plan.py
@@ -29,23 +29,23 @@
         return sum(self.reclaimable.values()) + sum(self.firm.values())
 
     @property
-    def left(self) -> int:
-        """Upstreams left when one domain's reclaimable ones are taken."""
+    def left_after_loss(self) -> int:
+        """Upstreams left after losing one domain's reclaimable ones."""
         return self.total - max(self.reclaimable.values(), default=0)
 
-    def less(self, domain: str, reclaimable: bool) -> Mix:
+    def without_one(self, domain: str, reclaimable: bool) -> Mix:
         """Return the mix with one upstream less in `domain`."""
         kinds = [dict(self.firm), dict(self.reclaimable)]
         kinds[reclaimable][domain] -= 1
         return Mix(kinds[True], kinds[False])
 
-    def reason(self) -> str:
+    def describe(self) -> str:
         """Return what the mix is made for, in words."""
         spread = sum(count > 0 for count in self.reclaimable.values())
         return (
-            f'{self.left} of {self.total} are left without any one failure '
-            f'domain; {sum(self.reclaimable.values())} reclaimable over '
-            f'{spread} of them, {sum(self.firm.values())} firm'
+            f'{self.left_after_loss} of {self.total} are left without any one '
+            f'failure domain; {sum(self.reclaimable.values())} reclaimable '
+            f'over {spread} of them, {sum(self.firm.values())} firm'
         )
 
 
@@ -57,13 +57,13 @@
     """Price of a firm upstream by failure domain."""
     reclaimable_price: float
     """Price of a reclaimable one as a part of that."""
-    least: int
+    min_per_domain: int
     """Fewest upstreams in one failure domain."""
-    most: int
+    max_per_domain: int
     """Most upstreams in one failure domain."""
-    reclaimable_most: Counts = dataclasses.field(default_factory=dict)
+    reclaimable_limits: Counts = dataclasses.field(default_factory=dict)
     """Most reclaimable ones where fewer are to be had at the moment."""
-    firm_most: Counts = dataclasses.field(default_factory=dict)
+    firm_limits: Counts = dataclasses.field(default_factory=dict)
     """Most firm ones where fewer are to be had at the moment."""
 
     def price(self, mix: Mix) -> float:
@@ -79,8 +79,10 @@
 
     def limit(self, domain: str, reclaimable: bool) -> int:
         """Return the most upstreams of a kind in a failure domain."""
-        limits = self.reclaimable_most if reclaimable else self.firm_most
-        return min(self.most, limits.get(domain, self.most))
+        limits = self.reclaimable_limits if reclaimable else self.firm_limits
+        return min(
+            self.max_per_domain, limits.get(domain, self.max_per_domain)
+        )
 
 
 def market_of(service: pb.Service) -> Market:
@@ -93,7 +95,7 @@
     )
 
 
-class Plans:
+class PlanCache:
     """Keeps the last plans: what they follow from seldom changes.
 
     The holder of the duties asks four times a tick; at 512 upstreams a
@@ -110,16 +112,16 @@
         floor = floor or Mix({}, {})
         counted: tuple[dict[str, ty.Any], ...] = (
             market.prices,
-            market.reclaimable_most,
-            market.firm_most,
+            market.reclaimable_limits,
+            market.firm_limits,
             floor.reclaimable,
             floor.firm,
         )
         key = (
             needed,
             market.reclaimable_price,
-            market.least,
-            market.most,
+            market.min_per_domain,
+            market.max_per_domain,
             *(tuple(counts.items()) for counts in counted),
         )
         mix = self._kept.get(key)
@@ -147,15 +149,18 @@
     """
     floor = floor or Mix({}, {})
     lowest = max(floor.reclaimable.values(), default=0)
-    highest = max(lowest, min(market.most, max(needed, market.least)))
+    highest = max(
+        lowest, min(market.max_per_domain, max(needed, market.min_per_domain))
+    )
     heights = range(lowest, highest + 1)
     mixes = [_mix_up_to(market, needed, height, floor) for height in heights]
     return min(
-        mixes, key=lambda mix: (-min(mix.left, needed), market.price(mix))
+        mixes,
+        key=lambda mix: (-min(mix.left_after_loss, needed), market.price(mix)),
     )
 
 
-def spare(
+def find_removable(
     market: Market, mix: Mix, needed: int, wanted: ty.Optional[Counts] = None
 ) -> ty.Optional[tuple[str, bool]]:
     """Return the dearest upstream that `mix` can do without.
@@ -182,10 +187,13 @@
         if count > 0
     ]
     good = [
-        (market.price(mix) - market.price(mix.less(*candidate)), candidate)
+        (
+            market.price(mix) - market.price(mix.without_one(*candidate)),
+            candidate,
+        )
         for candidate in candidates
-        if mix.less(*candidate).left >= needed
-        and _count(mix, candidate[0]) > market.least
+        if mix.without_one(*candidate).left_after_loss >= needed
+        and _count(mix, candidate[0]) > market.min_per_domain
     ]
     return max(good)[1] if good else None
 
@@ -207,7 +215,9 @@
         if is_reclaimable:
             limit = min(limit, height)
         room = min(
-            limit - counts[domain], market.most - _count(mix, domain), missing
+            limit - counts[domain],
+            market.max_per_domain - _count(mix, domain),
+            missing,
         )
         counts[domain] += max(0, room)
         missing -= max(0, room)
@@ -234,7 +244,7 @@
     """
     for domain in market.prices:
         to_be_had = market.limit(domain, True)
-        lacking = market.least - reclaimable[domain] - firm[domain]
+        lacking = market.min_per_domain - reclaimable[domain] - firm[domain]
         room = min(height, to_be_had) - reclaimable[domain]
         taken = max(0, min(lacking, room))
         reclaimable[domain] += taken
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -24,18 +24,18 @@
         self._crashes = crashes
 
     @property
-    def changes(self) -> int:
+    def state_version(self) -> int:
         """Incremented when the blocked requests or their retries change."""
         return self._crashes.changes
 
-    def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Restore the blocked requests of the previous holder."""
         if left is not None:
             self._crashes.hear(left.crash_suspects)
 
-    def act(self, fencing: int) -> None:
+    def run(self, fencing: int) -> None:
         """Do nothing: this duty has no periodic work."""
 
-    def leave(self, left: pb.DutiesLeft) -> None:
+    def save(self, left: pb.DutiesLeft) -> None:
         """Store the blocked requests for the next holder."""
         left.crash_suspects.extend(self._crashes.blocked())
--- a/src/peridotmast/duties/duty.py
+++ b/src/peridotmast/duties/duty.py
@@ -11,10 +11,10 @@
     """Work of the lease's holder, done a little at each tick."""
 
     @property
-    def changes(self) -> int:
+    def state_version(self) -> int:
         """Grows with each change that the next holder must know of."""
 
-    def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Take the duty on.
 
         Parameters
@@ -24,8 +24,8 @@
             and nobody has had the duties since.
         """
 
-    def act(self, fencing: int) -> None:
+    def run(self, fencing: int) -> None:
         """Do what is due, with `fencing` on each order."""
 
-    def leave(self, left: pb.DutiesLeft) -> None:
+    def save(self, left: pb.DutiesLeft) -> None:
         """Fill in what the next holder is to know."""
--- a/src/peridotmast/duties/holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -106,7 +106,7 @@
             self._holding = False
             self._log.warning('duties_lost', fencing=self._lease.fencing)
 
-    def act(self) -> None:
+    def run_duties(self) -> None:
         """Do the duties, where the lease is held."""
         if not self._lease.may_act():
             return
@@ -114,12 +114,12 @@
             self._holding = True
             left = _read_left(self._lease.left)
             for duty in self._duties:
-                duty.begin(left)
+                duty.start(left)
             self._changes = self._count_changes()
             self._begun_with = self._lease.fencing
         for duty in self._duties:
             if self._lease.may_act():
-                duty.act(self._lease.fencing)
+                duty.run(self._lease.fencing)
 
     def release(self) -> None:
         """Give the duties up, in a planned stop."""
@@ -133,11 +133,11 @@
             return was_left
         left = pb.DutiesLeft(at_ms=self._fleet_now())
         for duty in self._duties:
-            duty.leave(left)
+            duty.save(left)
         return json_format.MessageToDict(left)
 
     def _count_changes(self) -> int:
-        return sum(duty.changes for duty in self._duties)
+        return sum(duty.state_version for duty in self._duties)
 
     def _is_news_due(self) -> bool:
         """Return whether there is what the next holder must know at once."""
--- a/src/peridotmast/duties/event_plan.py
+++ b/src/peridotmast/duties/event_plan.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Phase:
+class Reservation:
     """The upstreams of one service that one event needs, and when."""
 
     event: str
@@ -23,19 +23,19 @@
     """Upstreams that carry the expected load."""
     order_at: int
     """When they are ordered, in ms since 1970."""
-    opens_at: int
-    gives_back_at: int
+    starts_at: int
+    release_at: int
     mix: capacity_plan.Mix
     """What they cost least as."""
     price: float
     """Price of that, in upstreams of price 1."""
 
-    def is_due(self, now: int) -> bool:
+    def is_active(self, now: int) -> bool:
         """Return whether its upstreams are wanted at `now`."""
-        return self.order_at <= now < self.gives_back_at
+        return self.order_at <= now < self.release_at
 
 
-def plan(config: pb.Config, now: int) -> list[Phase]:
+def plan(config: pb.Config, now: int) -> list[Reservation]:
     """Return the phases of the events that are not over at `now`."""
     models = {model.name: model for model in config.models}
     routes = {route.name: route for route in config.routes}
@@ -55,24 +55,26 @@
     return phases
 
 
-def needed_for(phases: ty.Iterable[Phase], service: str, now: int) -> int:
+def upstreams_needed(
+    phases: ty.Iterable[Reservation], service: str, now: int
+) -> int:
     """Return the upstreams of `service` that events need at `now`."""
-    due = [p for p in phases if p.service == service and p.is_due(now)]
+    due = [p for p in phases if p.service == service and p.is_active(now)]
     return sum(phase.needed for phase in due)
 
 
-def explain(phases: ty.Sequence[Phase]) -> list[str]:
+def explain(phases: ty.Sequence[Reservation]) -> list[str]:
     """Return the plan as lines for operators, with a timeline."""
     lines = []
     for phase in sorted(phases, key=lambda phase: phase.order_at):
-        hours = (phase.gives_back_at - phase.order_at) / 3_600_000
+        hours = (phase.release_at - phase.order_at) / 3_600_000
         lines += [
             f'{_when(phase.order_at)}  order {phase.mix.total} of '
             f'{phase.service} for {phase.event}, '
             f'{phase.price:.2f} an hour, {phase.price * hours:.2f} in all',
-            f'{"":21}{phase.mix.reason()}; {phase.needed} carry the load',
-            f'{_when(phase.opens_at)}  {phase.event} opens',
-            f'{_when(phase.gives_back_at)}  give them back',
+            f'{"":21}{phase.mix.describe()}; {phase.needed} carry the load',
+            f'{_when(phase.starts_at)}  {phase.event} opens',
+            f'{_when(phase.release_at)}  give them back',
         ]
     return lines + _timeline(phases)
 
@@ -83,13 +85,13 @@
     service: pb.Service,
     policy: pb.Policy,
     ends: int,
-) -> Phase:
+) -> Reservation:
     load = event.tokens_per_second * policy.headroom
     needed = max(1, math.ceil(load / model.vm_tokens_per_second))
     market = capacity_plan.market_of(service)
     mix = capacity_plan.cheapest_mix(market, needed)
     lead = service.boot_ms + policy.warmup_ms + policy.margin_ms
-    return Phase(
+    return Reservation(
         event.name,
         service.name,
         needed,
@@ -106,18 +108,18 @@
     return moment.strftime('%Y-%m-%d %H:%M:%S')
 
 
-def _timeline(phases: ty.Sequence[Phase]) -> list[str]:
+def _timeline(phases: ty.Sequence[Reservation]) -> list[str]:
     """Draw each phase: ``.`` getting ready, ``#`` open or lingering."""
     if not phases:
         return []
     first = min(phase.order_at for phase in phases)
-    last = max(phase.gives_back_at for phase in phases)
+    last = max(phase.release_at for phase in phases)
     scale = _WIDTH / max(1, last - first)
     lines = ['']
     for phase in phases:
         start = int((phase.order_at - first) * scale)
-        opens = int((phase.opens_at - first) * scale)
-        ends = int((phase.gives_back_at - first) * scale)
+        opens = int((phase.starts_at - first) * scale)
+        ends = int((phase.release_at - first) * scale)
         bar = ' ' * start + '.' * (opens - start) + '#' * (ends - opens)
         lines.append(f'{phase.event:>16} |{bar:<{_WIDTH}}|')
     return lines
--- a/src/peridotmast/duties/order_book.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -39,7 +39,7 @@
     pause_ms: int
 
 
-class OrderBook:
+class OrderTracker:
     """Orders of one holder of the duty, by kind and failure domain.
 
     Parameters
@@ -52,10 +52,10 @@
         self._clock = clock
         self._pending: dict[Key, _Pending] = {}
         self._closed: dict[Key, _Closed] = {}
-        self.changes = 0
+        self.accepted_count = 0
         """Orders that were given."""
 
-    def leave(self) -> ty.Iterator[pb.OrderLeft]:
+    def save(self) -> ty.Iterator[pb.OrderLeft]:
         """Yield what was ordered and has not come, for the next holder."""
         now = self._clock.now()
         for (service, domain, reclaimable), order in self._pending.items():
@@ -68,7 +68,7 @@
                 within_ms=max(0, order.until - now),
             )
 
-    def take_over(self, orders: ty.Iterable[pb.OrderLeft]) -> None:
+    def restore(self, orders: ty.Iterable[pb.OrderLeft]) -> None:
         """Take in what another holder has ordered."""
         now = self._clock.now()
         for order in orders:
@@ -95,7 +95,7 @@
             return live
         return live + pending.coming
 
-    def is_closed(self, key: Key) -> bool:
+    def is_refused(self, key: Key) -> bool:
         """Return whether an order there was refused and none went since."""
         return key in self._closed
 
@@ -104,14 +104,16 @@
         closed = self._closed.get(key)
         return closed is None or self._clock.now() >= closed.until
 
-    def given(self, key: Key, live: int, coming: int, boot_ms: int) -> None:
+    def record_accepted(
+        self, key: Key, live: int, coming: int, boot_ms: int
+    ) -> None:
         """Note an order that was taken, for so many beside those there."""
         self._closed.pop(key, None)
-        self.changes += 1
+        self.accepted_count += 1
         until = self._clock.now() + boot_ms + _BOOT_SLACK_MS
         self._pending[key] = _Pending(live, coming, until)
 
-    def refused(self, key: Key) -> None:
+    def record_refused(self, key: Key) -> None:
         """Note an order that could not be met, and wait longer each time."""
         closed = self._closed.get(key)
         pause = _FIRST_PROBE_MS
@@ -119,13 +121,13 @@
             pause = min(_LAST_PROBE_MS, closed.pause_ms * 2)
         self._closed[key] = _Closed(self._clock.now() + pause, pause)
 
-    def failed(self, key: Key) -> None:
+    def record_unknown_outcome(self, key: Key) -> None:
         """Note an order whose outcome is not known."""
         self._pending.pop(key, None)
         until = self._clock.now() + _AGAIN_MS
         self._closed[key] = _Closed(until, _FIRST_PROBE_MS)
 
-    def close_others(self, key: Key, keys: ty.Iterable[Key]) -> None:
+    def back_off_others(self, key: Key, keys: ty.Iterable[Key]) -> None:
         """Expect of `keys` what was refused for `key`, until one is tried.
 
         Where one failure domain has none to give, the others mostly have
@@ -137,7 +139,7 @@
                 other, _Closed(closed.until, closed.pause_ms)
             )
 
-    def open_others(self, keys: ty.Iterable[Key]) -> None:
+    def retry_others(self, keys: ty.Iterable[Key]) -> None:
         """Try `keys` again at once: one failure domain has some to give."""
         for key in keys:
             closed = self._closed.get(key)
--- a/src/peridotmast/duties/need.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -54,13 +54,13 @@
 
 
 @dataclasses.dataclass
-class Need:
+class RequiredCapacity:
     """How many upstreams carry a service's demand."""
 
     count: int
-    since: int
+    lower_since: int
     """Since when fewer would do, in ms."""
-    known: bool
+    is_measured: bool
     """Whether it follows from the demand."""
     is_guess: bool = False
     """Whether it follows from nothing but what the fleet was started with."""
@@ -71,7 +71,7 @@
     """How many of them make up for the rate limits of other upstreams."""
 
 
-class Needs:
+class CapacityEstimator:
     """Rises with the demand at once and falls slowly.
 
     Until the demand is known, what the holder before has found to be needed
@@ -97,31 +97,33 @@
         self._table = table
         self._demand = demand
         self._clock = clock
-        self._needs: dict[str, Need] = {}
+        self._needs: dict[str, RequiredCapacity] = {}
         self._left: dict[str, int] = {}
         self._is_first = True
         self._seen: dict[str, set[str]] = collections.defaultdict(set)
         self._new_at = 0
-        self.knows_late: ty.Callable[[], bool] = lambda: False
+        self.is_load_stale: ty.Callable[[], bool] = lambda: False
         """Whether routers know of each other's work later than it lasts."""
-        self.settled = False
+        self.startup_complete = False
         """Whether what the fleet starts with has come."""
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew with the next look at each service."""
         self._needs = {}
         self._left = {}
 
-    def leave(self) -> dict[str, int]:
+    def save(self) -> dict[str, int]:
         """Return what is needed of each service, for the next holder."""
-        known = {name: n.count for name, n in self._needs.items() if n.known}
+        known = {
+            name: n.count for name, n in self._needs.items() if n.is_measured
+        }
         return {**self._left, **known}
 
-    def take_over(self, left: dict[str, int]) -> None:
+    def restore(self, left: dict[str, int]) -> None:
         """Take in what the holder before has found to be needed."""
         self._left = left
 
-    def look(self, is_first: bool) -> None:
+    def track_startup(self, is_first: bool) -> None:
         """Take note of the upstreams that the fleet starts with.
 
         Those are firm; reclaimable ones come because they were ordered.
@@ -133,8 +135,8 @@
             was not started by operators, and has come already.
         """
         self._is_first = is_first
-        self.settled = self.settled or not is_first
-        if self.settled:
+        self.startup_complete = self.startup_complete or not is_first
+        if self.startup_complete:
             return
         now = self._clock.now()
         for view in self._table.all():
@@ -144,9 +146,9 @@
             if view.name not in seen:
                 self._new_at = now
                 seen.add(view.name)
-        self.settled = now - self._new_at >= _SETTLED_MS
+        self.startup_complete = now - self._new_at >= _SETTLED_MS
 
-    def of(
+    def estimate(
         self,
         service: str,
         live: int,
@@ -154,7 +156,7 @@
         per_engine: float,
         exceeded: float,
         limits: ty.Collection[float] = (),
-    ) -> Need:
+    ) -> RequiredCapacity:
         """Return how many upstreams carry the demand of `service`.
 
         Parameters
@@ -179,7 +181,7 @@
         need.reserve = max(
             need.count, self._staff(service, peak, per_engine) + shortfall
         )
-        if not need.known:
+        if not need.is_measured:
             need.reserve = max(need.reserve, len(self._seen[service]))
         return need
 
@@ -192,7 +194,7 @@
         Halfin and Whitt, 1981).
         """
         load = rate * _READ_SHARE / self._reading_speed(service, per_engine)
-        scatter = _SCATTER_LATE if self.knows_late() else _SCATTER
+        scatter = _SCATTER_LATE if self.is_load_stale() else _SCATTER
         return math.ceil(load + scatter * math.sqrt(load))
 
     def _reading_speed(self, service: str, per_engine: float) -> float:
@@ -229,36 +231,36 @@
         planned: int,
         per_engine: float,
         limit_shortfall: int,
-    ) -> Need:
+    ) -> RequiredCapacity:
         now = self._clock.now()
         rate = self._demand.rate(service)
         wanted = limit_shortfall + max(
             _LEAST_NEEDED, planned, self._staff(service, rate, per_engine)
         )
         known = self._demand.is_known(service)
-        if not self.settled:
-            return Need(wanted, now, known)
+        if not self.startup_complete:
+            return RequiredCapacity(wanted, now, known)
         need = self._needs.get(service)
         if need is None:
-            need = Need(wanted, now, True)
+            need = RequiredCapacity(wanted, now, True)
             if not known:
                 need = self._prior(service, live, now)
             self._needs[service] = need
         if wanted >= need.count or (known and need.is_guess):
             need.count = wanted
-            need.since = now
-        elif known and now - need.since >= _CALM_MS:
+            need.lower_since = now
+        elif known and now - need.lower_since >= _CALM_MS:
             need.count -= 1
-            need.since = now
-        need.known = need.known or known
+            need.lower_since = now
+        need.is_measured = need.is_measured or known
         need.is_guess = need.is_guess and not known
         return need
 
-    def _prior(self, service: str, live: int, now: int) -> Need:
+    def _prior(self, service: str, live: int, now: int) -> RequiredCapacity:
         """Return what is needed as far as is known without the demand."""
         if service in self._left:
-            return Need(self._left[service], now, False)
+            return RequiredCapacity(self._left[service], now, False)
         if self._is_first:
             guess = math.ceil(live * _PRIOR_SHARE)
-            return Need(guess, now, False, is_guess=True)
-        return Need(live, now, False)
+            return RequiredCapacity(guess, now, False, is_guess=True)
+        return RequiredCapacity(live, now, False)
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -7,9 +7,9 @@
 from peridotmast import clock as clock_
 from peridotmast.duties import capacity_plan
 from peridotmast.duties import event_plan
-from peridotmast.duties import need as need_
-from peridotmast.duties import order_book
-from peridotmast.duties import scale_round
+from peridotmast.duties import order_tracker
+from peridotmast.duties import required_capacity
+from peridotmast.duties import service_reconciler
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import demand as demand_
 from peridotmast.serving import upstream_limits as upstream_limits_
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    orders : scale_round.Orders
+    orders : service_reconciler.OrderSink
         Where upstreams are ordered.
     config : callable
         Returns the configuration in force.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        orders: scale_round.Orders,
+        orders: service_reconciler.OrderSink,
         config: ty.Callable[[], pb.Config],
         table: upstreams_.UpstreamTable,
         demand: demand_.Demand,
@@ -70,42 +70,44 @@
         self._limits = limits
         self._clock = clock
         self._fleet_now = fleet_now
-        self._book = order_book.OrderBook(clock)
-        self._plans = capacity_plan.Plans()
-        self.needs = need_.Needs(table, demand, clock)
+        self._book = order_tracker.OrderTracker(clock)
+        self._plans = capacity_plan.PlanCache()
+        self.estimator = required_capacity.CapacityEstimator(
+            table, demand, clock
+        )
         """How many upstreams the demand needs."""
         self._gave_back_at = 0
 
     @property
-    def changes(self) -> int:
+    def state_version(self) -> int:
         """Orders that were given."""
-        return self._book.changes
+        return self._book.accepted_count
 
-    def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Go on from what the holder before has left."""
         if left is None:
             return
         self._book.clear()
-        self.needs.forget()
+        self.estimator.reset()
         if abs(self._fleet_now() - left.at_ms) <= _OLD_MS:
-            self._book.take_over(left.orders)
-            self.needs.take_over(dict(left.needs))
+            self._book.restore(left.orders)
+            self.estimator.restore(dict(left.needs))
 
-    def leave(self, left: pb.DutiesLeft) -> None:
+    def save(self, left: pb.DutiesLeft) -> None:
         """Fill in what is needed and what was ordered."""
-        left.needs.update(self.needs.leave())
-        left.orders.extend(self._book.leave())
+        left.needs.update(self.estimator.save())
+        left.orders.extend(self._book.save())
 
-    def act(self, fencing: int) -> None:
+    def run(self, fencing: int) -> None:
         """Order what is due."""
         config = self._config()
         if config.policy.scaling == FIXED:
             return
-        self.needs.look(is_first=fencing <= _FIRST)
+        self.estimator.track_startup(is_first=fencing <= _FIRST)
         phases = event_plan.plan(config, self._fleet_now())
         for service in config.services:
             if service.scaled:
-                planned = event_plan.needed_for(
+                planned = event_plan.upstreams_needed(
                     phases, service.name, self._fleet_now()
                 )
                 self._look_at(service, config.policy, planned, fencing)
@@ -118,7 +120,7 @@
         fencing: int,
     ) -> None:
         live = self._count_live(service)
-        need = self.needs.of(
+        need = self.estimator.estimate(
             service.name,
             live.total,
             planned,
@@ -126,7 +128,7 @@
             service.reclaimable_price / policy.shortage_price,
             self._live_limits(service),
         )
-        look = scale_round.ScaleRound(
+        look = service_reconciler.ServiceReconciler(
             self._orders,
             self._book,
             self._plans,
@@ -136,18 +138,18 @@
             need.reserve,
             fencing,
             int(self._demand.rate(service.name)),
-            reading=self._demand.reading(service.name) or 0,
+            reading_speed=self._demand.reading(service.name) or 0,
             limit_shortfall=need.limit_shortfall,
-            may_be_reclaimed=policy.scaling != REACTIVE,
+            allow_reclaimable=policy.scaling != REACTIVE,
         )
         look.order_reclaimable()
-        if not self.needs.settled:
+        if not self.estimator.startup_complete:
             return
         look.order_firm()
         now = self._clock.now()
         if now - self._gave_back_at >= _GIVE_BACK_MS:
             # The next one may be missed, where there is demand that could.
-            if look.give_back(one=not need.is_guess):
+            if look.remove_excess(only_one=not need.is_guess):
                 self._gave_back_at = now
 
     def _live_limits(self, service: pb.Service) -> list[float]:
--- a/src/peridotmast/duties/scale_round.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -6,13 +6,13 @@
 import typing as ty
 
 from peridotmast.duties import capacity_plan
-from peridotmast.duties import order_book
+from peridotmast.duties import order_tracker
 from peridotmast import failures
 from peridotmast import logs
 from peridotmast.schema import peridotmast_pb2 as pb
 
 
-class Orders(ty.Protocol):
+class OrderSink(ty.Protocol):
     """Where upstreams are ordered."""
 
     def order(
@@ -26,16 +26,16 @@
         """Order so many upstreams of a service in a failure domain."""
 
 
-class ScaleRound:
+class ServiceReconciler:
     """Orders what is missing, gives back what is too much.
 
     Parameters
     ----------
-    orders : Orders
+    orders : OrderSink
         Where upstreams are ordered.
-    book : order_book.OrderBook
+    book : order_tracker.OrderTracker
         What was ordered and refused before.
-    plans : capacity_plan.Plans
+    plans : capacity_plan.PlanCache
         Makes the plans and keeps them.
     service : pb.Service
         The service.
@@ -50,30 +50,30 @@
         Number of the holder that orders.
     demand : int
         Tokens a second that `needed` was worked out from, for the log.
-    reading : float
+    reading_speed : float
         Tokens a ms that an engine was seen to read, for the log; 0 where
         that is not known.
     limit_shortfall : int
         Upstreams of `needed` that make up for the rate limits of others, for
         the log.
-    may_be_reclaimed : bool
+    allow_reclaimable : bool
         Whether reclaimable upstreams may be ordered.
     """
 
     def __init__(
         self,
-        orders: Orders,
-        book: order_book.OrderBook,
-        plans: capacity_plan.Plans,
+        orders: OrderSink,
+        book: order_tracker.OrderTracker,
+        plans: capacity_plan.PlanCache,
         service: pb.Service,
         live: capacity_plan.Mix,
         needed: int,
         reserve: int,
         fencing: int,
         demand: int,
-        reading: float = 0,
+        reading_speed: float = 0,
         limit_shortfall: int = 0,
-        may_be_reclaimed: bool = True,
+        allow_reclaimable: bool = True,
     ) -> None:
         self._orders = orders
         self._book = book
@@ -85,9 +85,9 @@
         self._reserve = max(needed, reserve)
         self._fencing = fencing
         self._demand = demand
-        self._reading = reading
+        self._reading = reading_speed
         self._limit_shortfall = limit_shortfall
-        self._may_be_reclaimed = may_be_reclaimed
+        self._may_be_reclaimed = allow_reclaimable
         self._log = logs.get('scaler')
 
     def order_reclaimable(self) -> None:
@@ -125,12 +125,12 @@
         for domain in self._domains:
             self._raise_to(domain, False, grown.firm[domain])
 
-    def give_back(self, one: bool) -> bool:
+    def remove_excess(self, only_one: bool) -> bool:
         """Give upstreams back that what is live can do without.
 
         Parameters
         ----------
-        one : bool
+        only_one : bool
             Whether to stop after the first.
 
         Returns
@@ -139,7 +139,7 @@
             Whether any was given back.
         """
         gave = self._give_one_back()
-        while gave and not one and self._give_one_back():
+        while gave and not only_one and self._give_one_back():
             pass
         return gave
 
@@ -187,8 +187,8 @@
             reclaimable = dict.fromkeys(self._domains, 0)
         return dataclasses.replace(
             capacity_plan.market_of(self._service),
-            reclaimable_most=reclaimable,
-            firm_most=firm,
+            reclaimable_limits=reclaimable,
+            firm_limits=firm,
         )
 
     @staticmethod
@@ -198,12 +198,12 @@
         """Return the counts of a mix, each with whether it is reclaimable."""
         return (True, mix.reclaimable), (False, mix.firm)
 
-    def _is_shut(self, key: order_book.Key, optimistic: bool) -> bool:
-        if not self._book.is_closed(key):
+    def _is_shut(self, key: order_tracker.Key, optimistic: bool) -> bool:
+        if not self._book.is_refused(key):
             return False
         return not (optimistic and self._book.may_order(key))
 
-    def _key(self, domain: str, reclaimable: bool) -> order_book.Key:
+    def _key(self, domain: str, reclaimable: bool) -> order_tracker.Key:
         return self._service.name, domain, reclaimable
 
     def _give_one_back(self) -> bool:
@@ -211,12 +211,12 @@
         wanted = self._plans.cheapest(market, self._reserve)
         keep = wanted.reclaimable
         if any(
-            self._book.is_closed(self._key(domain, True))
+            self._book.is_refused(self._key(domain, True))
             for domain in self._domains
         ):
             # What is given back now is not to be had again.
             keep = self._live.reclaimable
-        found = capacity_plan.spare(
+        found = capacity_plan.find_removable(
             market, self._live, self._firm_needed(self._live), keep
         )
         if found is None or self._expected().total < self._live.total:
@@ -225,7 +225,7 @@
         counts = self._live.reclaimable if reclaimable else self._live.firm
         if not self._order(domain, reclaimable, counts[domain] - 1):
             return False
-        self._live = self._live.less(domain, reclaimable)
+        self._live = self._live.without_one(domain, reclaimable)
         return True
 
     def _raise_to(self, domain: str, reclaimable: bool, count: int) -> bool:
@@ -254,7 +254,7 @@
             reclaimable=reclaimable,
             count=count,
             live=self._live.total,
-            left=self._live.left,
+            left=self._live.left_after_loss,
             needed=self._needed,
             reserve=self._reserve,
             demand=self._demand,
@@ -278,14 +278,16 @@
         key = self._key(domain, reclaimable)
         others = [self._key(other, reclaimable) for other in self._domains]
         if failure is None:
-            was_closed = book.is_closed(key)
+            was_closed = book.is_refused(key)
             counts = self._live.reclaimable if reclaimable else self._live.firm
             coming = max(0, count - counts[domain])
-            book.given(key, counts[domain], coming, self._service.boot_ms)
+            book.record_accepted(
+                key, counts[domain], coming, self._service.boot_ms
+            )
             if was_closed:
-                book.open_others(others)
+                book.retry_others(others)
         elif failure.kind is failures.FailureKind.CONFLICT:
-            book.refused(key)
-            book.close_others(key, others)
+            book.record_refused(key)
+            book.back_off_others(key, others)
         else:
-            book.failed(key)
+            book.record_unknown_outcome(key)
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -23,7 +23,7 @@
 after its due time."""
 
 
-class Reports(ty.Protocol):
+class UsageSink(ty.Protocol):
     """Where usage is reported to."""
 
     def report_usage(
@@ -43,7 +43,7 @@
     ----------
     usage : usage.Usage
         The counts.
-    reports : Reports
+    reports : UsageSink
         Where they go.
     store : objects.Objects
         Where they are written down first.
@@ -58,7 +58,7 @@
     def __init__(
         self,
         usage: usage_.Usage,
-        reports: Reports,
+        reports: UsageSink,
         store: objects.Objects,
         window_ms: int,
         fleet_now: ty.Callable[[], int],
@@ -77,20 +77,20 @@
         self._log = logs.get('usage')
 
     @property
-    def changes(self) -> int:
+    def state_version(self) -> int:
         """None that the next holder can't read in the store."""
         return 0
 
-    def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Forget what an earlier time as holder has left."""
         self._written = None
         self._sure = False
         self._unsent = False
 
-    def leave(self, left: pb.DutiesLeft) -> None:
+    def save(self, left: pb.DutiesLeft) -> None:
         """Leave nothing: what was reported is in the store."""
 
-    def act(self, fencing: int) -> None:
+    def run(self, fencing: int) -> None:
         """Write down and send what is due."""
         if not self._sure and not self._read():
             return
--- a/src/peridotmast/green.py
+++ b/src/peridotmast/green.py
@@ -124,7 +124,7 @@
     WRITE = select.EPOLLOUT
 
 
-class Readiness:
+class SocketPoller:
     """Waits for sockets that are waited for again and again.
 
     Eventlet's own wait enters a socket into the loop and takes it out
@@ -162,7 +162,7 @@
         finally:
             self._waiting.pop(fd, None)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """Leave `fd` out from now on; called before it is closed."""
         if fd in self._known:
             self._known.discard(fd)
@@ -215,7 +215,7 @@
             self._look_later(max(first, now + self._LOOK_S))
 
 
-readiness = Readiness()
+poller = SocketPoller()
 """The one set of this process."""
 
 
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -9,10 +9,10 @@
 from google.protobuf import message
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast import failures
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.router import config_asking
 from peridotmast.router import knowledge as knowledge_
 from peridotmast.router import peer_calls
@@ -156,9 +156,9 @@
             return False
         try:
             if reply.packed:
-                text = packing.unpack(reply.packed, _MEMBERS_BYTES)
+                text = compression.decompress(reply.packed, _MEMBERS_BYTES)
                 reply = pb.JoinReply.FromString(text)
-        except (packing.Unpackable, message.DecodeError) as exc:
+        except (compression.DecompressionError, message.DecodeError) as exc:
             self._log.error('peer_garbled', peer=address, error=str(exc)[:200])
             return False
         for member in reply.members:
--- a/src/peridotmast/router/chat_answers.py
+++ b/src/peridotmast/router/chat_answers.py
@@ -60,12 +60,12 @@
         finally:
             self.close()
         if isinstance(body, failures.Failure):
-            return web.from_failure(body, self._id)
+            return web.failure_response(body, self._id)
         if self.has_failed:
             failure = failures.unknown(
                 'engine_failed', str(self._reply.head.status)
             )
-            return web.from_failure(failure, self._id)
+            return web.failure_response(failure, self._id)
         texts = [text for _, text in _events(body)]
         message = {'role': 'assistant', 'content': ''.join(texts)}
         choice = {'index': 0, 'message': message, 'finish_reason': 'stop'}
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -82,11 +82,11 @@
     def _chat(self, req: web.Request) -> web.Response:
         asked = self._read_chat(req)
         if isinstance(asked, failures.Failure):
-            return web.from_failure(asked)
+            return web.failure_response(asked)
         call, body = asked
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
             return answer.whole()
@@ -100,16 +100,16 @@
     ) -> web.Response:
         call = self._read_service(req, service, name)
         if isinstance(call, failures.Failure):
-            return web.from_failure(call)
+            return web.failure_response(call)
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         try:
             body = chat_answers.collect(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
-            return web.from_failure(body, call.id)
+            return web.failure_response(body, call.id)
         response = web.Response(reply.head.status, body, 'text/plain')
         response.headers.append(('X-Request-Id', call.id))
         return response
--- a/src/peridotmast/router/config_asking.py
+++ b/src/peridotmast/router/config_asking.py
@@ -10,11 +10,11 @@
 
 from peridotmast import addresses
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast import failures
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.router import peer_calls
 from peridotmast.schema import peridotmast_pb2 as pb
 
@@ -343,7 +343,7 @@
 
     Raises
     ------
-    packing.Unpackable
+    compression.DecompressionError
         If it is not packed as it should be, or unpacks to too much.
     """
-    return packing.unpack(packed, _TEXT_BYTES) if packed else plain
+    return compression.decompress(packed, _TEXT_BYTES) if packed else plain
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -7,9 +7,9 @@
 import typing as ty
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _RATE = 250
@@ -121,7 +121,7 @@
         version, data = self._packed.get(what, (0, b''))
         if version != part.version:
             # 1,649 routes with random names, 421 kB, become 35 kB in 2 ms.
-            data = packing.pack(_text(part))
+            data = compression.compress(_text(part))
             self._packed[what] = part.version, data
         return data
 
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/knowledge.py
@@ -94,7 +94,7 @@
         )
         self.members = members_.Members(
             me,
-            clock_.AwakeClock(
+            clock_.StallTolerantClock(
                 clock, max(_LATE_MS, _LATE_BEACONS * cfg.beacon_ms)
             ),
             _SILENT_BEACONS * cfg.beacon_ms,
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -194,8 +194,11 @@
         return reply
 
     def _allow(self, caller: rpc.Caller, role: str) -> None:
-        """Raise `rpc.Denied` where the caller has not the role."""
-        if not self._tls.cert_file or self._tls.router_name in caller.others:
+        """Raise `rpc.PermissionDenied` where the caller has not the role."""
+        if (
+            not self._tls.cert_file
+            or self._tls.router_name in caller.alt_names
+        ):
             return
         operators = self._feed.config.operators
         if not operators and not self._feed.own.version:
@@ -203,7 +206,7 @@
             return
         if any(caller.name == o.name and role in o.may for o in operators):
             return
-        raise rpc.Denied(f'{caller.name or "nobody"} may not {role}')
+        raise rpc.PermissionDenied(f'{caller.name or "nobody"} may not {role}')
 
     def _node_status(self, member: pb.Member) -> pb.ConfigStatusReply.Node:
         node = pb.ConfigStatusReply.Node(name=member.name)
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -5,9 +5,9 @@
 import typing as ty
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast.coordination import members as members_
-from peridotmast import packing
 from peridotmast.router import config_copies
 from peridotmast import rpc
 from peridotmast.schema import peridotmast_pb2 as pb
@@ -65,7 +65,9 @@
         reply = pb.JoinReply(members=[self._members.me, *peers])
         if not req.takes_packed:
             return reply
-        return pb.JoinReply(packed=packing.pack(reply.SerializeToString()))
+        return pb.JoinReply(
+            packed=compression.compress(reply.SerializeToString())
+        )
 
     def FetchConfig(  # noqa: N802
         self, req: pb.ConfigRequest, caller: rpc.Caller
@@ -92,7 +94,9 @@
         return self._own_steps(req)
 
     def _check(self, caller: rpc.Caller) -> None:
-        """Raise `rpc.Denied` where the caller is no router."""
-        known = self._tls.router_name in caller.others
+        """Raise `rpc.PermissionDenied` where the caller is no router."""
+        known = self._tls.router_name in caller.alt_names
         if self._tls.cert_file and not known:
-            raise rpc.Denied(f'{caller.name or "nobody"} is no router')
+            raise rpc.PermissionDenied(
+                f'{caller.name or "nobody"} is no router'
+            )
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -12,7 +12,7 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import place
 from peridotmast.duties import crash_blocks
-from peridotmast.duties import holder as holder_
+from peridotmast.duties import duty_holder
 from peridotmast.duties import scaler as scaler_
 from peridotmast.duties import usage_reporter
 from peridotmast import green
@@ -178,7 +178,7 @@
             self._clock,
             fleet_now,
         )
-        scaler.needs.knows_late = self._peering.knows_late
+        scaler.estimator.is_load_stale = self._peering.knows_late
         reporter = usage_reporter.UsageReporter(
             self.serving.usage,
             self._cloud,
@@ -187,7 +187,7 @@
             fleet_now,
             self.checks,
         )
-        self._holder = holder_.DutyHolder(
+        self._holder = duty_holder.DutyHolder(
             self.lease,
             self.members,
             (
@@ -317,7 +317,7 @@
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
         every('keep_house', _HOUSEKEEPING_MS, self._keep_house)
         every('lease', _LEASE_TICK_MS, self._holder.keep_lease)
-        every('duties', _DUTY_TICK_MS, self._holder.act)
+        every('duties', _DUTY_TICK_MS, self._holder.run_duties)
 
     def _announce(self) -> None:
         """Tell the peers at once what has changed of this router."""
--- a/src/peridotmast/rpc.py
+++ b/src/peridotmast/rpc.py
@@ -115,12 +115,12 @@
                 grpc.StatusCode.DEADLINE_EXCEEDED,
             ):
                 # A channel that lost its peer silently must not be reused.
-                self.forget(address)
+                self.drop_channel(address)
             return failures.unavailable(
                 exc.code().name.lower(), exc.details() or ''
             )
 
-    def forget(self, address: str) -> None:
+    def drop_channel(self, address: str) -> None:
         """Drop the channel to `address`; the next call opens another."""
         channel = self._channels.pop(address, None)
         if channel is not None:
@@ -129,7 +129,7 @@
     def close(self) -> None:
         """Close all channels."""
         for address in list(self._channels):
-            self.forget(address)
+            self.drop_channel(address)
 
     async def _call(
         self, address: str, method: str, request: ty.Any, timeout_ms: int
@@ -152,11 +152,11 @@
 
     name: str = ''
     """Its common name; empty where it showed no certificate."""
-    others: frozenset[str] = frozenset()
+    alt_names: frozenset[str] = frozenset()
     """The other names in it, by which its role is told."""
 
 
-class Denied(Exception):
+class PermissionDenied(Exception):
     """Raised by a handler for a caller that may not do this."""
 
 
@@ -173,7 +173,7 @@
             caller = _caller(context)
             thread = green.spawn(self._guard, method, request, caller)
             result = await thread
-            if isinstance(result, Denied):
+            if isinstance(result, PermissionDenied):
                 self._log.warning('call_denied', method=name, peer=caller.name)
                 await context.abort(
                     grpc.StatusCode.PERMISSION_DENIED, str(result)
--- a/src/peridotmast/web.py
+++ b/src/peridotmast/web.py
@@ -117,16 +117,16 @@
         Program named in the log.
     max_body : int
         Largest body that is read, in bytes.
-    body_ms : int
+    body_timeout_ms : int
         Longest time without a byte of the body.
     """
 
     def __init__(
-        self, name: str, max_body: int = 1 << 20, body_ms: int = 10_000
+        self, name: str, max_body: int = 1 << 20, body_timeout_ms: int = 10_000
     ) -> None:
         self._log = logs.get(name)
         self._max_body = max_body
-        self._body_ms = body_ms
+        self._body_ms = body_timeout_ms
         self._routes: list[tuple[str, re.Pattern[str], Handler]] = []
 
     def route(self, method: str, pattern: str, handler: Handler) -> None:
@@ -233,7 +233,7 @@
     }[failure.kind]
 
 
-def from_failure(
+def failure_response(
     failure: failures.Failure, request_id: str = '', status: int = 0
 ) -> Response:
     """Return the response that tells a caller of `failure`."""
--- a/src/peridotmast/wire/connection.py
+++ b/src/peridotmast/wire/connection.py
@@ -87,7 +87,7 @@
         self._sock = sock
         sock.connect_ex((self._host, self._port))
         try:
-            ready = green.readiness.wait(
+            ready = green.poller.wait(
                 sock.fileno(), timeout_ms, green.Ready.WRITE
             )
         except BaseException:
@@ -132,7 +132,7 @@
     def close(self) -> None:
         """Close it; doing so twice is the same as once."""
         if self._sock is not None:
-            green.readiness.forget(self._sock.fileno())
+            green.poller.unregister(self._sock.fileno())
             if self.drops_unsent:
                 self._sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER
@@ -315,7 +315,7 @@
             try:
                 view = view[self._sock.send(view[:_SEND_BYTES]) :]
             except BlockingIOError:
-                ready = green.readiness.wait(
+                ready = green.poller.wait(
                     self._sock.fileno(), self._left(), both
                 )
                 if ready is green.Ready.READ:
--- a/src/peridotmast/wire/reader.py
+++ b/src/peridotmast/wire/reader.py
@@ -104,5 +104,5 @@
 
     def _wait(self) -> None:
         left = self.deadline - self._clock.now()
-        if left <= 0 or not green.readiness.wait(self._sock.fileno(), left):
+        if left <= 0 or not green.poller.wait(self._sock.fileno(), left):
             raise TimeoutError('no byte came in time')
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -47,7 +47,7 @@
     Mutation(
         'forget what the holder before has ordered',
         DUTIES + 'scaler.py',
-        'self._book.take_over(left.orders)',
+        'self._book.restore(left.orders)',
         'pass',
         'planner',
     ),
@@ -60,7 +60,7 @@
     ),
     Mutation(
         'leave an order to the next renewal',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'if is_due or self._is_news_due():',
         'if is_due:',
         'duties',
@@ -116,7 +116,7 @@
     ),
     Mutation(
         'leave renewals to the beacons',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'self._tell(heirs[:_HEIRS])',
         'pass',
         'duties',
@@ -144,14 +144,14 @@
     ),
     Mutation(
         'guess what is needed after a takeover',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'if self._is_first:',
         'if True:',
         'planner',
     ),
     Mutation(
         'forget what the holder before has found',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'if service in self._left:',
         'if False:',
         'planner',
@@ -526,7 +526,7 @@
     ),
     Mutation(
         'follow a holder that others remember',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'self._may_follow = False\n            self._vacant_since = 0',
         'self._vacant_since = 0',
         'duties',
@@ -666,14 +666,14 @@
     ),
     Mutation(
         'hold no more reclaimable ones than are needed',
-        DUTIES + 'scale_round.py',
+        DUTIES + 'service_reconciler.py',
         'self._reserve = max(needed, reserve)',
         'self._reserve = needed',
         'planner',
     ),
     Mutation(
         'count what was lost as still to come',
-        DUTIES + 'order_book.py',
+        DUTIES + 'order_tracker.py',
         'pending.coming -= max(0, live - pending.live)',
         'pending.coming -= live - pending.live',
         'planner',
@@ -889,7 +889,7 @@
     ),
     Mutation(
         'outlast no loss with firm ones',
-        DUTIES + 'scale_round.py',
+        DUTIES + 'service_reconciler.py',
         'return max(1, self._needed - max(0, height - 1))',
         'return 1',
         'planner',
@@ -1169,7 +1169,7 @@
     ),
     Mutation(
         'ignore upstream limits in the need calculation',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'return round(sum(max(0, 1 - limit / capacity) for limit in limits))',
         'return 0',
         'planner',
