--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -42,7 +42,7 @@
         def note(config, router=router, history=history):
             history.append(router.config.routes.version)
 
-        router.config.listen(note)
+        router.config.subscribe(note)
 
 
 @then('the last one is in force everywhere within {ms:d} ms')
@@ -68,7 +68,7 @@
     document = {**router.config.routes.document, 'version': 1}
     assert not router.config.offer_routes(document, 'a stale peer')
     listing = objects.Listing(
-        [objects.Stored(names.CONFIG_NAME, 1, document)], 1
+        [objects.StoredObject(names.CONFIG_NAME, 1, document)], 1
     )
     router.config.on_listing(listing, False)
 
@@ -88,7 +88,7 @@
     turned_away = [
         router
         for router in routers
-        if router.knowledge.watchers.is_due(names.CONFIG_KIND)
+        if router.knowledge.watchers.should_watch(names.CONFIG_KIND)
     ]
     assert 0 < len(turned_away) < len(routers), len(turned_away)
     for router in turned_away:
@@ -133,10 +133,13 @@
 def two_commit(context):
     routers = context.fleet.routers
     helpers.wait_until(
-        lambda: routers[0].config.own.version == routers[1].config.own.version,
+        lambda: (
+            routers[0].config.product.version
+            == routers[1].config.product.version
+        ),
         'one version',
     )
-    base = routers[0].config.own.version
+    base = routers[0].config.product.version
     context.results = []
 
     def commit(router, name):
@@ -156,8 +159,8 @@
 @when('an operator commits from a base that is behind')
 def commits_behind(context):
     feed = context.fleet.routers[0].config
-    helpers.wait_until(lambda: feed.own.version, 'a document')
-    base = feed.own.version
+    helpers.wait_until(lambda: feed.product.version, 'a document')
+    base = feed.product.version
     context.newer = f'{shape_.DOCUMENT}\n# newer\n'
     assert isinstance(feed.commit(context.newer, base, 'a', '', 1), int)
     context.stale = feed.commit(shape_.DOCUMENT, base, 'b', '', 2)
@@ -169,7 +172,7 @@
     assert context.stale.kind is failures.FailureKind.CONFLICT
     feed = context.fleet.routers[0].config
     green.sleep_ms(300)
-    assert feed.own.document['document'] == context.newer
+    assert feed.product.document['document'] == context.newer
 
 
 @then("one is told of the other's change")
@@ -185,7 +188,7 @@
     won = next(t for t, r in context.results if isinstance(r, int))
     helpers.wait_until(
         lambda: all(
-            router.config.own.document.get('document') == won
+            router.config.product.document.get('document') == won
             for router in context.fleet.routers
         ),
         "the winner's document",
@@ -196,7 +199,7 @@
 @when('a document is committed and the reply is lost')
 def reply_lost(context):
     router = context.fleet.routers[0]
-    base = router.config.own.version
+    base = router.config.product.version
     store = context.fleet.store
     answer = store.app._answer
 
@@ -218,7 +221,7 @@
 def took_effect(context):
     assert isinstance(context.result, int), context.result
     router = context.fleet.routers[0]
-    assert '# lost' in router.config.own.document['document']
+    assert '# lost' in router.config.product.document['document']
 
 
 @when('this document is checked')
@@ -249,18 +252,18 @@
     for _ in range(count):
         feed = new_feed()
         seen = []
-        feed.listen(lambda config, feed=feed: seen.append(
-            (feed.routes.version, feed.own.version)))  # fmt: skip
+        feed.subscribe(lambda config, feed=feed: seen.append(
+            (feed.routes.version, feed.product.version)))  # fmt: skip
         order = documents * 2
         draws.shuffle(order)
         for document in order:
             if draws.random() < 0.5:
                 feed.offer_routes(document, 'peer')
             else:
-                stored = objects.Stored(names.CONFIG_NAME, 1, document)
+                stored = objects.StoredObject(names.CONFIG_NAME, 1, document)
                 feed.on_changes(objects.Changes([stored], 1), False)
             own = draws.randrange(1, 9)
-            feed.offer_own(own, {'document': f'# {own}\n'}, 'peer')
+            feed.offer_product(own, {'document': f'# {own}\n'}, 'peer')
         assert feed.routes.version == 36
         assert feed.config.teams[0].name == 't7'
         for part in zip(*seen):
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -168,7 +168,7 @@
         lambda: any(
             left
             for router in context.fleet.serving()
-            if router.lease.held()
+            if router.lease.is_held()
             for left in [(router.lease._current().get('left') or {})]
             if left.get('crashSuspects')
         ),
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -10,7 +10,7 @@
 from peridotmast.coordination import kind_watch
 from peridotmast.coordination import objects
 from peridotmast.coordination import outage as outage_
-from peridotmast.coordination import store_check
+from peridotmast.coordination import store_prober
 from peridotmast.coordination import upstream_feed
 from peridotmast import green
 from peridotmast.platform import upstream_codec
@@ -36,7 +36,7 @@
 
 def changed(context, name, spec, after_outage=False):
     context.revision += 1
-    stored = objects.Stored(name, context.revision, spec)
+    stored = objects.StoredObject(name, context.revision, spec)
     context.feed.on_changes(
         objects.Changes([stored], context.revision), after_outage
     )
@@ -80,7 +80,7 @@
 
 @when('what it said before comes once more')
 def comes_again(context):
-    stored = objects.Stored('a', 1, entry('a'))
+    stored = objects.StoredObject('a', 1, entry('a'))
     context.feed.on_changes(objects.Changes([stored], 1), False)
     listing = objects.Listing([stored], 1)
     context.other = upstreams_.UpstreamTable(context.clock)
@@ -145,8 +145,8 @@
 @given('a store that answers')
 def answers(context):
     context.clock = clock_.ManualClock()
-    context.outage = outage_.Outage(context.clock, 2000)
-    assert not context.outage.is_felt()
+    context.outage = outage_.OutageTracker(context.clock, 2000)
+    assert not context.outage.is_suspected()
 
 
 class AskedStore:
@@ -164,7 +164,7 @@
 @when('a call of it was made, and failed after that')
 def made_and_failed(context):
     context.made = 1
-    context.outage.failed('429')
+    context.outage.record_failure('429')
 
 
 @when('other calls of it are made, one before each look')
@@ -176,7 +176,7 @@
 def asked_at(context, count, looks):
     store = AskedStore()
     store.calls = getattr(context, 'made', 0)
-    check = store_check.StoreCheck(store, context.outage)
+    check = store_prober.StoreProber(store, context.outage)
     for _ in range(looks):
         store.calls += getattr(context, 'others', 0)
         check.tick()
@@ -185,27 +185,27 @@
 
 @when('a call of it fails')
 def call_fails(context):
-    context.outage.failed('silent')
+    context.outage.record_failure('silent')
 
 
 @when('one that was made {ms:d} ms ago fails')
 def made_before_fails(context, ms):
-    context.outage.failed('silent', ms)
+    context.outage.record_failure('silent', ms)
 
 
 @when('a call of it is answered')
 def call_answered(context):
-    context.outage.answered()
+    context.outage.record_answer()
 
 
 @then('the outage is felt')
 def is_felt(context):
-    assert context.outage.is_felt()
+    assert context.outage.is_suspected()
 
 
 @then('the outage is not felt')
 def is_not_felt(context):
-    assert not context.outage.is_felt()
+    assert not context.outage.is_suspected()
 
 
 class SilentStore:
@@ -221,7 +221,7 @@
         self.watches += 1
         if self.watches == 1:
             green.Event().wait()
-        return objects.Changes([objects.Stored('x', 2, {})], 2)
+        return objects.Changes([objects.StoredObject('x', 2, {})], 2)
 
 
 class Follower:
@@ -252,7 +252,7 @@
 @when('a peer has news {ms:d} ms after it began')
 def peer_has_news(context, ms):
     context.clock.advance(context.began_at + ms - context.clock.now())
-    context.watch.overtaken()
+    context.watch.on_peer_ahead()
     green.sleep_ms(5)
 
 
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -77,7 +77,7 @@
     for me in context.starts:
         members = members_.Members(member_of(context, me), context.clock, 1000)
         for other in context.starts:
-            members.hear(member_of(context, other))
+            members.receive(member_of(context, other))
         lease = lease_.Lease(None, 'l', me, me, 4000, 600, context.clock)
         holder = holder_.DutyHolder(lease, members, (), context.clock)
         found[holder._rank()] = me
@@ -141,7 +141,7 @@
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
         )
-        self.lease.bind(f'boot:net:{name}')
+        self.lease.set_endpoint(f'boot:net:{name}')
         self._members = members_.Members(member_of(context, name), clock, 1000)
         self._peers = [member_of(context, other) for other in context.starts]
         self._runs = context.runs if 'runs' in context else []
@@ -158,7 +158,7 @@
         names = {member.name for member in heirs}
         for one in self._runs:
             if one.name in names:
-                one.lease.hear(self.lease.hint())
+                one.lease.receive_hint(self.lease.hint())
 
     def stop(self):
         """Give the duties up, as a planned stop does."""
@@ -166,7 +166,7 @@
 
     def keep(self):
         for peer in self._peers:
-            self._members.hear(peer)
+            self._members.receive(peer)
         self._holder.keep_lease()
         self._holder.act()
 
@@ -194,7 +194,7 @@
         hint = one.lease.known_holder()
         for other in runs:
             if hint is not None and other is not one:
-                other.lease.hear(hint)
+                other.lease.receive_hint(hint)
 
 
 @given('the last of them had the duties when all were killed')
@@ -215,7 +215,7 @@
 def some_remember(context, ms):
     start_all(context, 2)
     for one in context.runs:
-        one.lease.hear(context.hint)
+        one.lease.receive_hint(context.hint)
     go_on(context, ms)
 
 
@@ -239,7 +239,7 @@
 @then('the next one has the duties {ms:d} ms later')
 def next_has(context, ms):
     go_on(context, ms, 1400)
-    held = [one.name for one in context.runs if one.lease.held()]
+    held = [one.name for one in context.runs if one.lease.is_held()]
     assert held == ['r1'], held
 
 
@@ -247,7 +247,7 @@
 def first_finds(context, count):
     all_start(context, 3000)
     first = context.runs[0]
-    assert first.lease.held() and first.duty.left == [pb.DutiesLeft()]
+    assert first.lease.is_held() and first.duty.left == [pb.DutiesLeft()]
     first.duty.needed = count
 
 
@@ -274,7 +274,7 @@
 
 
 def holder_now(context):
-    (holder,) = [one for one in context.runs if one.lease.held()]
+    (holder,) = [one for one in context.runs if one.lease.is_held()]
     return holder
 
 
@@ -284,7 +284,7 @@
     first, second = context.runs[:2]
     first.stop()
     second.lease.attempt()
-    assert second.lease.held() and not second.duty.left
+    assert second.lease.is_held() and not second.duty.left
     second.stop()
     del context.runs[:2]
 
@@ -308,15 +308,17 @@
 @then('the first one has them again, and goes on from what it knows')
 def has_again(context):
     first = context.runs[0]
-    assert first.lease.held() and first.lease.fencing == 2, first.lease.fencing
+    assert first.lease.is_held() and first.lease.fencing == 2, (
+        first.lease.fencing
+    )
     assert first.duty.left[-1] is None, first.duty.left
 
 
 @then('the {which} one has the duties with the number {number:d}')
 def one_has(context, which, number):
     lease = context.runs[{'first': 0, 'last': -1}[which]].lease
-    held = [(one.lease.held(), one.lease.fencing) for one in context.runs]
-    assert lease.held() and lease.fencing == number, held
+    held = [(one.lease.is_held(), one.lease.fencing) for one in context.runs]
+    assert lease.is_held() and lease.fencing == number, held
 
 
 @then('each router has asked the store {count:d} times at most')
@@ -344,7 +346,7 @@
 def names_place(context):
     def holder():
         routers = context.fleet.routers
-        return next((one for one in routers if one.lease.held()), None)
+        return next((one for one in routers if one.lease.is_held()), None)
 
     helpers.wait_until(holder, 'a holder')
     found = holder()
@@ -585,7 +587,9 @@
     context.before = context.fleet_clock.now()
     walls = [0, 3, -2, 3_600_000]
     for number, off in enumerate(walls):
-        context.fleet_clock.hear(f'router-{number}', context.own.boot() + off)
+        context.fleet_clock.record_peer(
+            f'router-{number}', context.own.boot() + off
+        )
     context.own.off = -3_600_000
     context.own.advance(SINCE_MS)
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -109,8 +109,8 @@
     context.feed.on_changes(
         objects.Changes(
             [
-                objects.Stored(a, 20, {'capacity-slots': float('inf')}),
-                objects.Stored(
+                objects.StoredObject(a, 20, {'capacity-slots': float('inf')}),
+                objects.StoredObject(
                     b, 21, doubt_steps.entry(b, upstreams_.LEAVING)
                 ),
             ],
@@ -248,7 +248,7 @@
 
 def answering(body):
     store = store_.PlatformStore(
-        '127.0.0.1:1', 100, outage_.Outage(clock_.ManualClock(), 1000)
+        '127.0.0.1:1', 100, outage_.OutageTracker(clock_.ManualClock(), 1000)
     )
     store._http = _OneAnswer(body)
     return store
@@ -269,9 +269,9 @@
         raw('c', 3, '{"x":3}'),
     ]
     context.wanted = [
-        objects.Stored('a', 1, {'x': [1, ']}']}),
-        objects.Stored('b', 2, {}),
-        objects.Stored('c', 3, {'x': 3}),
+        objects.StoredObject('a', 1, {'x': [1, ']}']}),
+        objects.StoredObject('b', 2, {}),
+        objects.StoredObject('c', 3, {'x': 3}),
     ]
 
 
@@ -313,7 +313,7 @@
                     failures.Failure,
                     objects.Listing,
                     objects.Changes,
-                    objects.Stored,
+                    objects.StoredObject,
                 ),
             )
 
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -19,11 +19,11 @@
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
 from peridotmast.coordination import fleet_clock
-from peridotmast.coordination import gaps as gaps_
+from peridotmast.coordination import fleet_counts
 from peridotmast.coordination import groups
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
-from peridotmast.coordination import tally
+from peridotmast.coordination import report_gaps as report_gaps_
+from peridotmast.coordination import router_selector
 from peridotmast import green
 from peridotmast.router import catch_up as catch_up_
 from peridotmast.router import peering as peering_
@@ -77,7 +77,9 @@
             state=members_.ALIVE,
             ready=True,
         )
-        members = members_.Members(me, self.clock, 1250, groups.WHOLE)
+        members = members_.Members(
+            me, self.clock, 1250, groups.FULL_MESH_LIMIT
+        )
         self.members = members
         self.time = fleet_clock.FleetClock(self.clock)
         self.table = upstreams_.UpstreamTable(self.clock)
@@ -109,7 +111,7 @@
             sharing_.Sharing(self.serving, self.table),
             types.SimpleNamespace(
                 hint=lambda: None,
-                hear=lambda hint: None,
+                receive_hint=lambda hint: None,
                 known_holder=lambda: None,
             ),
             catch_up_.CatchUp(self.clock, knowledge, None, self._spawn),
@@ -126,10 +128,10 @@
         version = types.SimpleNamespace(version=1)
         return types.SimpleNamespace(
             members=self.members,
-            config=types.SimpleNamespace(routes=version, own=version),
+            config=types.SimpleNamespace(routes=version, product=version),
             table=self.table,
             fleet_clock=self.time,
-            outage=types.SimpleNamespace(is_felt=lambda: False),
+            outage=types.SimpleNamespace(is_suspected=lambda: False),
             is_watching=lambda what: False,
             overtaken=lambda what: None,
             doubt_store=lambda: None,
@@ -140,7 +142,7 @@
         return BURST - bucket.level
 
     def look(self):
-        return self.peering._groups.look()
+        return self.peering._groups.snapshot()
 
 
 class Fleet:
@@ -219,10 +221,10 @@
             yield
 
     def heads(self):
-        return [node for node in self.nodes.values() if node.look().leads]
+        return [node for node in self.nodes.values() if node.look().is_head]
 
     def member(self):
-        return next(n for n in self.nodes.values() if not n.look().leads)
+        return next(n for n in self.nodes.values() if not n.look().is_head)
 
 
 def copy_of(member):
@@ -266,14 +268,14 @@
     for me in everyone[:some]:
         members = members_.Members(copy_of(me), clock, 1250)
         for member in everyone:
-            members.hear(copy_of(member))
-        context.directories.append(nearest.Nearest(members, 64))
+            members.receive(copy_of(member))
+        context.directories.append(router_selector.RouterSelector(members, 64))
 
 
 @when('callers of each failure domain ask them {times:d} times each')
 def callers_ask(context, times):
     context.answers = [
-        (domain, directory.of(domain))
+        (domain, directory.select(domain))
         for domain in sorted(context.domains)
         for directory in context.directories
         for _ in range(times)
@@ -314,7 +316,7 @@
     """Check that each router but some hears all the others."""
     nodes = context.groups.nodes
     for node in (n for n in nodes.values() if n.name not in left_out):
-        heard = {peer.member.name for peer in node.members.heard()}
+        heard = {peer.member.name for peer in node.members.live_peers()}
         missing = nodes.keys() - heard - {node.name}
         assert not missing, (node.name, missing)
 
@@ -424,7 +426,7 @@
 
 @then('only the heads lead')
 def only_heads_lead(context):
-    groups_led = [node.look().mine for node in context.groups.heads()]
+    groups_led = [node.look().own_group for node in context.groups.heads()]
     assert len(groups_led) == len(set(groups_led)), groups_led
 
 
@@ -649,13 +651,13 @@
 @given('a member that hears of {a:d} and then {b:d} from one head')
 def hears_from_one(context, a, b):
     context.counted = collections.Counter()
-    context.tally = tally.Tally(dict, context.counted.update)
+    context.tally = fleet_counts.FleetCounts(dict, context.counted.update)
     hears_from(context, 'first', a, b)
 
 
 def hears_from(context, head, *counts):
     for count in counts:
-        context.tally.follow(head, 1, {'noor': count}, True)
+        context.tally.receive_fleet(head, 1, {'noor': count}, True)
 
 
 @when('it hears of {a:d} and then {b:d} from another one')
@@ -1012,8 +1014,8 @@
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
-    context.gaps = gaps_.Gaps(context.clock, context.quota.worth)
-    context.gaps.hear('half', ('first', 1), 0.5)
+    context.gaps = report_gaps_.ReportGaps(context.clock, context.quota.worth)
+    context.gaps.on_report('half', ('first', 1), 0.5)
 
 
 @given('nothing is left of a burst of {burst:d}')
@@ -1034,7 +1036,7 @@
     context.clock.advance(ms)
     # The first word of another one, and then the next of that one.
     assert which in ('another', 'the same'), which
-    context.reckoned = context.gaps.hear('half', ('second', 1), 0.5)
+    context.reckoned = context.gaps.on_report('half', ('second', 1), 0.5)
 
 
 @then('{count:d} tokens are reckoned')
@@ -1045,8 +1047,8 @@
 @when('one request crashes an upstream at a member of each of three groups')
 def crashes_in_groups(context):
     fleet = context.groups
-    members = [n for n in fleet.nodes.values() if not n.look().leads]
-    by_group = {node.look().mine: node for node in members}
+    members = [n for n in fleet.nodes.values() if not n.look().is_head]
+    by_group = {node.look().own_group: node for node in members}
     assert len(by_group) >= 3, by_group
     for number, node in enumerate(list(by_group.values())[:3]):
         fleet.clock.advance(ROUND_MS)
--- a/features/steps/lease_model.py
+++ b/features/steps/lease_model.py
@@ -51,7 +51,7 @@
             GUARD_MS,
             self.clock,
         )
-        lease.bind(f'boot:net:{name}')
+        lease.set_endpoint(f'boot:net:{name}')
         return lease
 
     @stateful.rule(router=ROUTERS)
@@ -60,7 +60,7 @@
 
     @stateful.rule(router=ROUTERS)
     def look(self, router):
-        self.leases[router].succeed()
+        self.leases[router].take_over()
 
     @stateful.rule(router=ROUTERS)
     def release(self, router):
@@ -72,7 +72,7 @@
     def hand_over(self, router):
         """Stop the holder as planned; another one contends at once."""
         for name, lease in self.leases.items():
-            if lease.held():
+            if lease.is_held():
                 self.release(name)
         self.attempt(router)
 
@@ -84,7 +84,7 @@
     def hear(self, teller, hearer):
         hint = self.leases[teller].known_holder()
         if hint is not None and teller != hearer:
-            self.leases[hearer].hear(hint)
+            self.leases[hearer].receive_hint(hint)
 
     @stateful.rule(ms=STEPS)
     def wait(self, ms):
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -113,7 +113,7 @@
     hint = context.leases['first'].hint()
     if 'first_heard' not in context:
         context.first_heard = hint
-    context.leases['second'].hear(hint)
+    context.leases['second'].receive_hint(hint)
 
 
 @when(
@@ -131,7 +131,7 @@
         for lease in context.others:
             for hint in hints:
                 if hint is not None:
-                    lease.hear(hint)
+                    lease.receive_hint(hint)
         context.clock.advance(100)
 
 
@@ -147,7 +147,7 @@
 
 @when('what the second heard first comes once more')
 def once_more(context):
-    context.leases['second'].hear(context.first_heard)
+    context.leases['second'].receive_hint(context.first_heard)
 
 
 @then('the second thinks that it is held for {ms:d} ms')
@@ -163,24 +163,24 @@
 
 @then('the first holds it and the second does not')
 def first_holds(context):
-    assert context.leases['first'].held()
-    assert not context.leases['second'].held()
+    assert context.leases['first'].is_held()
+    assert not context.leases['second'].is_held()
 
 
 @then('the {name} holds it with the number {number:d}')
 def holds_with(context, name, number):
     lease = context.leases[name]
-    assert lease.held() and lease.fencing == number, lease.fencing
+    assert lease.is_held() and lease.fencing == number, lease.fencing
 
 
 @then('the {name} holds it no more')
 def holds_no_more(context, name):
-    assert not context.leases[name].held()
+    assert not context.leases[name].is_held()
 
 
 @then('the {name} still holds it')
 def still_holds(context, name):
-    assert context.leases[name].held()
+    assert context.leases[name].is_held()
 
 
 @then('the last attempt was {count:d} call')
@@ -196,7 +196,7 @@
 @then('the first may not act but holds it')
 def may_not_act(context):
     lease = context.leases['first']
-    assert lease.held() and not lease.may_act()
+    assert lease.is_held() and not lease.may_act()
 
 
 @then('in {count:d} random histories never two may act at one moment')
@@ -229,7 +229,7 @@
         for other in leases.values():
             if hint is not None and other is not lease:
                 if draws.random() < 0.5:
-                    other.hear(hint)
+                    other.receive_hint(hint)
         context.clock.advance(draws.choice((10, 200, 700, 2500)))
         acting = [n for n, found in leases.items() if found.may_act()]
         assert len(acting) <= 1, (step, acting)
@@ -241,18 +241,18 @@
 
 @given('the {name} contender stands at "{place}"')
 def stands_at(context, name, place):
-    context.leases[name].bind(place)
+    context.leases[name].set_endpoint(place)
 
 
 @given('the {name} contender stands at ""')
 def stands_nowhere(context, name):
-    context.leases[name].bind('')
+    context.leases[name].set_endpoint('')
 
 
 @when('the {name} is killed and started again at "{place}"')
 def killed_and_started(context, name, place):
     lease = context.leases[name] = contender(context, name, 2)
-    lease.bind(place)
+    lease.set_endpoint(place)
 
 
 @when('the {name} is killed and started again at ""')
@@ -268,7 +268,7 @@
 
 @when('the {name} contender looks whether it was its own')
 def looks(context, name):
-    context.leases[name].succeed()
+    context.leases[name].take_over()
 
 
 @then('the store says that it is held with the number {number:d}')
@@ -303,14 +303,14 @@
         place = draws.choice(sorted(names))
         if place not in leases or draws.random() < 0.1:
             leases[place] = contender(context, names[place], f'{place}-{step}')
-            leases[place].bind(place)
+            leases[place].set_endpoint(place)
             killed[place] = now
         lease = leases[place]
         fault = draws.random()
         store.out = fault < 0.1
         store.lose_next = 1 if 0.1 <= fault < 0.2 else 0
         store.late_next = 1 if 0.2 <= fault < 0.3 else 0
-        draws.choice((lease.attempt, lease.attempt, lease.succeed))()
+        draws.choice((lease.attempt, lease.attempt, lease.take_over))()
         if draws.random() < 0.3:
             store.carry_out_late()
         acting = [p for p, found in leases.items() if found.may_act()]
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -11,8 +11,8 @@
 import helpers
 
 from peridotmast import clock as clock_
+from peridotmast.coordination import fleet_counts
 from peridotmast.coordination import groups
-from peridotmast.coordination import tally
 from peridotmast.embedded import shape as shape_
 from peridotmast import green
 from peridotmast.schema import peridotmast_pb2 as pb
@@ -64,9 +64,9 @@
     if 'tallies' not in context:
         context.tallies = {}
     known = context.tallies.setdefault(
-        id(quota), tally.Tally(quota.spent, quota.spent_elsewhere)
+        id(quota), fleet_counts.FleetCounts(quota.spent, quota.spent_elsewhere)
     )
-    known.hear(router, run, sender.spent(), True)
+    known.receive(router, run, sender.spent(), True)
 
 
 @given('router 1 is cut off from the others')
@@ -627,7 +627,7 @@
     context.clock = clock_.ManualClock()
     context.quota = quota_.Quota(context.clock)
     context.quota.routers = lambda: n
-    context.quota.knows_late = lambda: n > groups.WHOLE
+    context.quota.knows_late = lambda: n > groups.FULL_MESH_LIMIT
     team = pb.Team(name='a', rate=1000, burst=8000)
     context.quota.configure([team])
     context.clock.advance(5000)
--- a/features/steps/memory_store.py
+++ b/features/steps/memory_store.py
@@ -23,7 +23,7 @@
         self.calls += 1
         if self.out:
             return failures.unavailable('no_answer')
-        return self.objects.get((kind, name)) or objects.Stored(name, 0)
+        return self.objects.get((kind, name)) or objects.StoredObject(name, 0)
 
     def list(self, kind):
         self.calls += 1
@@ -81,6 +81,6 @@
         if (current.revision if current else 0) != revision:
             return failures.conflict('changed', name)
         self.revision += 1
-        stored = objects.Stored(name, self.revision, spec)
+        stored = objects.StoredObject(name, self.revision, spec)
         self.objects[kind, name] = stored
         return stored
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies
 
 from peridotmast import clock as clock_
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.duties import capacity_plan
 from peridotmast.duties import event_plan
 from peridotmast.duties import need as need_
@@ -375,7 +375,7 @@
     clock = clock_.ManualClock()
     context.demands = [demand_.Demand(clock) for _ in range(2)]
     tallies = [
-        tally.Tally(demand.counts, demand.offered_elsewhere)
+        fleet_counts.FleetCounts(demand.counts, demand.offered_elsewhere)
         for demand in context.demands
     ]
     exchange(context.demands, tallies)
@@ -390,7 +390,7 @@
 def exchange(demands, tallies):
     for number, known in enumerate(tallies):
         other = 1 - number
-        known.hear(f'r{other}', 1, demands[other].counts(), True)
+        known.receive(f'r{other}', 1, demands[other].counts(), True)
 
 
 @then('both measure {rate:d} tokens a second')
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -36,7 +36,9 @@
     context.store = MemoryStore()
     context.count = count
     for number in range(count):
-        assert Starting(context.store, f'r{number}', number).registry.enter()
+        assert Starting(
+            context.store, f'r{number}', number
+        ).registry.register()
 
 
 @when('one of them starts again at its address')
@@ -52,7 +54,7 @@
 def begin(context, port):
     context.store.calls = 0
     context.started = Starting(context.store, 'r1', port, run=2)
-    context.entered = context.started.registry.enter()
+    context.entered = context.started.registry.register()
 
 
 @then('it knows all the others after {count:d} calls of the store')
@@ -66,7 +68,7 @@
 @then('one that starts after it finds it at its new address')
 def finds_it(context):
     other = Starting(context.store, 'r9', 9)
-    assert other.registry.enter()
+    assert other.registry.register()
     assert other.known['r1'].beacon_address == '10.0.0.1:77'
 
 
@@ -74,15 +76,15 @@
 def not_answered(context):
     context.started = Starting(context.store, 'new', 50)
     context.store.lose_next = 1
-    assert not context.started.registry.enter()
-    assert context.started.registry.enter()
+    assert not context.started.registry.register()
+    assert context.started.registry.register()
 
 
 @then('it knows all the others, who find it')
 def knows_and_found(context):
     assert len(context.started.known) == context.count
     other = Starting(context.store, 'r9', 9)
-    assert other.registry.enter() and 'new' in other.known
+    assert other.registry.register() and 'new' in other.known
 
 
 @when('two start at once, each step of the one between two of the other')
@@ -97,11 +99,11 @@
         found = real(kind)
         if not runs:
             runs.append(True)
-            assert context.both[1].registry.enter()
+            assert context.both[1].registry.register()
         return found
 
     context.store.list = list_between
-    assert context.both[0].registry.enter()
+    assert context.both[0].registry.register()
 
 
 @then('at least one of them knows the other')
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -159,11 +159,11 @@
             world.sleep_ms(STORE_MS)
             return failures.unavailable('silent')
         if kind != names.CONFIG_KIND:
-            return objects.Stored(name, 0)
+            return objects.StoredObject(name, 0)
         world.reads += 1
         spec = world.stored
         world.carry((self._address,), len(json.dumps(spec)), LONG_MS)
-        return objects.Stored(name, spec['version'], spec)
+        return objects.StoredObject(name, spec['version'], spec)
 
 
 class Node:
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -220,7 +220,9 @@
 
 
 def holder_of(context):
-    return next((r for r in context.fleet.serving() if r.lease.held()), None)
+    return next(
+        (r for r in context.fleet.serving() if r.lease.is_held()), None
+    )
 
 
 @when('the holder of the duties is told to stop')
@@ -406,7 +408,7 @@
         ),
         config=types.SimpleNamespace(
             routes=types.SimpleNamespace(version=3),
-            own=types.SimpleNamespace(version=0),
+            product=types.SimpleNamespace(version=0),
         ),
         table=upstreams_.UpstreamTable(clock),
         is_watching=lambda what: watches,
@@ -538,7 +540,7 @@
     for me in everyone:
         members = members_.Members(me, clock, 1000)
         for other in everyone:
-            members.hear(other)
+            members.receive(other)
         context.members.append(members)
 
 
@@ -559,14 +561,14 @@
     context.members = context.members[count:]
     for members in context.members:
         for other in context.everyone[count:]:
-            members.hear(other)
+            members.receive(other)
 
 
 def watching(context, kind):
     return [
         members
         for members in context.members
-        if watchers.Watchers(members).is_due(kind)
+        if watchers.Watchers(members).should_watch(kind)
     ]
 
 
@@ -583,7 +585,7 @@
     context.members = context.members[:half]
     for members in context.members:
         for other in context.everyone[:half]:
-            members.hear(other)
+            members.receive(other)
 
 
 @then('{count:d} of the others watch each kind')
@@ -643,7 +645,7 @@
     reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
     assert reply.status == 200
     assert reply.json()['config'] == router.config.routes.version > 0
-    assert reply.json()['document'] == router.config.own.version > 0
+    assert reply.json()['document'] == router.config.product.version > 0
 
 
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -46,7 +46,7 @@
     names.META: {'name': 'x', names.REVISION: 2},
     names.SPEC: {'text': 'some words'},
 }
-STORED = objects.Stored('x', 2, OBJECT[names.SPEC])
+STORED = objects.StoredObject('x', 2, OBJECT[names.SPEC])
 LISTING = {names.ITEMS: [OBJECT], names.MORE: False, names.AT: 2}
 CHANGES = {
     names.EVENTS: [{names.OBJECT: OBJECT, names.DELETED: False}],
@@ -149,7 +149,7 @@
 @when('it is asked for {what} with a bound of {ms:d} ms')
 def is_asked(context, what, ms):
     slow = context.slow
-    outage = outage_.Outage(slow.clock, 1000)
+    outage = outage_.OutageTracker(slow.clock, 1000)
     store = store_.PlatformStore(slow.raw.address, ms, outage)
     cloud = cloud_api.PlatformCloud(slow.raw.address, ms, 'router-1')
     store._http = cloud._http = calls.HttpCalls(ms, slow.clock)
@@ -224,7 +224,7 @@
     tasks = green.Tasks(lambda *error: context.errors.append(error))
     context.closing.append(tasks.stop)
     if not watches:
-        context.knowledge.watchers.is_due = lambda kind: False
+        context.knowledge.watchers.should_watch = lambda kind: False
     context.knowledge.begin(tasks, lambda: False, lambda: None)
 
 
@@ -260,7 +260,7 @@
         return store.calls == calls
 
     helpers.wait_until(is_settled, 'no call under way')
-    context.knowledge.outage.failed('429')
+    context.knowledge.outage.record_failure('429')
 
 
 @then('it finds out by itself')
@@ -272,17 +272,17 @@
 
 @when('another call of it fails and the next one is answered')
 def fails_and_answered(context):
-    context.knowledge.outage.failed('silent')
-    context.knowledge.outage.answered()
+    context.knowledge.outage.record_failure('silent')
+    context.knowledge.outage.record_answer()
 
 
 @when('a call of it is answered, and then one made before that fails')
 def answered_then_failed(context):
-    context.knowledge.outage.answered()
+    context.knowledge.outage.record_answer()
     context.clock.advance(500)
-    context.knowledge.outage.failed('silent', 1500)
+    context.knowledge.outage.record_failure('silent', 1500)
     context.clock.advance(500)
-    context.knowledge.outage.answered()
+    context.knowledge.outage.record_answer()
 
 
 @when('another peer says so after one that is refused for long')
@@ -426,7 +426,9 @@
     context.follower = doubt_steps.Follower()
     # Long, so that only a peer's news can end the watch.
     store = store_.PlatformStore(
-        context.halving.raw.address, 60_000, outage_.Outage(context.clock, 1)
+        context.halving.raw.address,
+        60_000,
+        outage_.OutageTracker(context.clock, 1),
     )
     context.closing.append(store.close)
     context.watch = kind_watch.KindWatch(
@@ -448,7 +450,7 @@
 @when('a peer has news {ms:d} ms later')
 def news_later(context, ms):
     context.clock.advance(ms)
-    context.watch.overtaken()
+    context.watch.on_peer_ahead()
     green.sleep_ms(10 * TURN_MS)
 
 
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -113,7 +113,7 @@
     version = context.fleet.write_document(document)
     helpers.wait_until(
         lambda: all(
-            router.config.own.version >= version
+            router.config.product.version >= version
             for router in context.fleet.routers
         ),
         'the document is in force',
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass
-class Part:
+class ConfigPart:
     """One of the two documents that a configuration is made from."""
 
     version: int = 0
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    store : objects.Objects
+    store : objects.ObjectStore
         The platform's store, which the own document is committed to.
     kind : str
         Kind of the platform's object.
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        store: objects.Objects,
+        store: objects.ObjectStore,
         kind: str,
         name: str,
         reader: Reader,
@@ -91,14 +91,14 @@
         self._checks = checks
         self._listeners: list[Listener] = []
         self._log = logs.get('config')
-        self.routes = Part()
+        self.routes = ConfigPart()
         """What the operators wrote to the platform's object."""
-        self.own = Part(config=_read_own('')[0])
+        self.product = ConfigPart(config=_read_own('')[0])
         """The product's own document."""
-        self.config = _join(self.routes, self.own)
+        self.config = _join(self.routes, self.product)
         """The configuration in force."""
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Call `listener` with each configuration that comes into force."""
         self._listeners.append(listener)
 
@@ -132,11 +132,11 @@
         self._put_into_force('config', version, source)
         return True
 
-    def offer_own(
+    def offer_product(
         self, version: int, document: objects.Json, source: str
     ) -> bool:
         """Put the product's own document into force where it is newer."""
-        if version <= self.own.version:
+        if version <= self.product.version:
             return False
         config, found = _read_stored(document)
         if found:
@@ -147,7 +147,7 @@
                 error=str(found)[:_SHOWN],
             )
             return False
-        self.own = self._grown(self.own, version, document, config)
+        self.product = self._grown(self.product, version, document, config)
         self._put_into_force('document', version, source)
         return True
 
@@ -163,7 +163,7 @@
             unknown outcome where the reply was lost and nothing can be read.
         """
         nonce = f'{by}:{at}:{base_version}'
-        history = list(self.own.document.get('history') or ())
+        history = list(self.product.document.get('history') or ())
         history.append({'by': by, 'comment': comment, 'at-ms': at})
         spec = {
             'document': document,
@@ -173,7 +173,7 @@
         result = self._store.write(KIND, NAME, spec, base_version)
         if isinstance(result, failures.Failure):
             return self._settle(result, nonce)
-        self.offer_own(result.revision, spec, 'commit')
+        self.offer_product(result.revision, spec, 'commit')
         return result.revision
 
     def refresh(self, routes: bool) -> ty.Union[int, failures.Failure]:
@@ -203,38 +203,38 @@
         unknown = failures.FailureKind.OUTCOME_UNKNOWN
         for _ in range(_TRIES):
             if not isinstance(self.refresh(False), failures.Failure):
-                if self.own.document.get('nonce') == nonce:
-                    return self.own.version
+                if self.product.document.get('nonce') == nonce:
+                    return self.product.version
                 break
         if failure.kind is unknown:
             return failure
         return failures.conflict('config_changed', failure.detail)
 
-    def _take(self, stored: ty.Iterable[objects.Stored]) -> None:
+    def _take(self, stored: ty.Iterable[objects.StoredObject]) -> None:
         for item in stored:
             if item.spec is None:
                 continue
             if item.name == self._name:
                 self.offer_routes(item.spec, 'store')
             elif item.name == NAME:
-                self.offer_own(item.revision, item.spec, 'store')
+                self.offer_product(item.revision, item.spec, 'store')
 
     def _grown(
         self,
-        part: Part,
+        part: ConfigPart,
         version: int,
         document: objects.Json,
         config: pb.Config,
-    ) -> Part:
+    ) -> ConfigPart:
         self._checks.check(
             invariants_.Promise.CONFIG_GROWS,
             version > part.version,
             f'{version} after {part.version}',
         )
-        return Part(version, document, config)
+        return ConfigPart(version, document, config)
 
     def _put_into_force(self, what: str, version: int, source: str) -> None:
-        self.config = _join(self.routes, self.own)
+        self.config = _join(self.routes, self.product)
         self._log.info(
             f'{what}_in_force',
             version=version,
@@ -263,13 +263,13 @@
                 f'[{kind} {item.name}]',
                 "belongs into the platform's configuration",
             )
-    if config.policy.scaling not in SCALINGS:
-        known = ', '.join(SCALINGS)
+    if config.policy.scaling not in SCALING_MODES:
+        known = ', '.join(SCALING_MODES)
         found.add('[policy] scaling', f'must be one of {known}')
     return found
 
 
-SCALINGS = ('planner', 'reactive', 'fixed')
+SCALING_MODES = ('planner', 'reactive', 'fixed')
 """What ``[policy] scaling`` may name."""
 
 
@@ -293,7 +293,7 @@
     return ini.load_text(document, pb.Config)
 
 
-def _join(routes: Part, own: Part) -> pb.Config:
+def _join(routes: ConfigPart, own: ConfigPart) -> pb.Config:
     config = pb.Config()
     config.CopyFrom(own.config)
     for name in ('teams', 'routes', 'services'):
--- a/src/peridotmast/coordination/place.py
+++ b/src/peridotmast/coordination/endpoint_identity.py
@@ -11,7 +11,7 @@
 """Its inode tells containers apart that bind the same address."""
 
 
-def of(address: str) -> str:
+def of_address(address: str) -> str:
     """Return the place of who has bound `address`; empty if not known.
 
     One kernel gives an address in one of its networks to one datagram
--- a/src/peridotmast/coordination/fleet_clock.py
+++ b/src/peridotmast/coordination/fleet_clock.py
@@ -35,18 +35,18 @@
         self._median = 0
         self._reckon_at = 0
 
-    def hear(self, peer: str, wall_ms: int) -> None:
+    def record_peer(self, peer: str, wall_ms: int) -> None:
         """Take in the time of day that a peer has just sent."""
         boot = self._clock.boot()
         self._offsets[peer] = (wall_ms - boot, boot)
 
-    def follow(self, now_ms: int) -> None:
+    def follow_head(self, now_ms: int) -> None:
         """Take the fleet's time over from a router that hears more clocks."""
         boot = self._clock.boot()
         self._followed = (now_ms - boot, boot)
         self._reckon_at = 0
 
-    def lead(self) -> None:
+    def use_own_median(self) -> None:
         """Go by the clocks that are heard here."""
         self._followed = None
 
--- a/src/peridotmast/coordination/tally.py
+++ b/src/peridotmast/coordination/fleet_counts.py
@@ -15,13 +15,13 @@
 """Stands for this router's own group among those whose heads are known."""
 
 
-class Source:
+class DeltaTracker:
     """What has been heard of counts that grow, by who tells them."""
 
     def __init__(self) -> None:
         self._heard: dict[str, tuple[int, Counts]] = {}
 
-    def hear(self, teller: str, run: int, counts: Counts) -> Counts:
+    def update(self, teller: str, run: int, counts: Counts) -> Counts:
         """Return by how much the counts have grown since they were told.
 
         What was counted before a teller is first heard is past; a new run of
@@ -44,12 +44,12 @@
         """Forget one: what it counts from now on is new."""
         self._heard.pop(teller, None)
 
-    def forget(self, tellers: ty.Collection[str]) -> None:
+    def retain(self, tellers: ty.Collection[str]) -> None:
         """Drop what was heard of all tellers but these."""
         self._heard = {t: v for t, v in self._heard.items() if t in tellers}
 
 
-class Tally:
+class FleetCounts:
     """One kind of count over all routers, at one of them.
 
     A router of a small fleet hears every other. In a large one a head hears
@@ -69,15 +69,15 @@
     def __init__(self, own: ty.Callable[[], Counts], apply: Apply) -> None:
         self._own = own
         self._apply = apply
-        self._routers = Source()
-        self._groups = Source()
-        self._fleet = Source()
+        self._routers = DeltaTracker()
+        self._groups = DeltaTracker()
+        self._fleet = DeltaTracker()
         self._heads: dict[int, str] = {}
         self._grown: dict[str, collections.Counter[str]] = {}
         self._gone: collections.Counter[str] = collections.Counter()
         self._elsewhere: collections.Counter[str] = collections.Counter()
 
-    def hear(
+    def receive(
         self, router: str, run: int, counts: Counts, counted: bool
     ) -> None:
         """Take in what another router counts.
@@ -87,12 +87,12 @@
         counted : bool
             Whether this is the way by which this router hears of it.
         """
-        grown = self._routers.hear(router, run, counts)
+        grown = self._routers.update(router, run, counts)
         _add(self._grown.setdefault(router, collections.Counter()), grown)
         if counted:
             self._apply(grown)
 
-    def hear_group(
+    def receive_group(
         self, group: int, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
         """Take in what another group counts."""
@@ -100,28 +100,28 @@
             # Another one has told of it meanwhile, or nobody has.
             self._heads[group] = head
             self._groups.drop(head)
-        grown = self._groups.hear(head, run, counts)
+        grown = self._groups.update(head, run, counts)
         _add(self._elsewhere, grown)
         if counted:
             self._apply(grown)
 
-    def follow(
+    def receive_fleet(
         self, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
         """Take in from the own head what all others count."""
         if self._heads.get(_OWN) != head:
             self._heads[_OWN] = head
             self._fleet.drop(head)
-        grown = self._fleet.hear(head, run, counts)
+        grown = self._fleet.update(head, run, counts)
         if counted:
             self._apply(grown)
 
-    def reckon(self, counts: Counts) -> None:
+    def add_estimate(self, counts: Counts) -> None:
         """Take in what others may have counted while nobody told of it."""
         _add(self._elsewhere, counts)
         self._apply(counts)
 
-    def group(self) -> Counts:
+    def group_total(self) -> Counts:
         """Return what this router and its members count."""
         total = collections.Counter(self._gone)
         _add(total, self._own())
@@ -129,9 +129,9 @@
             _add(total, grown)
         return dict(total)
 
-    def others(self, members: ty.Iterable[str]) -> ty.Iterator[Counts]:
+    def totals_without(self, members: ty.Iterable[str]) -> ty.Iterator[Counts]:
         """Yield for each of some members what all but that one count."""
-        everybody = collections.Counter(self.group())
+        everybody = collections.Counter(self.group_total())
         _add(everybody, self._elsewhere)
         for member in members:
             total = dict(everybody)
@@ -139,19 +139,19 @@
                 total[name] -= count
             yield total
 
-    def switch(self) -> None:
+    def reset_sources(self) -> None:
         """Begin to count by another way.
 
         What was told by that way until now has come by the one before.
         """
-        self._routers = Source()
-        self._groups = Source()
-        self._fleet = Source()
+        self._routers = DeltaTracker()
+        self._groups = DeltaTracker()
+        self._fleet = DeltaTracker()
         self._heads = {}
 
-    def forget(self, routers: ty.Collection[str]) -> None:
+    def retain(self, routers: ty.Collection[str]) -> None:
         """Keep no more of all routers but these than their sum."""
-        self._routers.forget(routers)
+        self._routers.retain(routers)
         for router in self._grown.keys() - set(routers):
             _add(self._gone, self._grown.pop(router))
 
--- a/src/peridotmast/coordination/groups.py
+++ b/src/peridotmast/coordination/groups.py
@@ -8,7 +8,7 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import rank
 
-WHOLE = 17
+FULL_MESH_LIMIT = 17
 """Fleet size up to which every router tells every other: it reaches 16 peers
 with one round of beacons."""
 
@@ -36,11 +36,11 @@
         self._sorted: _Sorted = {}
         self._sorted_at = -1, 0
 
-    def is_split(self) -> bool:
+    def is_grouped(self) -> bool:
         """Return whether the fleet is so large that it has groups."""
-        return len(self._members.peers()) + 1 > WHOLE
+        return len(self._members.peers()) + 1 > FULL_MESH_LIMIT
 
-    def look(self) -> Look:
+    def snapshot(self) -> GroupSnapshot:
         """Return the groups as this router sees them now."""
         # Also those that are silent now: else a gap in what is heard would
         # sort all routers anew.
@@ -49,7 +49,7 @@
         if self._sorted_at != at:
             self._sorted = self._sort(count)
             self._sorted_at = at
-        peers = self._members.heard()
+        peers = self._members.live_peers()
         heard = {peer.member.name for peer in peers}
         leaving = {
             peer.member.name
@@ -60,14 +60,15 @@
             group: [
                 peer
                 for peer in peers
-                if peer.member.name in heard or self._members.is_new(peer)
+                if peer.member.name in heard
+                or self._members.is_newly_discovered(peer)
             ]
             for group, peers in self._sorted.items()
         }
-        there = (heard | self._members.coming()) - leaving
+        there = (heard | self._members.starting_names()) - leaving
         if self._members.me.state != members_.LEAVING:
             there.add(self._me)
-        return Look(self._me, known, heard, there, count)
+        return GroupSnapshot(self._me, known, heard, there, count)
 
     def _sort(self, count: int) -> _Sorted:
         """Return all peers by group, who is head before others first."""
@@ -80,7 +81,7 @@
         return found
 
 
-class Look:
+class GroupSnapshot:
     """The groups at one moment.
 
     Parameters
@@ -113,11 +114,11 @@
         self._heard = heard
         self._there = there
         self._groups = groups
-        self.mine = self.group_of(me)
+        self.own_group = self.group_of(me)
         """Number of this router's group."""
 
     @property
-    def leads(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this router is the head of its group.
 
         One that leaves hands that over as soon as it says so: the next one
@@ -126,32 +127,32 @@
         mine = rank.of('head', self._me)
         return not any(
             rank.of('head', name) < mine or self._me not in self._there
-            for name in self.names_in(self.mine)
+            for name in self.names_in(self.own_group)
             if name in self._there
         )
 
     def members(self) -> list[members_.Peer]:
         """Return the other members of this router's group."""
-        return self._groups.get(self.mine, [])
+        return self._groups.get(self.own_group, [])
 
-    def members_heard(self) -> set[str]:
+    def live_member_names(self) -> set[str]:
         """Return the names of the other members that are heard."""
-        return set(self._heard_in(self.mine))
+        return set(self._heard_in(self.own_group))
 
-    def heads(self) -> list[members_.Peer]:
+    def head_and_successor(self) -> list[members_.Peer]:
         """Return who is told for this router's group: head and next one.
 
         The next one takes the head's place as soon as that falls silent, and
         knows by then what the members count.
         """
-        return self._first(self.mine, 2)
+        return self._first(self.own_group, 2)
 
     def other_heads(self) -> list[members_.Peer]:
         """Return the heads of the other groups."""
         return [
             peer
             for group in self._groups
-            if group != self.mine
+            if group != self.own_group
             for peer in self._first(group, 1)
         ]
 
@@ -163,13 +164,13 @@
         """Return the names of the peers in a group."""
         return [peer.member.name for peer in self._groups.get(group, [])]
 
-    def heard_in(self, group: int) -> int:
+    def live_count(self, group: int) -> int:
         """Return how many peers in a group are heard."""
         return len(self._heard_in(group))
 
     def is_member(self, name: str) -> bool:
         """Return whether a router is of this router's group."""
-        return self.group_of(name) == self.mine
+        return self.group_of(name) == self.own_group
 
     def _first(self, group: int, count: int) -> list[members_.Peer]:
         peers = self._groups.get(group, [])
--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -40,7 +40,7 @@
 """Time between two looks at whether this router is to watch."""
 
 
-class Follower(ty.Protocol):
+class WatchListener(ty.Protocol):
     """Takes in what a watch brings."""
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
@@ -55,41 +55,41 @@
 
     Parameters
     ----------
-    store : objects.Objects
+    store : objects.ObjectStore
         The platform's store.
     kind : str
         Kind of objects.
-    follower : Follower
+    follower : WatchListener
         Gets the objects.
     clock : clock.Clock
         Times the watches.
-    is_outage_felt : callable
+    is_outage_suspected : callable
         Says whether what is missing may be missing due to an outage.
     tell : callable
         Called once news was taken in.
-    is_due : callable
+    should_watch : callable
         Says whether this router watches; one that does not hears the news
         from its peers, but lists the kind once when it starts.
     """
 
     def __init__(
         self,
-        store: objects.Objects,
+        store: objects.ObjectStore,
         kind: str,
-        follower: Follower,
+        follower: WatchListener,
         clock: clock_.Clock,
-        is_outage_felt: ty.Callable[[], bool] = lambda: False,
+        is_outage_suspected: ty.Callable[[], bool] = lambda: False,
         tell: ty.Callable[[], None] = lambda: None,
-        is_due: ty.Callable[[], bool] = lambda: True,
+        should_watch: ty.Callable[[], bool] = lambda: True,
     ) -> None:
         self._store = store
         self.kind = kind
         """Kind of objects."""
         self._follower = follower
         self._clock = clock
-        self._is_outage_felt = is_outage_felt
+        self._is_outage_felt = is_outage_suspected
         self._tell = tell
-        self._is_due = is_due
+        self._is_due = should_watch
         self._jitter = random.Random(kind)
         self._revision = 0
         self._listed = False
@@ -118,7 +118,7 @@
         if failure is None:
             self._pause_ms = _FIRST_PAUSE_MS
             return
-        if failure.reason == objects.GONE:
+        if failure.reason == objects.HISTORY_GONE:
             # Whatever was forgotten may have changed anything.
             self._log.info('history_gone', revision=self._revision)
             self._listed = False
@@ -132,7 +132,7 @@
         green.sleep_ms(self._pause_ms * self._jitter.uniform(0.7, 1.3))
         self._pause_ms = min(_LAST_PAUSE_MS, self._pause_ms * 2)
 
-    def overtaken(self) -> None:
+    def on_peer_ahead(self) -> None:
         """Ask anew: a peer has news that the waiting watch did not bring.
 
         A connection on which the store once failed may stay silent for as
@@ -141,7 +141,7 @@
         """
         self._ask_anew('watch_overtaken', _OVERTAKEN_MS)
 
-    def doubt(self) -> None:
+    def on_outage(self) -> None:
         """Ask anew: the store was out, and may have lost the watch."""
         if self._ask_anew('watch_doubted', self._deaf_ms):
             self._deaf_ms = min(_LAST_DEAF_MS, 2 * self._deaf_ms)
--- a/src/peridotmast/coordination/lease.py
+++ b/src/peridotmast/coordination/lease.py
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    store : objects.Objects
+    store : objects.ObjectStore
         The platform's store.
     name : str
         The lease's object.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        store: objects.Objects,
+        store: objects.ObjectStore,
         name: str,
         router: str,
         run: str,
@@ -79,7 +79,7 @@
         self._clock = clock
         self._numbers = itertools.count(1)
         self._ends = 0
-        self._seen: ty.Optional[objects.Stored] = None
+        self._seen: ty.Optional[objects.StoredObject] = None
         self._seen_at = 0
         self._sure = False
         self._taken_at = 0
@@ -90,13 +90,13 @@
         self._log = logs.get('lease', lease=name, router=router)
         self.fencing = 0
         """Number that goes with each order; grows with every new holder."""
-        self.leave: ty.Callable[[], objects.Json] = dict
+        self.make_handover: ty.Callable[[], objects.Json] = dict
         """Returns what the next holder is to know; written with the lease."""
-        self.left: ty.Optional[objects.Json] = None
+        self.received_handover: ty.Optional[objects.Json] = None
         """What the holder before had left when this one took the lease; None
         where that was this run."""
 
-    def bind(self, place: str) -> None:
+    def set_endpoint(self, place: str) -> None:
         """Say where this run stands, once nobody else can.
 
         Parameters
@@ -109,22 +109,22 @@
         self._bound_at = self._clock.now()
 
     @property
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """How long it is held yet, in ms; 0 where it is not."""
         return max(0, self._ends - self._clock.boot())
 
     def hint(self) -> ty.Optional[pb.LeaseHint]:
         """Return what the others need to know, where it is held here."""
-        if not self.held():
+        if not self.is_held():
             return None
         return pb.LeaseHint(
             holder=self._router,
             fencing=self.fencing,
-            left_ms=self.left_ms,
+            left_ms=self.remaining_ms,
             revision=self._seen.revision if self._seen else 0,
         )
 
-    def hear(self, hint: pb.LeaseHint) -> None:
+    def receive_hint(self, hint: pb.LeaseHint) -> None:
         """Take in how long it is held yet, from its holder or who heard it.
 
         What is passed on is late by its way, so of two words on one renewal
@@ -157,9 +157,9 @@
             revision=self._hint.revision,
         )
 
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Return whether the lease is held by this process's own clock."""
-        return self.left_ms > 0
+        return self.remaining_ms > 0
 
     def may_act(self) -> bool:
         """Return whether an order may be begun.
@@ -168,9 +168,9 @@
         none is begun in the lease's last part, so that it arrives before
         the next holder's first.
         """
-        return self.left_ms > self._guard_ms
+        return self.remaining_ms > self._guard_ms
 
-    def order_ms(self, fencing: int) -> int:
+    def order_timeout_ms(self, fencing: int) -> int:
         """Return in which time an order with a number must arrive, in ms.
 
         0 where none may be begun: this router holds the lease no more, or
@@ -178,7 +178,7 @@
         asked has to ask again before it sends.
         """
         is_same = fencing == self.fencing
-        return self.left_ms if is_same and self.may_act() else 0
+        return self.remaining_ms if is_same and self.may_act() else 0
 
     def attempt(self) -> Outcome:
         """Take or renew the lease where that may be done."""
@@ -201,7 +201,7 @@
         self._take(result, spec, began, mine)
         return Outcome.HELD
 
-    def succeed(self) -> Outcome:
+    def take_over(self) -> Outcome:
         """Take the lease over from this router's run before, if it had it."""
         if self._read() is not None:
             return Outcome.UNREACHED
@@ -211,7 +211,7 @@
 
     def release(self) -> None:
         """Give the lease up, so that the next holder need not wait."""
-        if not self.held() or self._seen is None:
+        if not self.is_held() or self._seen is None:
             return
         self._ends = 0
         current = self._current()
@@ -225,7 +225,7 @@
         spec = {
             **current,
             'before': before,
-            'left': self.leave(),
+            'left': self.make_handover(),
             'released': True,
         }
         self._store.write(KIND, self._name, spec, self._seen.revision)
@@ -257,7 +257,7 @@
         if not mine and not self._is_over(current):
             self._sure = False
             return None
-        again = mine and (self.held() or not self.fencing)
+        again = mine and (self.is_held() or not self.fencing)
         fencing = int(current.get('fencing') or 0)
         return {
             'holder': self._holder,
@@ -293,7 +293,7 @@
     ) -> ty.Optional[objects.Json]:
         """Return what is left: at first, what was left to this run."""
         if again and self.fencing:
-            return self.leave()
+            return self.make_handover()
         return current.get('left') or {}
 
     def _next_before(self, current: objects.Json) -> dict[str, int]:
@@ -321,12 +321,12 @@
 
     def _take(
         self,
-        result: objects.Stored,
+        result: objects.StoredObject,
         spec: objects.Json,
         began: int,
         mine: bool,
     ) -> None:
-        self._seen = objects.Stored(self._name, result.revision, spec)
+        self._seen = objects.StoredObject(self._name, result.revision, spec)
         self._seen_at = self._clock.boot()
         self._sure = True
         self._ends = began + self.length_ms
@@ -334,11 +334,11 @@
         if fencing != self.fencing:
             self.fencing = fencing
             self._taken_at = began
-            self.left = None if mine else spec['left']
+            self.received_handover = None if mine else spec['left']
             self._log.info('lease_taken', fencing=fencing)
 
     def _unreached(self) -> Outcome:
-        return Outcome.HELD if self.held() else Outcome.UNREACHED
+        return Outcome.HELD if self.is_held() else Outcome.UNREACHED
 
 
 def _before(spec: objects.Json) -> dict[str, int]:
--- a/src/peridotmast/coordination/members.py
+++ b/src/peridotmast/coordination/members.py
@@ -38,16 +38,16 @@
 
     member: pb.Member
     """The newest that it said of itself."""
-    heard_at: int = 0
+    last_beacon_at: int = 0
     """Moment of its last beacon, in ms; 0 where there was none yet."""
-    told_at: int = 0
+    last_reported_at: int = 0
     """Moment at which a head last said that it is there, in ms; 0 where none
     does."""
     changed_at: int = 0
     """Moment at which its entry last changed, in ms."""
-    was_there: bool = False
+    was_seen: bool = False
     """Whether it was ever heard, or heard of from a head."""
-    known_at: int = 0
+    discovered_at: int = 0
     """Moment at which it was first heard of, in ms."""
 
 
@@ -62,7 +62,7 @@
         Times silence.
     silent_ms : int
         Silence after which callers are not sent to a peer any more.
-    whole : int
+    full_mesh_limit : int
         Fleet size up to which every router tells every other.
     """
 
@@ -71,14 +71,14 @@
         me: pb.Member,
         clock: clock_.Clock,
         silent_ms: int,
-        whole: int = 1 << 30,
+        full_mesh_limit: int = 1 << 30,
     ) -> None:
         self.me = me
         """This router's own entry."""
         self.clock = clock
         """Times silence."""
         self._silent_ms = silent_ms
-        self._whole = whole
+        self._full_mesh_limit = full_mesh_limit
         self._peers: dict[str, Peer] = {}
         self._was_heard: set[str] = set()
         self.version = 0
@@ -99,14 +99,14 @@
         if known is None:
             now = self.clock.now()
             self._peers[member.name] = Peer(
-                member, known_at=now, changed_at=now
+                member, discovered_at=now, changed_at=now
             )
             self.version += 1
         elif _rank(member) > _rank(known.member):
             known.member = member
             known.changed_at = self.clock.now()
 
-    def hear(self, member: pb.Member) -> bool:
+    def receive(self, member: pb.Member) -> bool:
         """Take in a member's own beacon; say whether it is its newest run."""
         if member.name == self.me.name:
             return False
@@ -115,11 +115,13 @@
         if _rank(member) < _rank(peer.member):
             return False
         peer.member = member
-        peer.heard_at = self.clock.now()
+        peer.last_beacon_at = self.clock.now()
         self._note_there(peer)
         return True
 
-    def hear_some(self, names: ty.Iterable[str], of: ty.Iterable[str]) -> None:
+    def apply_head_report(
+        self, names: ty.Iterable[str], of: ty.Iterable[str]
+    ) -> None:
         """Take in from a head who is there.
 
         Parameters
@@ -130,16 +132,16 @@
         now, there = self.clock.now(), set(names)
         for name in of:
             if name not in there and name in self._peers:
-                self._peers[name].told_at = 0
+                self._peers[name].last_reported_at = 0
         for peer in (self._peers[n] for n in there & self._peers.keys()):
-            peer.told_at = now
+            peer.last_reported_at = now
             self._note_there(peer)
 
-    def names(self) -> list[str]:
+    def peer_names(self) -> list[str]:
         """Return the names of all other members."""
         return list(self._peers)
 
-    def changed(self, within_ms: int, most: int) -> list[pb.Member]:
+    def recently_changed(self, within_ms: int, most: int) -> list[pb.Member]:
         """Return the entries that have changed of late, the newest first."""
         limit = self.clock.now() - within_ms
         late = [p for p in self._peers.values() if p.changed_at >= limit]
@@ -154,34 +156,38 @@
         """Return the peer called `name`."""
         return self._peers.get(name)
 
-    def heard(self) -> list[Peer]:
+    def live_peers(self) -> list[Peer]:
         """Return the peers that were heard lately."""
-        split = len(self._peers) + 1 > self._whole
+        split = len(self._peers) + 1 > self._full_mesh_limit
         now = self.clock.now()
         limit = now - self._silent_ms * (_GROUP_SHARE if split else 1)
         told = now - self._silent_ms * _TOLD_SHARE
         return [
             peer
             for peer in self._peers.values()
-            if (peer.heard_at and peer.heard_at >= limit)
-            or (split and peer.told_at and peer.told_at >= told)
+            if (peer.last_beacon_at and peer.last_beacon_at >= limit)
+            or (
+                split
+                and peer.last_reported_at
+                and peer.last_reported_at >= told
+            )
         ]
 
     def serving(self) -> list[pb.Member]:
         """Return the members that callers may be sent to, this one too."""
-        everyone = [self.me, *(peer.member for peer in self.heard())]
+        everyone = [self.me, *(peer.member for peer in self.live_peers())]
         return [m for m in everyone if m.ready and m.state == ALIVE]
 
-    def counted(self) -> int:
+    def sharer_count(self) -> int:
         """Return how many routers share what is shared, this one too.
 
         A peer counts until it is forgotten or says that it leaves: one
         that is only silent may be serving callers beyond a cut. For a router
         that starts, so do those that it has only heard of yet.
         """
-        return len(self.counted_names())
+        return len(self.sharer_names())
 
-    def counted_names(self) -> list[str]:
+    def sharer_names(self) -> list[str]:
         """Return the names of all routers counted, including this one."""
         return [
             self.me.name,
@@ -189,16 +195,16 @@
                 peer.member.name
                 for peer in self._peers.values()
                 if peer.member.state == ALIVE
-                and (peer.was_there or self.is_new(peer))
+                and (peer.was_seen or self.is_newly_discovered(peer))
             ),
         ]
 
-    def is_new(self, peer: Peer) -> bool:
+    def is_newly_discovered(self, peer: Peer) -> bool:
         """Return whether a peer may be there that was never heard."""
         limit = self.clock.now() - _NEW_MS
-        return not peer.heard_at and peer.known_at > limit
+        return not peer.last_beacon_at and peer.discovered_at > limit
 
-    def coming(self) -> set[str]:
+    def starting_names(self) -> set[str]:
         """Return the names of those that are about to speak.
 
         A fleet that starts as a whole sorts itself by them: else each takes
@@ -208,12 +214,12 @@
         return {
             name
             for name, peer in self._peers.items()
-            if not peer.was_there and peer.known_at > limit
+            if not peer.was_seen and peer.discovered_at > limit
         }
 
     def tick(self) -> None:
         """Note who has fallen silent; forget who has been for long."""
-        heard = {peer.member.name for peer in self.heard()}
+        heard = {peer.member.name for peer in self.live_peers()}
         for name in sorted(self._was_heard - heard):
             self._was_heard.discard(name)
             self._log.info('peer_silent', peer=name)
@@ -221,7 +227,10 @@
         old = [
             name
             for name, peer in self._peers.items()
-            if max(peer.heard_at, peer.told_at, peer.known_at) < limit
+            if max(
+                peer.last_beacon_at, peer.last_reported_at, peer.discovered_at
+            )
+            < limit
         ]
         for name in old:
             del self._peers[name]
@@ -229,7 +238,7 @@
 
     def _note_there(self, peer: Peer) -> None:
         name = peer.member.name
-        peer.was_there = True
+        peer.was_seen = True
         if name not in self._was_heard:
             self._was_heard.add(name)
             self._log.info('peer_heard', peer=name)
--- a/src/peridotmast/coordination/objects.py
+++ b/src/peridotmast/coordination/objects.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Stored:
+class StoredObject:
     """An object as it was read or written."""
 
     name: str
@@ -25,7 +25,7 @@
 class Listing:
     """All objects of a kind at one revision."""
 
-    objects: list[Stored]
+    objects: list[StoredObject]
     revision: int
 
 
@@ -33,17 +33,17 @@
 class Changes:
     """What happened to the objects of a kind since a revision."""
 
-    objects: list[Stored]
+    objects: list[StoredObject]
     """Changed ones, in order; removed ones without a value."""
     revision: int
     """From which the next question goes on."""
 
 
-GONE = 'history_gone'
+HISTORY_GONE = 'history_gone'
 """Reason of a failure that says: the changes are forgotten, list anew."""
 
 
-class Objects(ty.Protocol):
+class ObjectStore(ty.Protocol):
     """The store that the platform runs.
 
     Reads are of the newest state. A conditional write names the revision
@@ -51,7 +51,9 @@
     may have taken effect, or may do so later if its condition still holds.
     """
 
-    def read(self, kind: str, name: str) -> ty.Union[Stored, failures.Failure]:
+    def read(
+        self, kind: str, name: str
+    ) -> ty.Union[StoredObject, failures.Failure]:
         """Return an object; one without a value where there is none."""
 
     def list(self, kind: str) -> ty.Union[Listing, failures.Failure]:
@@ -74,7 +76,7 @@
 
     def write(
         self, kind: str, name: str, spec: Json, revision: int
-    ) -> ty.Union[Stored, failures.Failure]:
+    ) -> ty.Union[StoredObject, failures.Failure]:
         """Write where the object is still at `revision` (0: not there).
 
         A failure of kind CONFLICT means that nothing was written.
--- a/src/peridotmast/coordination/outage.py
+++ b/src/peridotmast/coordination/outage.py
@@ -14,7 +14,7 @@
 would take missing entries for lapsed ones for good, and so would its peers."""
 
 
-class Outage:
+class OutageTracker:
     """What the calls of the store say about the store.
 
     Entries that are missing while it is out, or for some time after, may
@@ -36,10 +36,10 @@
         self._log = logs.get('store')
         self.is_out = False
         """Whether the last call was not answered."""
-        self.on_back: ty.Callable[[], None] = lambda: None
+        self.on_recovery: ty.Callable[[], None] = lambda: None
         """Called once it is known that the store was out and answers again."""
 
-    def failed(self, reason: str, after_ms: int = 0) -> None:
+    def record_failure(self, reason: str, age_ms: int = 0) -> None:
         """Note a call that was not answered, or turned away.
 
         Where another one was answered since this one was made, the store
@@ -47,19 +47,19 @@
 
         Parameters
         ----------
-        after_ms : int
+        age_ms : int
             How long ago it was made.
         """
-        if self._clock.now() - after_ms < self._answered_at:
+        if self._clock.now() - age_ms < self._answered_at:
             self._back_at = max(self._back_at, self._answered_at)
-            self.on_back()
+            self.on_recovery()
             return
         if not self.is_out:
             self._log.warning('store_lost', reason=reason)
         self.is_out = True
         self._failed_at = self._clock.now()
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Note a call that was answered."""
         self._answered_at = self._clock.now()
         if not self.is_out:
@@ -67,9 +67,9 @@
         self.is_out = False
         self._back_at = self._answered_at
         self._log.info('store_regained')
-        self.on_back()
+        self.on_recovery()
 
-    def is_felt(self) -> bool:
+    def is_suspected(self) -> bool:
         """Return whether what is missing may be missing due to it."""
         now = self._clock.now()
         is_out = self.is_out and now - self._failed_at < _SAID_MS
--- a/src/peridotmast/coordination/outage_word.py
+++ b/src/peridotmast/coordination/outage_reports.py
@@ -10,7 +10,7 @@
 """How long a peer's word of a store that fails it holds: a few beacons."""
 
 
-class OutageWord:
+class OutageReports:
     """Takes in who says that the store does not answer.
 
     Parameters
@@ -30,7 +30,7 @@
         self._doubted_at = -_FELT_MS
         self._felt: dict[str, int] = {}
 
-    def hear(self, peer: str, from_member: bool) -> None:
+    def record(self, peer: str, from_member: bool) -> None:
         """Take in that the store does not answer a peer.
 
         Parameters
@@ -51,15 +51,15 @@
         if from_member:
             self._member_at = now
 
-    def forget(self, before: int) -> None:
+    def discard_before(self, before: int) -> None:
         """Forget the peers that have not said so since a moment, in ms."""
         self._felt = {p: at for p, at in self._felt.items() if at >= before}
 
-    def is_heard(self) -> bool:
+    def has_recent(self) -> bool:
         """Return whether any peer has said so just now."""
         return self._is_recent(self._at)
 
-    def is_heard_of_member(self) -> bool:
+    def has_recent_from_member(self) -> bool:
         """Return whether a peer has said so of itself just now."""
         return self._is_recent(self._member_at)
 
--- a/src/peridotmast/coordination/registry.py
+++ b/src/peridotmast/coordination/registry.py
@@ -32,20 +32,20 @@
 
     Parameters
     ----------
-    store : objects.Objects
+    store : objects.ObjectStore
         The platform's store.
     members : members.Members
         This router and those it learns of.
     """
 
     def __init__(
-        self, store: objects.Objects, members: members_.Members
+        self, store: objects.ObjectStore, members: members_.Members
     ) -> None:
         self._store = store
         self._members = members
         self._log = logs.get('registry', router=members.me.name)
 
-    def enter(self) -> bool:
+    def register(self) -> bool:
         """Enter this router and learn of all others; say whether both went.
 
         What the run before has written stays where it still holds. Where an
@@ -80,7 +80,7 @@
         return listing
 
 
-def _is_at_its_place(own: objects.Stored, me: pb.Member) -> bool:
+def _is_at_its_place(own: objects.StoredObject, me: pb.Member) -> bool:
     """Return whether an earlier run's entry leads to this one."""
     before = _read(own)
     return before is not None and all(
@@ -88,7 +88,7 @@
     )
 
 
-def _read(stored: objects.Stored) -> ty.Optional[pb.Member]:
+def _read(stored: objects.StoredObject) -> ty.Optional[pb.Member]:
     try:
         return json_format.ParseDict(
             stored.spec or {}, pb.Member(), ignore_unknown_fields=True
--- a/src/peridotmast/coordination/gaps.py
+++ b/src/peridotmast/coordination/report_gaps.py
@@ -16,7 +16,7 @@
 _Teller = tuple[str, int]
 """Name and run of who tells."""
 
-Worth = ty.Callable[[float, int], dict[str, int]]
+Estimate = ty.Callable[[float, int], dict[str, int]]
 """Returns the tokens by team that a part of the fleet is taken to spend from
 a moment on, in ms."""
 
@@ -37,7 +37,7 @@
     """Tokens by team that were reckoned since they were told."""
 
 
-class Gaps:
+class ReportGaps:
     """Reckons what routers may spend while nobody tells of it.
 
     A head that ends takes with it what its members counted until the next
@@ -54,17 +54,17 @@
         Returns what is reckoned for a part of the fleet since a moment.
     """
 
-    def __init__(self, clock: clock_.Clock, worth: Worth) -> None:
+    def __init__(self, clock: clock_.Clock, worth: Estimate) -> None:
         self._clock = clock
         self._worth = worth
         self._sources: dict[str, _Source] = {}
 
-    def begin(self, sources: ty.Iterable[str]) -> None:
+    def reset(self, sources: ty.Iterable[str]) -> None:
         """Go by these ways from now on; none has brought anything yet."""
         now = self._clock.now()
         self._sources = {name: _Source(None, now, now) for name in sources}
 
-    def hear(
+    def on_report(
         self, source: str, teller: _Teller, share: float
     ) -> dict[str, int]:
         """Return what is to be reckoned, now that a source is told again.
--- a/src/peridotmast/coordination/nearest.py
+++ b/src/peridotmast/coordination/router_selector.py
@@ -9,7 +9,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 
-class Nearest:
+class RouterSelector:
     """Names routers of a caller's failure domain, and some of the others.
 
     Those beyond the failure domain are there for its loss. They are drawn
@@ -29,7 +29,7 @@
         self._most = most
         self._draws = random.Random(members.me.name)
 
-    def of(
+    def select(
         self,
         domain: str,
         is_usable: ty.Callable[[pb.Member], bool] = lambda member: True,
--- a/src/peridotmast/coordination/store_check.py
+++ b/src/peridotmast/coordination/store_prober.py
@@ -7,7 +7,7 @@
 from peridotmast.coordination import outage as outage_
 
 
-class Asked(ty.Protocol):
+class ProbedStore(ty.Protocol):
     """The store, as far as it can be asked whether it answers."""
 
     calls: int
@@ -17,7 +17,7 @@
         """Ask whether it answers; the outage is told."""
 
 
-class StoreCheck:
+class StoreProber:
     """Asks a store that has failed until it answers.
 
     A router that watches the store asks again anyway. One that does not may
@@ -28,13 +28,15 @@
 
     Parameters
     ----------
-    store : Asked
+    store : ProbedStore
         The platform's store.
-    outage : outage.Outage
+    outage : outage.OutageTracker
         What its calls say about it.
     """
 
-    def __init__(self, store: Asked, outage: outage_.Outage) -> None:
+    def __init__(
+        self, store: ProbedStore, outage: outage_.OutageTracker
+    ) -> None:
         self._store = store
         self._outage = outage
         self._calls = 0
--- a/src/peridotmast/coordination/upstream_feed.py
+++ b/src/peridotmast/coordination/upstream_feed.py
@@ -42,7 +42,7 @@
         self._table = table
         self._read = read
         self._log = logs.get('upstreams')
-        self.listed = False
+        self.is_listed = False
         """Whether the upstreams are known from the store or a peer."""
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
@@ -53,9 +53,9 @@
         for view in self._table.all():
             known = view.record.state != upstreams_.GONE
             if known and view.name not in present:
-                absent = objects.Stored(view.name, listing.revision)
+                absent = objects.StoredObject(view.name, listing.revision)
                 self._take(absent, after_outage)
-        self.listed = True
+        self.is_listed = True
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
         """Take in the entries that have changed."""
@@ -82,14 +82,14 @@
         ]
         return len(gone) >= _MASS and 2 * len(gone) > len(known)
 
-    def _take(self, stored: objects.Stored, after_outage: bool) -> None:
+    def _take(self, stored: objects.StoredObject, after_outage: bool) -> None:
         if stored.spec is not None:
             self._merge_entry(stored)
             return
         state = upstreams_.LAPSED if after_outage else upstreams_.GONE
         self._merge(_of(stored, state))
 
-    def _merge_entry(self, stored: objects.Stored) -> None:
+    def _merge_entry(self, stored: objects.StoredObject) -> None:
         try:
             record = self._read(stored.name, stored.revision, stored.spec)
         except ValueError as exc:
@@ -119,7 +119,9 @@
         )
 
 
-def _of(stored: objects.Stored, state: pb.UpstreamState) -> pb.UpstreamRecord:
+def _of(
+    stored: objects.StoredObject, state: pb.UpstreamState
+) -> pb.UpstreamRecord:
     """Return the statement that an entry says nothing but its state."""
     return pb.UpstreamRecord(
         upstream=pb.Upstream(name=stored.name),
--- a/src/peridotmast/coordination/watchers.py
+++ b/src/peridotmast/coordination/watchers.py
@@ -37,14 +37,14 @@
 
     def __init__(self, members: members_.Members) -> None:
         self._members = members
-        self.is_outage_felt: ty.Callable[[], bool] = lambda: False
+        self.is_outage_suspected: ty.Callable[[], bool] = lambda: False
         """Says whether the store does not answer some router."""
 
     def all_watch(self) -> bool:
         """Return whether the fleet is so small that every router watches."""
         return len(self._there()) < _EVERYBODY
 
-    def is_due(self, kind: str) -> bool:
+    def should_watch(self, kind: str) -> bool:
         """Return whether this router is to watch `kind`."""
         there = self._there()
         if len(there) < _EVERYBODY:
@@ -52,10 +52,10 @@
         what = f'watch|{kind}'
         mine = rank.of(what, self._members.me.name)
         before = sum(rank.of(what, name) < mine for name in there)
-        times = _IN_DOUBT if self.is_outage_felt() else 1
+        times = _IN_DOUBT if self.is_outage_suspected() else 1
         return before < times * _WATCHERS
 
     def _there(self) -> set[str]:
         """Return the names of the routers that watch, or may in a moment."""
-        heard = {peer.member.name for peer in self._members.heard()}
-        return heard | self._members.coming()
+        heard = {peer.member.name for peer in self._members.live_peers()}
+        return heard | self._members.starting_names()
--- a/src/peridotmast/duties/holder.py
+++ b/src/peridotmast/duties/holder.py
@@ -86,7 +86,7 @@
         self._changes = 0
         self._renewed_at = 0
         self._begun_with = 0
-        lease.leave = self._leave
+        lease.make_handover = self._leave
         self._length_ms = lease.length_ms
         self._vacant_since = 0
         self._not_before = 0
@@ -96,13 +96,13 @@
 
     def keep_lease(self) -> None:
         """Take or renew the lease where that is due."""
-        if self._lease.held():
-            is_due = self._lease.left_ms < _RENEW_SHARE * self._length_ms
+        if self._lease.is_held():
+            is_due = self._lease.remaining_ms < _RENEW_SHARE * self._length_ms
             if is_due or self._is_news_due():
                 self._renew()
         elif self._is_vacant():
             self._contend()
-        if self._holding and not self._lease.held():
+        if self._holding and not self._lease.is_held():
             self._holding = False
             self._log.warning('duties_lost', fencing=self._lease.fencing)
 
@@ -112,7 +112,7 @@
             return
         if not self._holding:
             self._holding = True
-            left = _read_left(self._lease.left)
+            left = _read_left(self._lease.received_handover)
             for duty in self._duties:
                 duty.begin(left)
             self._changes = self._count_changes()
@@ -128,7 +128,7 @@
 
     def _leave(self) -> objects.Json:
         """Return what the next holder is to know, as the lease holds it."""
-        was_left = self._lease.left
+        was_left = self._lease.received_handover
         if was_left is not None and self._begun_with != self._lease.fencing:
             return was_left
         left = pb.DutiesLeft(at_ms=self._fleet_now())
@@ -150,10 +150,10 @@
         At once where an order was given: the next one must not order for
         the same need again, nor take back what is on its way.
         """
-        left_ms, changes = self._lease.left_ms, self._count_changes()
+        left_ms, changes = self._lease.remaining_ms, self._count_changes()
         self._renewed_at = self._clock.boot()
         self._lease.attempt()
-        if self._lease.left_ms > left_ms:
+        if self._lease.remaining_ms > left_ms:
             self._changes = changes
             me = self._members.me.name
             heirs = [m for m in self._contenders() if m.name != me]
@@ -163,7 +163,7 @@
         if self._may_contend():
             outcome = self._lease.attempt()
         elif self._may_look():
-            outcome = self._lease.succeed()
+            outcome = self._lease.take_over()
             self._may_follow = outcome is lease_.Outcome.UNREACHED
         else:
             return
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -45,7 +45,7 @@
         The counts.
     reports : Reports
         Where they go.
-    store : objects.Objects
+    store : objects.ObjectStore
         Where they are written down first.
     window_ms : int
         Length of a window.
@@ -59,7 +59,7 @@
         self,
         usage: usage_.Usage,
         reports: Reports,
-        store: objects.Objects,
+        store: objects.ObjectStore,
         window_ms: int,
         fleet_now: ty.Callable[[], int],
         checks: invariants_.Invariants,
@@ -71,7 +71,7 @@
         self._fleet_now = fleet_now
         self._checks = checks
         self._first_window = usage.window_now()
-        self._written: ty.Optional[objects.Stored] = None
+        self._written: ty.Optional[objects.StoredObject] = None
         self._sure = False
         self._unsent = False
         self._log = logs.get('usage')
@@ -134,7 +134,7 @@
             window > int(written.get('window') or 0),
             str(window),
         )
-        self._written = objects.Stored(NAME, result.revision, spec)
+        self._written = objects.StoredObject(NAME, result.revision, spec)
         self._unsent = True
         return True
 
--- a/src/peridotmast/load/config_run.py
+++ b/src/peridotmast/load/config_run.py
@@ -59,8 +59,10 @@
         run = f'{router.cfg.name}.{router.members.me.incarnation}'
         history = self._histories.setdefault(run, [])
         feed = router.config
-        feed.listen(
-            lambda _: history.append((feed.routes.version, feed.own.version))
+        feed.subscribe(
+            lambda _: history.append(
+                (feed.routes.version, feed.product.version)
+            )
         )
 
     def _change(self, times: list[float]) -> None:
--- a/src/peridotmast/load/lease_trials.py
+++ b/src/peridotmast/load/lease_trials.py
@@ -60,7 +60,7 @@
     def _contender(self, name: str) -> lease_.Lease:
         return lease_.Lease(
             store_.PlatformStore(
-                self._store.address, 60, outage_.Outage(self._clock, 0)
+                self._store.address, 60, outage_.OutageTracker(self._clock, 0)
             ),
             'trial',
             name,
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -139,7 +139,7 @@
 def _members_of(count: int) -> members_.Members:
     members = members_.Members(_member(0), clock_.SystemClock(), 1250)
     for number in range(1, count):
-        members.hear(_member(number))
+        members.receive(_member(number))
     return members
 
 
@@ -150,7 +150,9 @@
         rows.append(
             {
                 'members': float(count),
-                'hear_us': costs.timed(lambda: members.hear(_member(1)), 50),
+                'hear_us': costs.timed(
+                    lambda: members.receive(_member(1)), 50
+                ),
                 'tick_us': costs.timed(members.tick, 20),
                 'resolve_us': costs.timed(members.serving, 50),
                 'held_bytes': held,
--- a/src/peridotmast/platform/directory.py
+++ b/src/peridotmast/platform/directory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
+from peridotmast.coordination import router_selector
 from peridotmast.platform import names
 from peridotmast import web
 
@@ -24,7 +24,7 @@
 
     def __init__(self, members: members_.Members, ttl_s: float) -> None:
         self._members = members
-        self._nearest = nearest.Nearest(members, _ADDRESSES)
+        self._nearest = router_selector.RouterSelector(members, _ADDRESSES)
         self._ttl_s = ttl_s
         self.resolve = web.WebApp('directory')
         """Tells where to connect."""
@@ -35,7 +35,7 @@
 
     def _on_resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get(names.FAILURE_DOMAIN, '')
-        addresses = [member.address for member in self._nearest.of(domain)]
+        addresses = [member.address for member in self._nearest.select(domain)]
         if not addresses:
             return web.error_response(503, 'unavailable', 'no router serves')
         answer = {names.ADDRESSES: addresses, names.TTL_S: self._ttl_s}
--- a/src/peridotmast/platform/documents.py
+++ b/src/peridotmast/platform/documents.py
@@ -38,7 +38,9 @@
     return whole
 
 
-def stored(item: ty.Any, removed: bool = False) -> ty.Optional[objects.Stored]:
+def stored(
+    item: ty.Any, removed: bool = False
+) -> ty.Optional[objects.StoredObject]:
     """Return one object, or None where not even its name can be read.
 
     The value of an object that is there but has none is an empty object:
@@ -53,7 +55,7 @@
     spec = item.get(names.SPEC)
     if spec is None:
         spec = {}
-    return objects.Stored(name, revision, None if removed else spec)
+    return objects.StoredObject(name, revision, None if removed else spec)
 
 
 def _salvaged(text: str, key: str) -> dict[str, ty.Any]:
--- a/src/peridotmast/platform/store.py
+++ b/src/peridotmast/platform/store.py
@@ -48,12 +48,12 @@
         ``IP:port`` of the store.
     timeout_ms : int
         Bound on a write; of what is read, on silence.
-    outage : outage.Outage
+    outage : outage.OutageTracker
         Told how each call went.
     """
 
     def __init__(
-        self, address: str, timeout_ms: int, outage: outage_.Outage
+        self, address: str, timeout_ms: int, outage: outage_.OutageTracker
     ) -> None:
         self.address = address
         """Where the store is."""
@@ -67,18 +67,18 @@
 
     def read(
         self, kind: str, name: str
-    ) -> ty.Union[objects.Stored, failures.Failure]:
+    ) -> ty.Union[objects.StoredObject, failures.Failure]:
         """Return an object; one without a value where there is none."""
         reply = self._read(_path(kind, name))
         if isinstance(reply, failures.Failure):
             return reply
         if reply.status == 404:
-            return objects.Stored(name, 0)
+            return objects.StoredObject(name, 0)
         return _stored_reply(reply)
 
     def list(self, kind: str) -> ty.Union[objects.Listing, failures.Failure]:
         """Return all objects of a kind."""
-        found: list[objects.Stored] = []
+        found: list[objects.StoredObject] = []
         path = _path(kind)
         revision = 0
         for _ in range(_PAGE_LIMIT):
@@ -123,7 +123,7 @@
         if isinstance(reply, failures.Failure):
             return reply
         if reply.status == _HISTORY_GONE:
-            return failures.missing(objects.GONE, str(since))
+            return failures.missing(objects.HISTORY_GONE, str(since))
         page = _page(reply, names.EVENTS)
         if isinstance(page, failures.Failure):
             return page
@@ -132,7 +132,7 @@
 
     def write(
         self, kind: str, name: str, spec: objects.Json, revision: int
-    ) -> ty.Union[objects.Stored, failures.Failure]:
+    ) -> ty.Union[objects.StoredObject, failures.Failure]:
         """Write where the object is still at `revision` (0: not there)."""
         if revision:
             meta = {'name': name, names.REVISION: revision, 'finalizers': []}
@@ -167,8 +167,8 @@
     def _readable(
         self,
         kind: str,
-        found: ty.Iterable[ty.Optional[objects.Stored]],
-    ) -> ty.Iterator[objects.Stored]:
+        found: ty.Iterable[ty.Optional[objects.StoredObject]],
+    ) -> ty.Iterator[objects.StoredObject]:
         """Yield the objects that can be told apart; note the others."""
         for stored in found:
             if stored is None:
@@ -219,17 +219,17 @@
         if isinstance(reply, failures.Failure):
             waited = bool(timeout_ms) and ms > _WAITED_MS
             if not waited:
-                self._outage.failed(reply.reason, ms)
+                self._outage.record_failure(reply.reason, ms)
         elif reply.status in _REFUSALS:
-            self._outage.failed(str(reply.status))
+            self._outage.record_failure(str(reply.status))
         else:
-            self._outage.answered()
+            self._outage.record_answer()
         return reply
 
 
 def _written(
     reply: ty.Union[calls.Reply, failures.Failure], name: str
-) -> ty.Union[objects.Stored, failures.Failure]:
+) -> ty.Union[objects.StoredObject, failures.Failure]:
     """Return the object as it is after a write, or what is known of it."""
     if isinstance(reply, failures.Failure):
         # A write without a reply may have been done, or may be done later.
@@ -243,13 +243,13 @@
     if reply.status not in (200, 201, 204):
         return failures.unknown('store_error', str(reply.status))
     if not reply.body:
-        return objects.Stored(name, 0)
+        return objects.StoredObject(name, 0)
     return _stored_reply(reply)
 
 
 def _stored_reply(
     reply: calls.Reply,
-) -> ty.Union[objects.Stored, failures.Failure]:
+) -> ty.Union[objects.StoredObject, failures.Failure]:
     if reply.status not in (200, 201):
         return failures.unavailable('store_refused', str(reply.status))
     try:
@@ -281,7 +281,7 @@
     return _Page(body[key], revision, bool(body.get(names.MORE)))
 
 
-def _changed(event: ty.Any) -> ty.Optional[objects.Stored]:
+def _changed(event: ty.Any) -> ty.Optional[objects.StoredObject]:
     if not isinstance(event, dict):
         return None
     deleted = bool(event.get(names.DELETED))
--- a/src/peridotmast/router/borrowing.py
+++ b/src/peridotmast/router/borrowing.py
@@ -37,7 +37,7 @@
         self,
         members: members_.Members,
         quota: quota_.Quota,
-        look: ty.Callable[[], ty.Optional[groups_.Look]],
+        look: ty.Callable[[], ty.Optional[groups_.GroupSnapshot]],
     ) -> None:
         self._members = members
         self._quota = quota
@@ -66,7 +66,7 @@
     def take_ask(self, ask: pb.LimitAsk) -> None:
         """Answer a member of this router's group, if it is the head."""
         peer, look = self._members.get(ask.router), self._look()
-        if peer is None or look is None or not look.leads:
+        if peer is None or look is None or not look.is_head:
             return
         if not look.is_member(ask.router):
             return
@@ -87,7 +87,7 @@
         look = self._look()
         if look is None:
             return False
-        if look.leads:
+        if look.is_head:
             return self._lend(look, team, tokens)
         number = next(self._numbers)
         answered = self._waiting[number] = green.Event()
@@ -99,7 +99,7 @@
             team=team,
             tokens=tokens,
         )
-        self.send(pb.Beacon(limit_ask=ask), look.heads()[:1])
+        self.send(pb.Beacon(limit_ask=ask), look.head_and_successor()[:1])
         lent: ty.Optional[bool] = None
         try:
             with green.Timeout(_ANSWER_MS / 1000, False):
@@ -110,5 +110,7 @@
             self._quota.note_used_up(team)
         return bool(lent)
 
-    def _lend(self, look: groups_.Look, team: str, tokens: int) -> bool:
+    def _lend(
+        self, look: groups_.GroupSnapshot, team: str, tokens: int
+    ) -> bool:
         return self._quota.lend(team, tokens, 1 + len(look.members()))
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -110,7 +110,7 @@
         """
         self._note(
             'config',
-            (self._config.routes.version, self._config.own.version),
+            (self._config.routes.version, self._config.product.version),
             self.config.is_behind(),
             self.config.run,
         )
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -13,7 +13,7 @@
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
+from peridotmast.coordination import router_selector
 from peridotmast import failures
 from peridotmast import logs
 from peridotmast.router import chat_answers
@@ -69,7 +69,7 @@
         self._clock = clock
         self._feed = feed
         self._gateway = gateway
-        self._nearest = nearest.Nearest(members, _RESOLVED)
+        self._nearest = router_selector.RouterSelector(members, _RESOLVED)
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
@@ -116,7 +116,7 @@
 
     def _resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get('failure_domain', '')
-        found = self._nearest.of(domain, lambda m: bool(m.chat_address))
+        found = self._nearest.select(domain, lambda m: bool(m.chat_address))
         return web.json_response(
             {
                 'addresses': [member.chat_address for member in found],
--- a/src/peridotmast/router/config_asking.py
+++ b/src/peridotmast/router/config_asking.py
@@ -212,7 +212,9 @@
         return answer
 
     def _in_force(self) -> _Versions:
-        return _Versions(self._config.routes.version, self._config.own.version)
+        return _Versions(
+            self._config.routes.version, self._config.product.version
+        )
 
     def _floor(self) -> _Versions:
         """Return the versions up to which nothing is asked for."""
@@ -250,7 +252,7 @@
     def _call(self, address: str) -> ty.Any:
         request = pb.ConfigRequest(
             known_version=self._config.routes.version,
-            known_document=self._config.own.version,
+            known_document=self._config.product.version,
             takes_packed=True,
             peer_address=self._me.peer_address,
         )
@@ -270,7 +272,7 @@
                 news = self._config.offer_routes(json.loads(routes), source)
             own = _text(reply.packed_document, reply.document)
             if own:
-                news |= self._config.offer_own(
+                news |= self._config.offer_product(
                     reply.document_version, json.loads(own), source
                 )
         except (ValueError, RecursionError) as exc:
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -62,7 +62,7 @@
 
     def give(self, req: pb.ConfigRequest) -> pb.ConfigReply:
         """Return what is newer than the caller's, or who else has it."""
-        routes, own = self._config.routes, self._config.own
+        routes, own = self._config.routes, self._config.product
         reply = pb.ConfigReply(
             config_version=routes.version, document_version=own.version
         )
@@ -106,7 +106,7 @@
         lacks_routes: bool,
         lacks_own: bool,
     ) -> None:
-        routes, own = self._config.routes, self._config.own
+        routes, own = self._config.routes, self._config.product
         if lacks_routes and packed:
             reply.packed_config = self._pack('routes', routes)
         elif lacks_routes:
@@ -116,7 +116,7 @@
         elif lacks_own:
             reply.document = _text(own)
 
-    def _pack(self, what: str, part: config_feed_.Part) -> bytes:
+    def _pack(self, what: str, part: config_feed_.ConfigPart) -> bytes:
         """Return a part's text, packed once a version."""
         version, data = self._packed.get(what, (0, b''))
         if version != part.version:
@@ -134,7 +134,7 @@
         return 0 if self._left > 0 else 1 + int(-self._left / _RATE)
 
 
-def _text(part: config_feed_.Part) -> bytes:
+def _text(part: config_feed_.ConfigPart) -> bytes:
     document: dict[str, ty.Any] = part.document
     if not document:
         return b''
--- a/src/peridotmast/router/faces.py
+++ b/src/peridotmast/router/faces.py
@@ -130,6 +130,6 @@
         body = {
             'serving': serving,
             'config': config.routes.version,
-            'document': config.own.version,
+            'document': config.product.version,
         }
         return web.json_response(body, 200 if serving else 503)
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/knowledge.py
@@ -13,7 +13,7 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import outage as outage_
 from peridotmast.coordination import registry as registry_
-from peridotmast.coordination import store_check
+from peridotmast.coordination import store_prober
 from peridotmast.coordination import upstream_feed
 from peridotmast.coordination import watchers as watchers_
 from peridotmast import green
@@ -79,7 +79,7 @@
         cfg, platform, bounds = file.router, file.platform, file.bounds
         lapse_ms = int(bounds.lapse_s * 1000)
         self._clock = clock
-        self.outage = outage_.Outage(clock, lapse_ms)
+        self.outage = outage_.OutageTracker(clock, lapse_ms)
         """Whether the store answers."""
         self.store = store_.PlatformStore(
             platform.objects, platform.timeout_ms, self.outage
@@ -98,7 +98,7 @@
                 clock, max(_LATE_MS, _LATE_BEACONS * cfg.beacon_ms)
             ),
             _SILENT_BEACONS * cfg.beacon_ms,
-            groups_.WHOLE,
+            groups_.FULL_MESH_LIMIT,
         )
         """The routers, this one too."""
         self.table = upstreams_.UpstreamTable(clock, bounds.drain_ms, lapse_ms)
@@ -150,7 +150,7 @@
             Called once news was taken in.
         """
         # Those that watch may be just the ones that the store turns away.
-        self.watchers.is_outage_felt = is_outage_felt
+        self.watchers.is_outage_suspected = is_outage_felt
         for kind, follower in (
             (names.CONFIG_KIND, self.config),
             (config_feed.KIND, self.config),
@@ -170,9 +170,9 @@
         self._spawn = tasks.spawn
         # What the store had to say meanwhile is lost on connections that may
         # live on: a watch that waits there hears nothing for 25 s.
-        self.outage.on_back = self._watch_anew
+        self.outage.on_recovery = self._watch_anew
         tasks.spawn('register', self._register)
-        check = store_check.StoreCheck(self.store, self.outage)
+        check = store_prober.StoreProber(self.store, self.outage)
         tasks.every('check_store', _CHECK_MS, check.tick)
 
     def is_watching(self, what: str) -> bool:
@@ -183,7 +183,7 @@
         what : str
             ``config`` or ``upstreams``.
         """
-        return all(map(self.watchers.is_due, _KINDS[what]))
+        return all(map(self.watchers.should_watch, _KINDS[what]))
 
     def overtaken(self, what: str) -> None:
         """Ask the store anew: a peer had news that no watch has brought.
@@ -197,7 +197,7 @@
         """
         for watch in self._watches:
             if watch.kind in _KINDS[what]:
-                watch.overtaken()
+                watch.on_peer_ahead()
 
     def doubt_store(self) -> None:
         """Find out whether the store answers here: a peer gets no answer.
@@ -205,7 +205,9 @@
         Nothing that waits here need ever fail, or be answered.
         """
         self._watch_anew()
-        if any(self.watchers.is_due(watch.kind) for watch in self._watches):
+        if any(
+            self.watchers.should_watch(watch.kind) for watch in self._watches
+        ):
             self._spawn('probe_store', self.store.probe)
 
     def tick(self) -> None:
@@ -222,14 +224,14 @@
         waits = self._clock.now() - self._began < _ALONE_MS
         if waits and not self._is_entered:
             return False
-        return self.watchers.is_due(kind)
+        return self.watchers.should_watch(kind)
 
     def _watch_anew(self) -> None:
         """Ask for what may have waited through an outage of the store."""
         for watch in self._watches:
-            watch.doubt()
+            watch.on_outage()
 
     def _register(self) -> None:
-        while not self._registry.enter():
+        while not self._registry.register():
             green.sleep_ms(_REGISTER_MS)
         self._is_entered = True
--- a/src/peridotmast/router/news.py
+++ b/src/peridotmast/router/news.py
@@ -74,7 +74,7 @@
     return pb.Beacon(
         member=knowledge.members.me,
         config_version=knowledge.config.routes.version,
-        document_version=knowledge.config.own.version,
+        document_version=knowledge.config.product.version,
         upstreams_revision=knowledge.table.revision,
     )
 
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -87,8 +87,8 @@
         members += [peer.member for peer in self._members.peers()]
         return pb.ConfigStatusReply(
             nodes=[self._node_status(member) for member in members],
-            document_version=self._feed.own.version,
-            document=self._feed.own.document.get('document') or '',
+            document_version=self._feed.product.version,
+            document=self._feed.product.document.get('document') or '',
         )
 
     def ConfigHistory(  # noqa: N802
@@ -96,7 +96,7 @@
     ) -> pb.ConfigHistoryReply:
         """Tell who changed the own document, and when."""
         self._allow(caller, READ)
-        history = self._feed.own.document.get('history') or ()
+        history = self._feed.product.document.get('history') or ()
         return pb.ConfigHistoryReply(
             changes=[
                 pb.ConfigHistoryReply.Change(
@@ -118,7 +118,9 @@
         reply = pb.NodeListReply()
         reply.nodes.add(member=self._members.me, silent_ms=-1)
         for other in self._members.peers():
-            silent = now - other.heard_at if other.heard_at else now
+            silent = (
+                now - other.last_beacon_at if other.last_beacon_at else now
+            )
             reply.nodes.add(member=other.member, silent_ms=silent)
         hint = self._lease.known_holder()
         if hint is not None:
@@ -169,7 +171,7 @@
         """Tell what all routers decided on a request."""
         self._allow(caller, READ)
         reply = self.own_steps(req)
-        for other in self._members.heard():
+        for other in self._members.live_peers():
             theirs = self._peers.call(
                 other.member.peer_address, 'FetchRequest', req, _CALL_MS
             )
@@ -198,7 +200,7 @@
         if not self._tls.cert_file or self._tls.router_name in caller.others:
             return
         operators = self._feed.config.operators
-        if not operators and not self._feed.own.version:
+        if not operators and not self._feed.product.version:
             # Before the first document there is nobody to ask.
             return
         if any(caller.name == o.name and role in o.may for o in operators):
@@ -209,7 +211,7 @@
         node = pb.ConfigStatusReply.Node(name=member.name)
         if member.name == self._members.me.name:
             node.config_version = self._feed.routes.version
-            node.document_version = self._feed.own.version
+            node.document_version = self._feed.product.version
             return node
         # Versions only: the texts of a whole fleet would fill the link.
         request = pb.ConfigRequest(
@@ -233,6 +235,6 @@
             )
         return pb.ConfigApplyReply(
             conflict=True,
-            current_version=self._feed.own.version,
-            current_document=self._feed.own.document.get('document') or '',
+            current_version=self._feed.product.version,
+            current_document=self._feed.product.document.get('document') or '',
         )
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -6,10 +6,10 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
-from peridotmast.coordination import gaps as gaps_
 from peridotmast.coordination import groups as groups_
 from peridotmast.coordination import lease as lease_
-from peridotmast.coordination import outage_word
+from peridotmast.coordination import outage_reports
+from peridotmast.coordination import report_gaps as report_gaps_
 from peridotmast import logs
 from peridotmast.router import borrowing as borrowing_
 from peridotmast.router import catch_up as catch_up_
@@ -81,7 +81,9 @@
         self._catch_up = catch_up
         self.news = news_.News(knowledge, catch_up)
         """What this router tells all others at once."""
-        self._outages = outage_word.OutageWord(clock, knowledge.doubt_store)
+        self._outages = outage_reports.OutageReports(
+            clock, knowledge.doubt_store
+        )
         self._sharing = sharing
         self._groups = groups_.Groups(members)
         self.borrowing = borrowing_.Borrowing(
@@ -101,14 +103,14 @@
             self._look,
         )
         """What this router tells in its rounds."""
-        self._gaps = gaps_.Gaps(clock, serving.quota.worth)
+        self._gaps = report_gaps_.ReportGaps(clock, serving.quota.worth)
         self._role = _Role(False, False, 1)
         self._group_heard: dict[int, int] = {}
-        serving.quota.routers = serving.budget.routers = members.counted
+        serving.quota.routers = serving.budget.routers = members.sharer_count
         serving.quota.knows_late = self.knows_late
         serving.crashes.relays_updates = self.knows_late
         self._followed = '', -_GROUP_SILENT_MS
-        self._looked: tuple[ty.Optional[groups_.Look], int] = None, 0
+        self._looked: tuple[ty.Optional[groups_.GroupSnapshot], int] = None, 0
         self._log = logs.get('peering', router=members.me.name)
 
     def load_round(self, view: upstream_view.UpstreamView) -> beacons_.Round:
@@ -116,7 +118,7 @@
 
         In a large fleet there are too many to tell each other.
         """
-        if self._groups.is_split():
+        if self._groups.is_grouped():
             return []
         me = self._members.me
         news = pb.LoadNews(
@@ -124,7 +126,7 @@
             incarnation=me.incarnation,
             load=self._table.load_of(view),
         )
-        return [(pb.Beacon(load_news=news), self._members.heard())]
+        return [(pb.Beacon(load_news=news), self._members.live_peers())]
 
     def serving_round(self) -> beacons_.Round:
         """Return updates on crashes and upstreams' limits, for all peers."""
@@ -144,10 +146,10 @@
             self.borrowing.take_answer(beacon.limit_answer)
             return
         member = beacon.member
-        if not self._members.hear(member):
+        if not self._members.receive(member):
             return
         if beacon.lease.holder:
-            self._lease.hear(beacon.lease)
+            self._lease.receive_hint(beacon.lease)
         self._serving.crashes.hear(beacon.crash_suspects)
         self._serving.limits.hear(beacon.upstream_limits)
         if beacon.news_only:
@@ -159,7 +161,7 @@
             self._members.learn(changed)
         self._take_totals(beacon)
         if beacon.outage_felt:
-            self._outages.hear(member.name, beacon.HasField('own'))
+            self._outages.record(member.name, beacon.HasField('own'))
         self.rounds.note_untold(member.name, beacon.untold)
         if beacon.levels:
             self._serving.quota.hear_levels(
@@ -170,10 +172,10 @@
     def tick(self) -> None:
         """Take note of who has fallen silent."""
         self._members.tick()
-        heard = self._members.heard()
+        heard = self._members.live_peers()
         quota = self._serving.quota
-        self._serving.limits.set_routers(self._members.counted_names())
-        quota.share = (1 + len(heard)) / self._members.counted()
+        self._serving.limits.set_routers(self._members.sharer_names())
+        quota.share = (1 + len(heard)) / self._members.sharer_count()
         quota.told_ms = (
             quota_.TOLD_LATE_MS if self.knows_late() else quota_.TOLD_MS
         )
@@ -182,31 +184,31 @@
         self._group_heard = {
             group: at for group, at in self._group_heard.items() if at >= limit
         }
-        self._outages.forget(limit)
-        look, split = self._look(), self._groups.is_split()
+        self._outages.discard_before(limit)
+        look, split = self._look(), self._groups.is_grouped()
         if split:
             self._sharing.reckon(self._gaps.tick(self._shares(look)))
         self._sharing.forget(
             {p.member.name for p in self._members.peers()},
-            look.members_heard()
+            look.live_member_names()
             if split
             else {peer.member.name for peer in heard},
             self._group_heard,
-            split and not look.leads,
+            split and not look.is_head,
         )
 
     def knows_late(self) -> bool:
         """Return whether others' work is known later than it lasts."""
-        return self._groups.is_split()
+        return self._groups.is_grouped()
 
     def is_outage_felt(self) -> bool:
         """Return whether what is missing may be missing due to an outage."""
-        is_heard = self._outages.is_heard()
-        return is_heard or self._knowledge.outage.is_felt()
+        is_heard = self._outages.has_recent()
+        return is_heard or self._knowledge.outage.is_suspected()
 
     def _take_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
-        if peer is None or not peer.heard_at:
+        if peer is None or not peer.last_beacon_at:
             return
         if news.incarnation == peer.member.incarnation:
             self._table.take_load(news.router, news.load)
@@ -215,52 +217,52 @@
         """Take in what a peer counts, as far as it is the one to tell it."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._knowledge.fleet_clock
-        split = self._groups.is_split()
+        split = self._groups.is_grouped()
         look = self._look()
         if beacon.HasField('own'):
-            clock.hear(name, beacon.wall_ms)
-            counted = not split or (look.leads and look.is_member(name))
+            clock.record_peer(name, beacon.wall_ms)
+            counted = not split or (look.is_head and look.is_member(name))
             self._sharing.hear(name, run, beacon.own, counted)
         if beacon.HasField('group'):
-            clock.hear(name, beacon.wall_ms)
+            clock.record_peer(name, beacon.wall_ms)
             group = look.group_of(name)
             self._group_heard[group] = self._clock.now()
             told_of = () if beacon.others_alive else look.names_in(group)
-            self._members.hear_some(beacon.alive, told_of)
-            counted = split and look.leads
+            self._members.apply_head_report(beacon.alive, told_of)
+            counted = split and look.is_head
             self._sharing.hear_group(name, run, group, beacon.group, counted)
             if counted:
                 self._close_gap(_source(group), (name, run), look)
         if beacon.HasField('others') and self._follows(name):
-            told_of = () if beacon.others_alive else self._members.names()
-            self._members.hear_some(beacon.alive, told_of)
-            counted = split and not look.leads
+            told_of = () if beacon.others_alive else self._members.peer_names()
+            self._members.apply_head_report(beacon.alive, told_of)
+            counted = split and not look.is_head
             if counted:
-                clock.follow(beacon.wall_ms)
+                clock.follow_head(beacon.wall_ms)
             self._sharing.follow(name, run, beacon.others, counted)
             if counted:
                 self._close_gap(_FLEET, (name, run), look)
 
     def _close_gap(
-        self, source: str, teller: tuple[str, int], look: groups_.Look
+        self, source: str, teller: tuple[str, int], look: groups_.GroupSnapshot
     ) -> None:
         """Take note that a source is told of."""
         share = self._shares(look).get(source, 0.0)
-        self._sharing.reckon(self._gaps.hear(source, teller, share))
+        self._sharing.reckon(self._gaps.on_report(source, teller, share))
 
-    def _shares(self, look: groups_.Look) -> dict[str, float]:
+    def _shares(self, look: groups_.GroupSnapshot) -> dict[str, float]:
         """Return the parts of the fleet that others tell this router of.
 
         Only of those that count as there: what the others might spend comes
         off the limits already.
         """
-        whole = self._members.counted()
-        if not look.leads:
-            return {_FLEET: len(self._members.heard()) / whole}
+        whole = self._members.sharer_count()
+        if not look.is_head:
+            return {_FLEET: len(self._members.live_peers()) / whole}
         return {
-            _source(group): look.heard_in(group) / whole
+            _source(group): look.live_count(group) / whole
             for group in range(look.count)
-            if group != look.mine
+            if group != look.own_group
         }
 
     def _follows(self, head: str) -> bool:
@@ -272,39 +274,41 @@
         """
         now = self._clock.now()
         followed, at = self._followed
-        first = [peer.member.name for peer in self._look().heads()[:1]]
+        first = [
+            peer.member.name for peer in self._look().head_and_successor()[:1]
+        ]
         known = head == followed or head in first
         if not known and now - at < _GROUP_SILENT_MS:
             return False
         self._followed = head, now
         return True
 
-    def _look(self) -> groups_.Look:
+    def _look(self) -> groups_.GroupSnapshot:
         """Return the groups, as they were a moment ago at most."""
         now = self._clock.now()
         look, at = self._looked
         if look is None or now - at >= _LOOK_MS:
-            look = self._groups.look()
+            look = self._groups.snapshot()
             self._looked = look, now
             self._take_role(look)
         return look
 
-    def _look_if_split(self) -> ty.Optional[groups_.Look]:
-        return self._look() if self._groups.is_split() else None
+    def _look_if_split(self) -> ty.Optional[groups_.GroupSnapshot]:
+        return self._look() if self._groups.is_grouped() else None
 
-    def _take_role(self, look: groups_.Look) -> None:
+    def _take_role(self, look: groups_.GroupSnapshot) -> None:
         """Take note of whether this router leads, and of how many groups.
 
         Each change of the way by which it hears of the others' counts could
         count some of them twice.
         """
-        split = self._groups.is_split()
-        role = _Role(split, split and look.leads, look.count if split else 1)
+        split = self._groups.is_grouped()
+        role = _Role(split, split and look.is_head, look.count if split else 1)
         known, self._role = self._role, role
         if role.leads and not known.leads:
             self.rounds.note_lead()
         if role.leads or not split:
-            self._knowledge.fleet_clock.lead()
+            self._knowledge.fleet_clock.use_own_median()
         if role.groups != known.groups:
             everybody = not split
             self._sharing.regroup(
@@ -312,11 +316,11 @@
             )
         if role != known:
             self._sharing.switch()
-            self._gaps.begin(self._shares(look) if split else ())
+            self._gaps.reset(self._shares(look) if split else ())
             self._log.info(
                 'role',
                 groups=role.groups,
-                group=look.mine if split else 0,
+                group=look.own_group if split else 0,
                 leads=role.leads,
             )
 
--- a/src/peridotmast/router/rounds.py
+++ b/src/peridotmast/router/rounds.py
@@ -11,7 +11,7 @@
 from peridotmast.coordination import groups as groups_
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import outage_word
+from peridotmast.coordination import outage_reports
 from peridotmast.router import knowledge as knowledge_
 from peridotmast.router import news
 from peridotmast.router import sharing as sharing_
@@ -58,7 +58,7 @@
         What routers count together.
     lease : lease.Lease
         The lease on the duties.
-    outages : outage_word.OutageWord
+    outages : outage_reports.OutageReports
         What others say of outages.
     groups : groups.Groups
         The groups of a large fleet.
@@ -75,9 +75,9 @@
         limits: upstream_limits_.UpstreamLimits,
         sharing: sharing_.Sharing,
         lease: lease_.Lease,
-        outages: outage_word.OutageWord,
+        outages: outage_reports.OutageReports,
         groups: groups_.Groups,
-        look: ty.Callable[[], groups_.Look],
+        look: ty.Callable[[], groups_.GroupSnapshot],
     ) -> None:
         self._clock = clock
         self._knowledge = knowledge
@@ -103,14 +103,14 @@
         of their members of all others: the messages of a router stay the
         same in number and size, however large the fleet is.
         """
-        if not self._groups.is_split():
+        if not self._groups.is_grouped():
             return self._own_round(self._members.peers())
         if next(self._numbers) % _GROUP_ROUNDS:
             return []
         look = self._look()
-        if look.leads:
+        if look.is_head:
             return self._head_round(look)
-        return self._own_round(look.heads())
+        return self._own_round(look.head_and_successor())
 
     def note_lead(self) -> None:
         """Take note that this router leads its group from now on."""
@@ -129,7 +129,7 @@
         """Return what every beacon of a round says."""
         beacon = news.beacon_of(self._knowledge)
         beacon.wall_ms = self._clock.wall()
-        beacon.outage_felt = self._knowledge.outage.is_felt()
+        beacon.outage_felt = self._knowledge.outage.is_suspected()
         beacon.untold = self._quota.is_untold()
         beacon.crash_suspects.extend(self._crashes.updates())
         beacon.upstream_limits.extend(self._limits.updates())
@@ -168,13 +168,15 @@
         )
         yield fuller, untold
 
-    def _head_round(self, look: groups_.Look) -> beacons_.Round:
+    def _head_round(self, look: groups_.GroupSnapshot) -> beacons_.Round:
         """Yield what a head tells other heads, and each of its members."""
-        heard = {peer.member.name for peer in self._members.heard()}
+        heard = {peer.member.name for peer in self._members.live_peers()}
         members = [peer.member.name for peer in look.members()]
         base = self._fill()
         base.wall_ms = self._knowledge.fleet_clock.now()
-        base.changed.extend(self._members.changed(_CHANGED_MS, _CHANGED_MOST))
+        base.changed.extend(
+            self._members.recently_changed(_CHANGED_MS, _CHANGED_MOST)
+        )
         led_ms = self._clock.now() - self._leads_since
         base.others_alive = led_ms < _LED_MS
         lease = self._lease.known_holder()
@@ -184,10 +186,10 @@
         beacon.CopyFrom(base)
         beacon.group.CopyFrom(self._sharing.group())
         beacon.alive.extend(name for name in members if name in heard)
-        beacon.outage_felt |= self._outages.is_heard_of_member()
+        beacon.outage_felt |= self._outages.has_recent_from_member()
         yield from self._with_levels(beacon, look.other_heads())
         base.alive.extend(heard)
-        base.outage_felt |= self._outages.is_heard()
+        base.outage_felt |= self._outages.has_recent()
         peers = {peer.member.name: peer for peer in look.members()}
         for name, totals in self._sharing.others(list(peers)):
             beacon = pb.Beacon()
@@ -196,5 +198,5 @@
             yield from self._with_levels(beacon, [peers[name]])
 
     def _some_peer(self) -> ty.Optional[pb.Member]:
-        heard = self._members.heard()
+        heard = self._members.live_peers()
         return self._choice.choice(heard).member if heard else None
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -8,9 +8,9 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
+from peridotmast.coordination import endpoint_identity
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import place
 from peridotmast.duties import crash_blocks
 from peridotmast.duties import holder as holder_
 from peridotmast.duties import scaler as scaler_
@@ -110,7 +110,7 @@
         self._faces = faces_.Faces(
             file, self._clock, self.knowledge, self.serving, self.registry
         )
-        self.config.listen(self._configure)
+        self.config.subscribe(self._configure)
         self.table.listen(lambda view: self._see_ready())
 
     def _make_peering(self) -> None:
@@ -167,7 +167,7 @@
             platform.cloud,
             platform.timeout_ms,
             self.cfg.name,
-            self.lease.order_ms,
+            self.lease.order_timeout_ms,
         )
         scaler = scaler_.Scaler(
             self._cloud,
@@ -235,7 +235,9 @@
             beacon_address=self.beacons.address,
         )
         self.beacons.start()
-        self.lease.bind(place.of(self.beacons.address))
+        self.lease.set_endpoint(
+            endpoint_identity.of_address(self.beacons.address)
+        )
         self._faces.start()
         self._start_tasks()
         self.is_running = True
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/sharing.py
@@ -4,7 +4,7 @@
 
 import typing as ty
 
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.router import serving as serving_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
@@ -44,10 +44,10 @@
         self._demand = serving.demand
         self._usage = serving.usage
         self._table = table
-        self._spends = tally.Tally(
+        self._spends = fleet_counts.FleetCounts(
             self._quota.spent, self._quota.spent_elsewhere
         )
-        self._asked = tally.Tally(
+        self._asked = fleet_counts.FleetCounts(
             self._demand.counts, self._demand.offered_elsewhere
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
@@ -65,10 +65,10 @@
     def group(self) -> pb.Totals:
         """Return what this router and the members that it heads have."""
         return pb.Totals(
-            spends=_spends(self._spends.group()),
+            spends=_spends(self._spends.group_total()),
             loads=_listed(_add_up(self._members_loads())),
             usage=self._usage.group(),
-            demand=_demand(self._asked.group(), self._readings()),
+            demand=_demand(self._asked.group_total(), self._readings()),
         )
 
     def others(
@@ -84,8 +84,8 @@
         readings = self._readings()
         told = zip(
             members,
-            self._spends.others(members),
-            self._asked.others(members),
+            self._spends.totals_without(members),
+            self._asked.totals_without(members),
             self._usage.others(members),
             strict=True,
         )
@@ -112,8 +112,8 @@
             Whether it is counted by this way; else it is kept for the time
             when this router is the head.
         """
-        self._spends.hear(router, run, _by_team(totals), counted)
-        self._asked.hear(router, run, _by_service(totals), counted)
+        self._spends.receive(router, run, _by_team(totals), counted)
+        self._asked.receive(router, run, _by_service(totals), counted)
         self._usage.hear(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
@@ -124,8 +124,10 @@
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from another head what its group has."""
-        self._spends.hear_group(group, head, run, _by_team(totals), counted)
-        self._asked.hear_group(group, head, run, _by_service(totals), counted)
+        self._spends.receive_group(group, head, run, _by_team(totals), counted)
+        self._asked.receive_group(
+            group, head, run, _by_service(totals), counted
+        )
         self._usage.hear_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
@@ -136,8 +138,8 @@
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from the own head what all others have."""
-        self._spends.follow(head, run, _by_team(totals), counted)
-        self._asked.follow(head, run, _by_service(totals), counted)
+        self._spends.receive_fleet(head, run, _by_team(totals), counted)
+        self._asked.receive_fleet(head, run, _by_service(totals), counted)
         self._usage.follow(totals.usage)
         if counted:
             self._table.take_loads(FLEET, totals.loads)
@@ -146,7 +148,7 @@
     def reckon(self, spends: dict[str, int]) -> None:
         """Take in what others may have spent while nobody told of it."""
         if spends:
-            self._spends.reckon(spends)
+            self._spends.add_estimate(spends)
 
     def regroup(self, is_member: ty.Callable[[str], bool]) -> None:
         """Begin anew with groups that are not those of before."""
@@ -156,8 +158,8 @@
 
     def switch(self) -> None:
         """Count what others do by another way from now on."""
-        self._spends.switch()
-        self._asked.switch()
+        self._spends.reset_sources()
+        self._asked.reset_sources()
 
     def forget(
         self,
@@ -179,8 +181,8 @@
         follows : bool
             Whether a head tells of the work of all others.
         """
-        self._spends.forget(known)
-        self._asked.forget(known)
+        self._spends.retain(known)
+        self._asked.retain(known)
         self._demand.forget(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -68,14 +68,14 @@
     Mutation(
         'begin anew with duties that were lost to nobody',
         COORDINATION + 'lease.py',
-        "self.left = None if mine else spec['left']",
-        "self.left = spec['left']",
+        "self.received_handover = None if mine else spec['left']",
+        "self.received_handover = spec['left']",
         'duties',
     ),
     Mutation(
         'watch the store until others have spoken',
         COORDINATION + 'watchers.py',
-        'return heard | self._members.coming()',
+        'return heard | self._members.starting_names()',
         'return heard',
         'fleet',
     ),
@@ -179,7 +179,7 @@
     ),
     Mutation(
         'name the same other routers to all callers',
-        COORDINATION + 'nearest.py',
+        COORDINATION + 'router_selector.py',
         'return self._draws.sample(members, most)',
         'return members[:most]',
         'fleet',
@@ -187,15 +187,15 @@
     Mutation(
         'lead until the one before has spoken',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.coming()) - leaving',
+        'there = (heard | self._members.starting_names()) - leaving',
         'there = heard - leaving',
         'groups',
     ),
     Mutation(
         'lead a group until the end',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.coming()) - leaving',
-        'there = heard | self._members.coming()',
+        'there = (heard | self._members.starting_names()) - leaving',
+        'there = heard | self._members.starting_names()',
         'groups',
     ),
     Mutation(
@@ -435,8 +435,8 @@
     Mutation(
         'act in the last part of a lease',
         COORDINATION + 'lease.py',
-        'return self.left_ms > self._guard_ms',
-        'return self.left_ms > 0',
+        'return self.remaining_ms > self._guard_ms',
+        'return self.remaining_ms > 0',
         'lease',
     ),
     Mutation(
@@ -520,8 +520,9 @@
     Mutation(
         'stand nowhere',
         ROUTER + 'router.py',
-        'self.lease.bind(place.of(self.beacons.address))',
-        "self.lease.bind('')",
+        'self.lease.set_endpoint(\n            endpoint_identity.of_address('
+        'self.beacons.address)\n        )',
+        "self.lease.set_endpoint('')",
         'duties',
     ),
     Mutation(
@@ -715,21 +716,21 @@
     ),
     Mutation(
         'reckon nothing while a head is silent',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'if source is None or now - source.at <= _FRESH_MS:',
         'if True:',
         'groups',
     ),
     Mutation(
         'reckon nothing for the gap between two heads',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'return self._worth(share, known.until)',
         'return {}',
         'groups',
     ),
     Mutation(
         'take nothing back when the same head is heard',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'return {team: -count for team, count in known.reckoned.items()}',
         'return {}',
         'groups',
@@ -743,7 +744,7 @@
     ),
     Mutation(
         'tell no member what its head missed',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         """        _add(self._elsewhere, counts)
         self._apply(counts)""",
         '        self._apply(counts)',
@@ -758,7 +759,7 @@
     ),
     Mutation(
         'let one peer that is refused speak for all',
-        COORDINATION + 'outage_word.py',
+        COORDINATION + 'outage_reports.py',
         'is_first = self._felt.get(peer, limit) <= limit',
         'is_first = self._at <= limit',
         'store_reads',
@@ -766,7 +767,7 @@
     Mutation(
         'send an order though the duties are gone by then',
         COORDINATION + 'lease.py',
-        'return self.left_ms if is_same and self.may_act() else 0',
+        'return self.remaining_ms if is_same and self.may_act() else 0',
         'return self.length_ms',
         'duties',
     ),
@@ -801,20 +802,20 @@
     Mutation(
         'count only the routers that were heard',
         COORDINATION + 'members.py',
-        'and (peer.was_there or self.is_new(peer))',
-        'and peer.was_there',
+        'and (peer.was_seen or self.is_newly_discovered(peer))',
+        'and peer.was_seen',
         'groups',
     ),
     Mutation(
         'let watches wait on after an outage',
         COORDINATION + 'outage.py',
-        "self._log.info('store_regained')\n        self.on_back()",
+        "self._log.info('store_regained')\n        self.on_recovery()",
         "self._log.info('store_regained')",
         'store_reads',
     ),
     Mutation(
         'let watches wait on when a peer is not answered',
-        COORDINATION + 'outage_word.py',
+        COORDINATION + 'outage_reports.py',
         'self._doubt()',
         'pass',
         'store_reads',
@@ -822,7 +823,7 @@
     Mutation(
         'date an outage by the end of a call',
         COORDINATION + 'outage.py',
-        'if self._clock.now() - after_ms < self._answered_at:',
+        'if self._clock.now() - age_ms < self._answered_at:',
         'if False:',
         'upstreams',
     ),
@@ -835,33 +836,33 @@
     ),
     Mutation(
         'ask a store that has failed no more',
-        COORDINATION + 'store_check.py',
+        COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if False:',
         'store_reads',
     ),
     Mutation(
         'ask a store that is asked anyway',
-        COORDINATION + 'store_check.py',
+        COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if self._outage.is_out:',
         'upstreams',
     ),
     Mutation(
         'count by two ways what one has counted',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         """        if counted:
             self._apply(grown)
 
-    def hear_group(""",
+    def receive_group(""",
         """        self._apply(grown)
 
-    def hear_group(""",
+    def receive_group(""",
         'groups',
     ),
     Mutation(
         'go on from what another head has told',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         'if self._heads.get(_OWN) != head:',
         'if False:',
         'groups',
@@ -869,7 +870,7 @@
     Mutation(
         'keep naming what its head does not name',
         COORDINATION + 'members.py',
-        'self._peers[name].told_at = 0',
+        'self._peers[name].last_reported_at = 0',
         'pass',
         'groups',
     ),
@@ -932,7 +933,7 @@
     Mutation(
         'leave the watching to those that are turned away',
         ROUTER + 'knowledge.py',
-        'self.watchers.is_outage_felt = is_outage_felt',
+        'self.watchers.is_outage_suspected = is_outage_felt',
         'pass',
         'config',
     ),
