--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies
 
 from peridotmast import clock as clock_
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.duties import capacity_plan
 from peridotmast.duties import event_plan
 from peridotmast.duties import order_tracker
@@ -378,7 +378,7 @@
     clock = clock_.ManualClock()
     context.demands = [demand_.Demand(clock) for _ in range(2)]
     tallies = [
-        tally.Tally(demand.counts, demand.count_from_peers)
+        fleet_counts.FleetCounts(demand.counts, demand.count_from_peers)
         for demand in context.demands
     ]
     exchange(context.demands, tallies)
@@ -393,7 +393,7 @@
 def exchange(demands, tallies):
     for number, known in enumerate(tallies):
         other = 1 - number
-        known.hear(f'r{other}', 1, demands[other].counts(), True)
+        known.receive(f'r{other}', 1, demands[other].counts(), True)
 
 
 @then('both measure {rate:d} tokens a second')
