--- a/features/steps/crash_model.py
+++ b/features/steps/crash_model.py
@@ -66,7 +66,7 @@
     def make_tracker(self, name):
         tracker = crash_tracker_.CrashTracker(self.clock, name)
         tracker.may_retry = lambda: name == self.holder
-        tracker.tell = lambda: self.tell(name)
+        tracker.notify_peers = lambda: self.tell(name)
         tracker.on_block = self.on_block
         return tracker
 
@@ -79,7 +79,7 @@
         updates = self.trackers[name].updates()
         for other, tracker in self.trackers.items():
             if other not in (name, self.isolated):
-                tracker.hear(updates)
+                tracker.merge_updates(updates)
 
     @stateful.rule(router=ROUTERS)
     def crashing_request(self, router):
@@ -123,7 +123,7 @@
     def all_restart(self):
         """Kill all routers; the next holder reads the blocks in the lease."""
         self.trackers = {name: self.make_tracker(name) for name in 'abc'}
-        self.trackers[self.holder].hear(self.left)
+        self.trackers[self.holder].merge_updates(self.left)
         self.exchange()
 
     @stateful.rule(router=ROUTERS)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -270,7 +270,7 @@
         for view in router.table.all()
         if view.name == context.queued_at.name
     ]
-    assert view.health.failing_share() == 0, view.health.failing_share()
+    assert view.health.failure_share() == 0, view.health.failure_share()
     assert view.health.breaker is health_.Breaker.CLOSED, view.health.breaker
 
 
@@ -414,7 +414,7 @@
 @then('it is refused, also by a router that receives the update')
 def refused_by_both(context):
     other = crash_tracker_.CrashTracker(context.clock, 'router-2')
-    other.hear(context.tracker.updates())
+    other.merge_updates(context.tracker.updates())
     context.other_tracker = other
     assert context.tracker.retry_after_ms(crash_model.CRASHING)
     assert other.retry_after_ms(crash_model.CRASHING)
@@ -424,7 +424,7 @@
 def answered_completely(context):
     context.clock.advance(100)
     context.other_tracker.note_success(crash_model.CRASHING)
-    context.tracker.hear(context.other_tracker.updates())
+    context.tracker.merge_updates(context.other_tracker.updates())
 
 
 @then('neither router refuses it')
--- a/features/steps/doubt_steps.py
+++ b/features/steps/doubt_steps.py
@@ -106,7 +106,7 @@
 
 @when('another router asks for that')
 def asks_for_that(context):
-    told = context.upstreams.told_since(0)
+    told = context.upstreams.records_since(0)
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(
         pb.UpstreamRecord.FromString(record.SerializeToString())
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -161,7 +161,7 @@
         if not starts:
             # They have run for long, and know what is left of the limit.
             for node in self.nodes.values():
-                node.serving.quota.hear_levels({'noor': BURST})
+                node.serving.quota.adopt_levels({'noor': BURST})
 
     def add(self, count):
         fresh = [Node(next(self.numbers), self.clock) for _ in range(count)]
@@ -360,9 +360,9 @@
         assert not node.serving.quota.take('noor', tokens)
         node.serving.usage.began('noor')
         node.serving.demand.offered('pool', 3000)
-        if not node.table.my_loads():
+        if not node.table.local_loads():
             view = node.table.get('u-1')
-            view.take_on(upstream_view.Load(1, 10, 100))
+            view.add_load(upstream_view.Load(1, 10, 100))
 
 
 @then("at each of them {tokens:d} tokens are off the team's limit")
@@ -390,7 +390,7 @@
 @then('each of them knows the work of all {count:d} at "u-1"')
 def knows_work(context, count):
     for node in context.groups.nodes.values():
-        load = node.table.get('u-1').load()
+        load = node.table.get('u-1').total_load()
         assert load == upstream_view.Load(count, 10 * count, 100 * count), (
             node.name,
             load,
@@ -749,7 +749,7 @@
 def pass_there(context, count, tokens):
     quota = context.came[0].serving.quota
     for _ in range(count):
-        assert not quota.take('noor', tokens), quota.state('noor')
+        assert not quota.take('noor', tokens), quota.describe('noor')
 
 
 @when('one starts anew and lets {tokens:d} pass before it is told')
@@ -1012,21 +1012,21 @@
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
-    context.gaps = gaps_.Gaps(context.clock, context.quota.worth)
+    context.gaps = gaps_.Gaps(context.clock, context.quota.max_spends)
     context.gaps.hear('half', ('first', 1), 0.5)
 
 
 @given('nothing is left of a burst of {burst:d}')
 def nothing_left(context, burst):
     all_left(context, burst)
-    context.quota.spent_elsewhere({'noor': burst})
+    context.quota.subtract_peer_spends({'noor': burst})
 
 
 @given('all is left of a burst of {burst:d}')
 def all_left(context, burst):
     team = pb.Team(name='noor', rate=context.rate, burst=burst)
     context.quota.configure([team])
-    context.quota.hear_levels({'noor': burst})
+    context.quota.adopt_levels({'noor': burst})
 
 
 @when('{ms:d} ms later {which} head tells')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -45,7 +45,7 @@
 def born_at(context, born):
     context.upstreams = upstreams_.UpstreamTable(clock_.ManualClock())
     context.ended = []
-    context.upstreams.listen_ends(context.ended.append)
+    context.upstreams.listen_replacements(context.ended.append)
     context.upstreams.merge(record(born, 10))
     context.before = context.upstreams.get('a')
 
@@ -54,17 +54,17 @@
     load = pb.UpstreamLoad(
         upstream='a', running=3, unread=900, memory=1000, born=born
     )
-    context.upstreams.take_loads('router-2', [load])
+    context.upstreams.set_peer_loads('router-2', [load])
 
 
 @given('it has work of two routers, fails and holds copies')
 def has_work(context):
     view = context.before
-    view.take_on(upstream_view.Load(1, 100, 200))
+    view.add_load(upstream_view.Load(1, 100, 200))
     tell_load(context, view.born)
     for _ in range(3):
-        view.health.failed()
-    assert not view.health.lets_through()
+        view.health.record_failure()
+    assert not view.health.allows_request()
     context.homes = homes_of(view)
 
 
@@ -90,20 +90,20 @@
 def begins_anew(context):
     view = context.upstreams.get('a')
     assert view is not context.before
-    assert view.load() == upstream_view.Load(), view.load()
-    assert view.health.lets_through() and not view.health.failing_share()
+    assert view.total_load() == upstream_view.Load(), view.total_load()
+    assert view.health.allows_request() and not view.health.failure_share()
     assert homes_of(view) != context.homes
     # What still ends at the earlier run is none of its business.
-    context.before.hand_back(upstream_view.Load(1, 100, 200))
-    context.before.health.failed()
-    assert view.load() == upstream_view.Load()
-    assert not context.upstreams.my_loads()
+    context.before.remove_load(upstream_view.Load(1, 100, 200))
+    context.before.health.record_failure()
+    assert view.total_load() == upstream_view.Load()
+    assert not context.upstreams.local_loads()
 
 
 @then('what it was before is over')
 def is_over(context):
     assert context.ended == [context.before]
-    assert not context.before.is_there
+    assert not context.before.is_available
 
 
 @when('the run that was born at {born:d} says later that it leaves')
@@ -124,12 +124,12 @@
 
 @then('"a" has no work')
 def no_work(context):
-    assert not context.upstreams.get('a').load().running
+    assert not context.upstreams.get('a').total_load().running
 
 
 @then('"a" has that work')
 def has_that_work(context):
-    assert context.upstreams.get('a').load().running == 3
+    assert context.upstreams.get('a').total_load().running == 3
 
 
 @given('a peer that has taken that over')
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -64,7 +64,7 @@
     if 'tallies' not in context:
         context.tallies = {}
     known = context.tallies.setdefault(
-        id(quota), tally.Tally(quota.spent, quota.spent_elsewhere)
+        id(quota), tally.Tally(quota.spent, quota.subtract_peer_spends)
     )
     known.hear(router, run, sender.spent(), True)
 
@@ -75,7 +75,7 @@
     count = len(context.quotas)
     for number, quota in enumerate(context.quotas):
         heard = 1 if number == 0 else count - 1
-        quota.share = heard / count
+        quota.known_share = heard / count
 
 
 @when('{tokens:d} are spent')
@@ -161,7 +161,7 @@
     assert not quota.take('noor', tokens)
     assert not quota.take('noor', 200)
     assert quota.take('noor', tokens)
-    quota.give_back('noor', tokens)
+    quota.refund('noor', tokens)
 
 
 @then('another one of {tokens:d} passes')
@@ -241,18 +241,18 @@
 @when('it fails {count:d} times in a row')
 def fails_times(context, count):
     for _ in range(count):
-        context.health.failed()
+        context.health.record_failure()
 
 
 @then('it gets no work for {ms:d} ms, and then one request')
 def no_work_for(context, ms):
     health = context.health
     context.clock.advance(ms - 1)
-    assert not health.lets_through()
+    assert not health.allows_request()
     context.clock.advance(1)
-    assert health.lets_through()
-    health.sent()
-    assert not health.lets_through()
+    assert health.allows_request()
+    health.record_sent()
+    assert not health.allows_request()
 
 
 @when('that one ends without an outcome')
@@ -262,19 +262,19 @@
 
 @when('that one fails too')
 def fails_too(context):
-    context.health.failed()
+    context.health.record_failure()
 
 
 @when('that one succeeds')
 def succeeds(context):
-    context.health.succeeded()
+    context.health.record_success()
 
 
 @then('it gets work again')
 def work_again(context):
-    assert context.health.lets_through()
-    context.health.sent()
-    assert context.health.lets_through()
+    assert context.health.allows_request()
+    context.health.record_sent()
+    assert context.health.allows_request()
 
 
 def table_of(clock, count):
@@ -343,9 +343,9 @@
     context.clock = clock_.ManualClock()
     table = table_of(context.clock, 2)
     for _ in range(6):
-        table.get('engine-0').health.answered_badly()
-        table.get('engine-0').health.succeeded()
-        table.get('engine-1').health.succeeded()
+        table.get('engine-0').health.record_error()
+        table.get('engine-0').health.record_success()
+        table.get('engine-1').health.record_success()
     context.places = places_of(table)
 
 
@@ -362,7 +362,7 @@
     table = table_of(context.clock, 2)
     context.places = places_of(table)
     context.waits = context.places.choose(exchange_with('b0'), SERVICE)
-    context.waits.was_read()
+    context.waits.mark_prompt_read()
 
 
 @then(
@@ -379,7 +379,7 @@
 
 @then('after a byte from there it is as good as the other')
 def good_again(context):
-    context.waits.view.was_heard()
+    context.waits.view.note_activity()
     found = choose(context.places, exchange_with('b0'))
     assert found == context.waits.view.name
 
@@ -461,17 +461,17 @@
 @when('all that it looks at fail')
 def all_near_fail(context):
     context.failing = set()
-    for _ in range(candidates.NEAR):
+    for _ in range(candidates.SUBSET_SIZE):
         name = choose(context.views[0], without_beginning())
         context.failing.add(name)
         health = context.tables[0].get(name).health
-        health.failed()
-        health.failed()
+        health.record_failure()
+        health.record_failure()
 
 
 @then('a request without a beginning goes to another one')
 def goes_to_another(context):
-    assert len(context.failing) == candidates.NEAR
+    assert len(context.failing) == candidates.SUBSET_SIZE
     found = choose(context.views[0], without_beginning())
     assert found not in context.failing
 
@@ -480,7 +480,7 @@
 def say_they_have(context, a, b, count):
     (table,) = context.tables
     for router in (a, b):
-        table.take_loads(
+        table.set_peer_loads(
             router,
             [
                 pb.UpstreamLoad(upstream=view.name, running=count)
@@ -491,17 +491,17 @@
 
 @when('router "{router}" says that it has none any more')
 def says_none(context, router):
-    context.tables[0].take_loads(router, [])
+    context.tables[0].set_peer_loads(router, [])
 
 
 @when('only "{router}" is heard')
 def only_heard(context, router):
-    context.tables[0].forget_loads({router})
+    context.tables[0].retain_peer_loads({router})
 
 
 @then('{count:d} requests count at each')
 def count_at_each(context, count):
-    counts = {view.load().running for view in context.tables[0].all()}
+    counts = {view.total_load().running for view in context.tables[0].all()}
     assert counts == {count}, counts
 
 
@@ -510,7 +510,7 @@
     context.home = choose(context.views[0], exchange_with('b0'))
     for table in context.tables:
         load = upstream_view.Load(5, tokens, tokens)
-        table.get(context.home).set_other('r9', load)
+        table.get(context.home).set_peer_load('r9', load)
 
 
 @then('requests with that beginning go elsewhere')
@@ -561,7 +561,7 @@
 
 @when('its prompt is read')
 def prompt_read(context):
-    context.place.was_read()
+    context.place.mark_prompt_read()
 
 
 @then('the others know of {tokens:d} unread tokens there')
@@ -569,7 +569,7 @@
     name = context.place.view.name
     helpers.wait_until(
         lambda: all(
-            router.table.get(name).load().unread == tokens
+            router.table.get(name).total_load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
         'the others know',
@@ -585,7 +585,7 @@
         for n, table in enumerate(tables)
     ]
     for router in routers:
-        router.knows_late = lambda: not hears
+        router.has_stale_peer_data = lambda: not hears
     for turn in range(3):
         for number, router in enumerate(routers):
             exchange = exchange_with('', own=f'{turn}-{number}')
@@ -595,8 +595,8 @@
             if hears:
                 for other, table in enumerate(tables):
                     if other != number:
-                        table.take_loads(
-                            f'r-{number}', tables[number].my_loads()
+                        table.set_peer_loads(
+                            f'r-{number}', tables[number].local_loads()
                         )
     return counts
 
@@ -626,14 +626,14 @@
 def little_left(context, n):
     context.clock = clock_.ManualClock()
     context.quota = quota_.Quota(context.clock)
-    context.quota.routers = lambda: n
-    context.quota.knows_late = lambda: n > groups.WHOLE
+    context.quota.count_routers = lambda: n
+    context.quota.has_stale_peer_data = lambda: n > groups.WHOLE
     team = pb.Team(name='a', rate=1000, burst=8000)
     context.quota.configure([team])
     context.clock.advance(5000)
     context.quota.tick()
     context.clock.advance(10_000)
-    context.quota.spent_elsewhere({'a': 5000})
+    context.quota.subtract_peer_spends({'a': 5000})
     assert context.quota.levels() == {'a': 3000}, context.quota.levels()
 
 
@@ -645,7 +645,7 @@
 @when('a small request is let pass there and does not run')
 def small_not_run(context):
     small_passes(context)
-    context.quota.give_back('a', 500)
+    context.quota.refund('a', 500)
 
 
 @then('the next one waits for nothing')
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -187,7 +187,7 @@
         for sender, receiver in (context.pair, context.pair[::-1]):
             updates = sender.updates()
             context.clock.advance(2)
-            receiver.hear(updates)
+            receiver.merge_updates(updates)
 
 
 @when(
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -31,7 +31,7 @@
     def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Restore the blocked requests of the previous holder."""
         if left is not None:
-            self._crashes.hear(left.crash_suspects)
+            self._crashes.merge_updates(left.crash_suspects)
 
     def act(self, fencing: int) -> None:
         """Do nothing: this duty has no periodic work."""
--- a/src/peridotmast/duties/need.py
+++ b/src/peridotmast/duties/need.py
@@ -139,7 +139,7 @@
         now = self._clock.now()
         for view in self._table.all():
             seen = self._seen[view.service]
-            if view.record.reclaimable or not view.is_there:
+            if view.record.reclaimable or not view.is_available:
                 continue
             if view.name not in seen:
                 self._new_at = now
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -83,7 +83,7 @@
         pb.UpstreamLoad(upstream=f'i-{number:010x}', running=3)
         for number in range(_WORKED_AT)
     ]
-    table.take_loads('edge-2', loads)
+    table.set_peer_loads('edge-2', loads)
 
 
 def _table_of(
--- a/src/peridotmast/router/borrowing.py
+++ b/src/peridotmast/router/borrowing.py
@@ -55,10 +55,10 @@
         Asks the head where that is of use, and waits for its answer.
         """
         wait_ms = self._quota.take(team, tokens)
-        if not wait_ms or self._quota.is_sure(team):
+        if not wait_ms or self._quota.is_level_known(team):
             return wait_ms
         if self._borrow(team, tokens):
-            self._quota.take_lent(team, tokens)
+            self._quota.take_borrowed(team, tokens)
             return 0
         # What is left may have been told meanwhile.
         return self._quota.take(team, tokens)
@@ -107,7 +107,7 @@
         finally:
             del self._waiting[number]
         if lent is False:
-            self._quota.note_used_up(team)
+            self._quota.note_lender_empty(team)
         return bool(lent)
 
     def _lend(self, look: groups_.Look, team: str, tokens: int) -> bool:
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/knowledge.py
@@ -211,7 +211,7 @@
     def tick(self) -> None:
         """Give up and forget the upstreams whose time is over."""
         self._upstreams.tick()
-        self.table.forget_gone()
+        self.table.remove_gone()
 
     def _is_due(self, kind: str) -> bool:
         """Return whether this router is to watch a kind.
--- a/src/peridotmast/router/news.py
+++ b/src/peridotmast/router/news.py
@@ -38,7 +38,7 @@
     def fill(self) -> pb.Beacon:
         """Return what is new of this router."""
         since, self._told_revision = self._told_revision, self._table.revision
-        changed = self._table.told_since(since)
+        changed = self._table.records_since(since)
         beacon = _word(self._knowledge)
         beacon.upstreams_since = since
         if len(changed) <= _MOST:
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -150,7 +150,7 @@
         self._allow(caller, READ)
         reply = pb.UpstreamListReply()
         for view in sorted(self._table.all(), key=lambda view: view.name):
-            load = view.load()
+            load = view.total_load()
             reply.upstreams.add(
                 record=view.record,
                 load=pb.UpstreamLoad(
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -80,7 +80,7 @@
         """Give the upstreams that have changed since a revision."""
         self._check(caller)
         return pb.UpstreamsReply(
-            upstreams=self._table.told_since(req.since),
+            upstreams=self._table.records_since(req.since),
             revision=self._table.revision,
         )
 
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -101,11 +101,11 @@
             self._look,
         )
         """What this router tells in its rounds."""
-        self._gaps = gaps_.Gaps(clock, serving.quota.worth)
+        self._gaps = gaps_.Gaps(clock, serving.quota.max_spends)
         self._role = _Role(False, False, 1)
         self._group_heard: dict[int, int] = {}
-        serving.quota.routers = serving.budget.routers = members.counted
-        serving.quota.knows_late = self.knows_late
+        serving.quota.count_routers = serving.budget.routers = members.counted
+        serving.quota.has_stale_peer_data = self.knows_late
         serving.crashes.relays_updates = self.knows_late
         self._followed = '', -_GROUP_SILENT_MS
         self._looked: tuple[ty.Optional[groups_.Look], int] = None, 0
@@ -122,7 +122,7 @@
         news = pb.LoadNews(
             router=me.name,
             incarnation=me.incarnation,
-            load=self._table.load_of(view),
+            load=self._table.local_load(view),
         )
         return [(pb.Beacon(load_news=news), self._members.heard())]
 
@@ -148,8 +148,8 @@
             return
         if beacon.lease.holder:
             self._lease.hear(beacon.lease)
-        self._serving.crashes.hear(beacon.crash_suspects)
-        self._serving.limits.hear(beacon.upstream_limits)
+        self._serving.crashes.merge_updates(beacon.crash_suspects)
+        self._serving.limits.merge_updates(beacon.upstream_limits)
         if beacon.news_only:
             self.news.take(beacon)
             return
@@ -162,7 +162,7 @@
             self._outages.hear(member.name, beacon.HasField('own'))
         self.rounds.note_untold(member.name, beacon.untold)
         if beacon.levels:
-            self._serving.quota.hear_levels(
+            self._serving.quota.adopt_levels(
                 {level.team: level.tokens for level in beacon.levels}
             )
         self._catch_up.compare(beacon)
@@ -173,9 +173,11 @@
         heard = self._members.heard()
         quota = self._serving.quota
         self._serving.limits.set_routers(self._members.counted_names())
-        quota.share = (1 + len(heard)) / self._members.counted()
-        quota.told_ms = (
-            quota_.TOLD_LATE_MS if self.knows_late() else quota_.TOLD_MS
+        quota.known_share = (1 + len(heard)) / self._members.counted()
+        quota.startup_wait_ms = (
+            quota_.LARGE_FLEET_STARTUP_WAIT_MS
+            if self.knows_late()
+            else quota_.STARTUP_WAIT_MS
         )
         quota.tick()
         limit = self._clock.now() - _GROUP_SILENT_MS
@@ -209,7 +211,7 @@
         if peer is None or not peer.heard_at:
             return
         if news.incarnation == peer.member.incarnation:
-            self._table.take_load(news.router, news.load)
+            self._table.set_peer_load(news.router, news.load)
 
     def _take_totals(self, beacon: pb.Beacon) -> None:
         """Take in what a peer counts, as far as it is the one to tell it."""
--- a/src/peridotmast/router/rounds.py
+++ b/src/peridotmast/router/rounds.py
@@ -130,7 +130,7 @@
         beacon = news.beacon_of(self._knowledge)
         beacon.wall_ms = self._clock.wall()
         beacon.outage_felt = self._knowledge.outage.is_felt()
-        beacon.untold = self._quota.is_untold()
+        beacon.untold = self._quota.needs_levels()
         beacon.crash_suspects.extend(self._crashes.updates())
         beacon.upstream_limits.extend(self._limits.updates())
         hint, other = self._lease.hint(), self._some_peer()
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -154,10 +154,10 @@
         self._peering.borrowing.send = self.beacons.send
         self.serving.gateway.take = self._peering.borrowing.take
         self.serving.gateway.is_behind = self._catch_up.config.is_behind
-        self.serving.places.tell = self._tell_load
-        self.serving.places.knows_late = self._peering.knows_late
-        self.serving.crashes.tell = self._tell_serving_soon
-        self.serving.limits.tell = self._tell_serving_soon
+        self.serving.places.on_load_change = self._tell_load
+        self.serving.places.has_stale_peer_data = self._peering.knows_late
+        self.serving.crashes.notify_peers = self._tell_serving_soon
+        self.serving.limits.notify_peers = self._tell_serving_soon
         self.serving.crashes.may_retry = self.lease.may_act
 
     def _make_duties(self) -> None:
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -127,7 +127,7 @@
             bounds.drain_ms,
         )
         knowledge.table.listen(mover.on_change)
-        knowledge.table.listen_ends(self._sender.run_ended)
+        knowledge.table.listen_replacements(self._sender.run_ended)
         self.gateway = gateway_.Gateway(
             clock,
             self._make_desk(),
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/sharing.py
@@ -45,7 +45,7 @@
         self._usage = serving.usage
         self._table = table
         self._spends = tally.Tally(
-            self._quota.spent, self._quota.spent_elsewhere
+            self._quota.spent, self._quota.subtract_peer_spends
         )
         self._asked = tally.Tally(
             self._demand.counts, self._demand.offered_elsewhere
@@ -57,7 +57,7 @@
         """Return what this router itself counts and has in work."""
         return pb.Totals(
             spends=_spends(self._quota.spent()),
-            loads=self._table.my_loads(),
+            loads=self._table.local_loads(),
             usage=self._usage.counts(),
             demand=_demand(self._demand.counts(), self._demand.own_readings()),
         )
@@ -117,7 +117,7 @@
         self._usage.hear(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
-            self._table.take_loads(router, totals.loads)
+            self._table.set_peer_loads(router, totals.loads)
             self._hear_readings(router, totals)
 
     def hear_group(
@@ -129,7 +129,7 @@
         self._usage.hear_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
-            self._table.take_loads(_group_name(group), totals.loads)
+            self._table.set_peer_loads(_group_name(group), totals.loads)
             self._hear_readings(head, totals)
 
     def follow(
@@ -140,7 +140,7 @@
         self._asked.follow(head, run, _by_service(totals), counted)
         self._usage.follow(totals.usage)
         if counted:
-            self._table.take_loads(FLEET, totals.loads)
+            self._table.set_peer_loads(FLEET, totals.loads)
             self._hear_readings(head, totals)
 
     def reckon(self, spends: dict[str, int]) -> None:
@@ -187,13 +187,13 @@
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({FLEET})
+            self._table.retain_peer_loads({FLEET})
             return
         names = {_group_name(group) for group in self._group_loads}
-        self._table.forget_loads({*self._loads, *names})
+        self._table.retain_peer_loads({*self._loads, *names})
 
     def _members_loads(self) -> list[Loads]:
-        return [self._table.my_loads(), *self._loads.values()]
+        return [self._table.local_loads(), *self._loads.values()]
 
     def _readings(self) -> dict[str, float]:
         found = {s: self._demand.reading(s) for s in self._demand.counts()}
--- a/src/peridotmast/serving/candidates.py
+++ b/src/peridotmast/serving/candidates.py
@@ -10,7 +10,7 @@
 
 from peridotmast.serving import upstream_view
 
-NEAR = 128
+SUBSET_SIZE = 128
 """Upstreams that a router spreads its requests over. Of 5,700, each is then
 near to seven routers of 330, and to none with a chance of 1 in 1,800; a
 placement takes 0.3 ms, against 17 ms if it looked at all of them
@@ -49,11 +49,13 @@
     ) -> None:
         self.views = views
         """All of them."""
-        self.near = list(views)
+        self.subset = list(views)
         """Those that the router spreads its requests over."""
-        if len(views) > NEAR:
-            self.near = heapq.nsmallest(
-                NEAR, views, key=lambda view: _rank(f'{router}|{view.run}')
+        if len(views) > SUBSET_SIZE:
+            self.subset = heapq.nsmallest(
+                SUBSET_SIZE,
+                views,
+                key=lambda view: _rank(f'{router}|{view.run}'),
             )
         circle = sorted((_rank(v.run), v.name, v) for v in views)
         self._points = [point for point, _, _ in circle]
--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -138,7 +138,7 @@
         """Returns whether this router relays updates from peers."""
         self.may_retry: ty.Callable[[], bool] = lambda: False
         """Returns whether this router may retry a blocked request."""
-        self.tell: ty.Callable[[], None] = lambda: None
+        self.notify_peers: ty.Callable[[], None] = lambda: None
         """Called when peers must be updated at once."""
         self.on_block: ty.Callable[[ids.Fingerprint], None] = lambda f: None
         """Called when a request becomes blocked."""
@@ -186,7 +186,7 @@
         )
         self._update_block(suspect)
         if len(suspect.crashes) > 1:
-            self.tell()
+            self.notify_peers()
 
     def note_response(
         self, view: upstream_view.UpstreamView, sent_at: int
@@ -216,7 +216,7 @@
         suspect.answered_at = suspect.changed_at = self._clock.now()
         self._update_block(suspect)
         if before > 1:
-            self.tell()
+            self.notify_peers()
 
     def retry_after_ms(self, fingerprint: ids.Fingerprint) -> int:
         """Return how long a request is refused, in ms; 0 if it may be sent.
@@ -240,7 +240,7 @@
         suspect.changed_at = now
         self.changes += 1
         self._log.info('crash_retry', fingerprint=fingerprint)
-        self.tell()
+        self.notify_peers()
         return 0
 
     def updates(self) -> list[pb.CrashSuspect]:
@@ -266,7 +266,7 @@
             if self._update_block(suspect)
         ]
 
-    def hear(self, updates: ty.Iterable[pb.CrashSuspect]) -> None:
+    def merge_updates(self, updates: ty.Iterable[pb.CrashSuspect]) -> None:
         """Merge updates from another router."""
         for message in updates:
             self._merge(message)
@@ -305,7 +305,7 @@
             suspect.changed_at = now
         self._update_block(suspect)
         if is_changed and is_ahead:
-            self.tell()
+            self.notify_peers()
 
     def _summary(self, suspect: _Suspect) -> tuple[int, int, bool]:
         """Return what must differ for a merge to count as a change."""
--- a/src/peridotmast/serving/desk.py
+++ b/src/peridotmast/serving/desk.py
@@ -172,11 +172,11 @@
             return failures.not_run('upstream_limit', '', wait_ms)
         return failures.not_run('no_upstream', '', _RETRY_MS)
 
-    def _check(self, work: _Work, place: placement.Place) -> None:
+    def _check(self, work: _Work, place: placement.Reservation) -> None:
         """Check what must hold before anything is sent."""
         self._checks.check(
             invariants_.Promise.NO_WORK_TO_LEAVING,
-            place.view.is_there,
+            place.view.is_available,
             place.view.name,
         )
         self._checks.check(
@@ -186,7 +186,7 @@
         )
 
     def _send(
-        self, work: _Work, place: placement.Place
+        self, work: _Work, place: placement.Reservation
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         exchange = work.exchange
         silence = self._silence_ms(work)
@@ -206,7 +206,7 @@
             self._count(work, sent.at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
-            place.view.health.failed()
+            place.view.health.record_failure()
             return failures.unknown('garbled', str(sent.head.status))
         if streams:
             return self._stream(work, sent, silence)
@@ -234,13 +234,13 @@
         self, exchange: exchange_.Exchange, sent: sender_.Sent
     ) -> failures.Failure:
         if sent.verdict is Verdict.ELSEWHERE:
-            sent.place.view.health.failed()
+            sent.place.view.health.record_failure()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
         rest = sent.conn.read_all(exchange.ends_at, _WHOLE_BYTES)
         if not isinstance(rest, failures.Failure):
             self._sender.finish(sent)
-        sent.place.view.health.answered_badly()
+        sent.place.view.health.record_error()
         return failures.not_run('upstream_refused', '', _RETRY_MS)
 
     def _stream(
@@ -267,10 +267,10 @@
     def _note_reading(self, work: _Work, sent: sender_.Sent) -> None:
         """Note how long an engine took that had nothing else to read."""
         place, prompt = sent.place, work.exchange.prompt
-        if place.grounds.unread:
+        if place.selection.unread:
             return
         tokens = prompt.tokens_in
-        if place.grounds.is_home:
+        if place.selection.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
         took = self._clock.now() - sent.at
         self._demand.read(work.service.name, tokens, took)
@@ -288,11 +288,11 @@
         self._sender.finish(sent)
         reply = reply_.Reply(sent.head, body, view.name)
         if sent.verdict is Verdict.FAILED:
-            view.health.answered_badly()
+            view.health.record_error()
             if sent.head.status not in PROMISES:
                 work.fallback = reply
             return failures.unknown('answered_badly', str(sent.head.status))
-        view.health.succeeded()
+        view.health.record_success()
         self._crashes.note_success(work.exchange.fingerprint)
         return reply
 
@@ -335,7 +335,7 @@
         return failure
 
     def _log_attempt(
-        self, work: _Work, place: placement.Place, result: ty.Any
+        self, work: _Work, place: placement.Reservation, result: ty.Any
     ) -> None:
         failed = isinstance(result, failures.Failure)
         outcome = 'caller_left'
@@ -351,12 +351,12 @@
             born=place.view.born,
             number=len(work.tried),
             revision=place.view.record.revision,
-            among=place.grounds.among,
-            home=place.grounds.is_home,
+            among=place.selection.compared,
+            home=place.selection.is_home,
             tokens=work.exchange.prompt.tokens_in,
             shared=sum(p.tokens for p in work.exchange.prompt.shared),
-            running=place.grounds.running,
-            unread=place.grounds.unread,
+            running=place.selection.running,
+            unread=place.selection.unread,
             slots=place.view.slots,
             outcome=outcome,
             detail=result.detail if failed else '',
--- a/src/peridotmast/serving/gateway.py
+++ b/src/peridotmast/serving/gateway.py
@@ -182,14 +182,14 @@
         wait_ms = self.take(exchange.team, exchange.cost)
         if wait_ms:
             failure = failures.not_run(
-                'team_limit', self._quota.state(exchange.team), wait_ms
+                'team_limit', self._quota.describe(exchange.team), wait_ms
             )
             return self._refused(asked, failure, service.name)
         self._demand.offered(service.name, exchange.prompt.tokens_in)
         result = self._desk.answer(exchange, service)
         if isinstance(result, failures.Failure):
             if result.kind is failures.FailureKind.NOT_RUN:
-                self._quota.give_back(exchange.team, exchange.cost)
+                self._quota.refund(exchange.team, exchange.cost)
             return self._refused(asked, result, service.name)
         return self._begun(exchange, service, result, span)
 
--- a/src/peridotmast/serving/health.py
+++ b/src/peridotmast/serving/health.py
@@ -58,7 +58,7 @@
         self.breaker = Breaker.CLOSED
         """Whether it gets work at all."""
 
-    def lets_through(self) -> bool:
+    def allows_request(self) -> bool:
         """Return whether a request may be sent to it now."""
         if self.breaker is Breaker.CLOSED:
             return True
@@ -72,12 +72,12 @@
         lapsed = self._clock.now() - self._probed_at >= _LAST_OPEN_MS
         return not self._probing or lapsed
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """Count a request that was sent to it."""
         self._probing = self.breaker is Breaker.HALF_OPEN
         self._probed_at = self._clock.now()
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Count an answer: the breaker closes."""
         self._age()
         self._good += 1
@@ -85,7 +85,7 @@
         self._open_ms = 0
         self.breaker = Breaker.CLOSED
 
-    def answered_badly(self) -> None:
+    def record_error(self) -> None:
         """Count an answer that says that the request failed there."""
         self._age()
         self._bad += 1
@@ -93,7 +93,7 @@
         if self.breaker is Breaker.HALF_OPEN:
             self.breaker = Breaker.CLOSED
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Count a request without an answer: after a few it is passed over."""
         self._age()
         self._bad += 1
@@ -107,7 +107,7 @@
         self._opened_at = self._clock.now()
         self.breaker = Breaker.OPEN
 
-    def failing_share(self) -> float:
+    def failure_share(self) -> float:
         """Return the part of recent requests that failed, from 0 to 1."""
         if not self._bad:
             return 0.0
--- a/src/peridotmast/serving/mover.py
+++ b/src/peridotmast/serving/mover.py
@@ -157,7 +157,7 @@
             return
         if not copy.taken:
             place.release()
-            place = placement.Place(view, exchange)
+            place = placement.Reservation(view, exchange)
         self._note(stream, 'moved', view, place.view.name)
         stream.move_ends(stream_relay.Moved(place, copy.at))
 
--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -53,7 +53,7 @@
 knowledge, and better with old (Mitzenmacher, 2000); a third makes up for the
 one that may be slow."""
 
-Tell = ty.Callable[[upstream_view.UpstreamView], None]
+LoadListener = ty.Callable[[upstream_view.UpstreamView], None]
 
 
 class Policy(ty.Protocol):
@@ -116,7 +116,7 @@
         view: upstream_view.UpstreamView,
         home: ty.Optional[upstream_view.UpstreamView],
     ) -> float:
-        load = view.load()
+        load = view.total_load()
         score = float(load.unread + prompt.tokens_in)
         if view is home:
             score -= shared
@@ -126,7 +126,7 @@
         needed = load.memory + prompt.tokens_in + prompt.tokens_out
         if service.engine and needed > service.memory_tokens:
             score += _FULL_TOKENS
-        score += _FAILING_TOKENS * view.health.failing_share()
+        score += _FAILING_TOKENS * view.health.failure_share()
         score += _SILENT_TOKENS * max(0, view.silent_ms() - _SILENCE_MS)
         if view.failure_domain != self._domain:
             score += _DISTANCE_TOKENS
@@ -146,7 +146,10 @@
         """Return `views`, least loaded first."""
         return sorted(
             views,
-            key=lambda view: (view.load().running / view.slots, view.name),
+            key=lambda view: (
+                view.total_load().running / view.slots,
+                view.name,
+            ),
         )
 
 
@@ -178,10 +181,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Grounds:
+class Selection:
     """What an upstream was chosen by, for the log."""
 
-    among: int = 1
+    compared: int = 1
     """Upstreams that were compared."""
     is_home: bool = False
     """Whether it is to hold what the prompt begins with."""
@@ -191,7 +194,7 @@
     """Tokens of prompts that wait there to be read."""
 
 
-class Place:
+class Reservation:
     """A request's work at one upstream; `release` it when done.
 
     Parameters
@@ -205,32 +208,32 @@
         self,
         view: upstream_view.UpstreamView,
         exchange: exchange_.Exchange,
-        grounds: Grounds = Grounds(),
-        tell: Tell = lambda view: None,
+        selection: Selection = Selection(),
+        tell: LoadListener = lambda view: None,
     ) -> None:
         self.view = view
         """The upstream."""
-        self.grounds = grounds
+        self.selection = selection
         """What it was chosen by."""
         prompt = exchange.prompt
         self._load = upstream_view.Load(
             1, prompt.tokens_in, prompt.tokens_in + prompt.tokens_out
         )
-        view.take_on(self._load)
+        view.add_load(self._load)
         self._tell = tell
         self._is_telling = prompt.tokens_in >= _TOLD_TOKENS
         if self._is_telling:
             tell(view)
 
-    def was_read(self) -> None:
+    def mark_prompt_read(self) -> None:
         """Note that the first event has come: its prompt is read."""
-        self.view.hand_back(upstream_view.Load(unread=self._load.unread))
+        self.view.remove_load(upstream_view.Load(unread=self._load.unread))
         self._load.unread = 0
         self._tell_end()
 
     def release(self) -> None:
         """Take the work away; doing so twice is the same as once."""
-        self.view.hand_back(self._load)
+        self.view.remove_load(self._load)
         self._load = upstream_view.Load()
         self._tell_end()
 
@@ -268,10 +271,10 @@
         self._limits = limits
         self._candidates: dict[str, candidates_.Candidates] = {}
         self._draws = random.Random(router)
-        self.knows_late: ty.Callable[[], bool] = lambda: False
+        self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
         """Whether what is known of other routers' work is older than it
         lasts."""
-        self.tell: Tell = lambda view: None
+        self.on_load_change: LoadListener = lambda view: None
         """Told of upstreams at which this router's work has changed much."""
 
     def choose(
@@ -279,7 +282,7 @@
         exchange: exchange_.Exchange,
         service: pb.Service,
         avoid: ty.Collection[str] = (),
-    ) -> ty.Optional[Place]:
+    ) -> ty.Optional[Reservation]:
         """Return a place for the request, or None where no upstream is.
 
         Parameters
@@ -289,7 +292,7 @@
         """
         among = self._among(service.name)
         home = self._home(among, exchange.prompt, avoid)
-        views = self._compared(self._usable(among.near, avoid))
+        views = self._compared(self._usable(among.subset, avoid))
         if home is not None and home not in views:
             views.append(home)
         if not views:
@@ -302,10 +305,12 @@
         ordered = self._policy.order(exchange, service, views, home)
         if not ordered:
             return None
-        best, load = ordered[0], ordered[0].load()
-        grounds = Grounds(len(views), best is home, load.running, load.unread)
+        best, load = ordered[0], ordered[0].total_load()
+        selection = Selection(
+            len(views), best is home, load.running, load.unread
+        )
         self._limits.take(best)
-        return Place(best, exchange, grounds, self.tell)
+        return Reservation(best, exchange, selection, self.on_load_change)
 
     def wait_ms(self, service: str, avoid: ty.Collection[str] = ()) -> int:
         """Return the time until the limit of some upstream permits a request.
@@ -330,7 +335,7 @@
         Else all routers send what comes in a second to the one upstream
         that looked best to all of them at its beginning.
         """
-        if len(views) <= _COMPARED_LATE or not self.knows_late():
+        if len(views) <= _COMPARED_LATE or not self.has_stale_peer_data():
             return views
         return self._draws.sample(views, _COMPARED_LATE)
 
@@ -362,6 +367,6 @@
             view
             for view in views
             if view.name not in avoid
-            and view.health.lets_through()
+            and view.health.allows_request()
             and not self._limits.wait_ms(view)
         ]
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -24,8 +24,8 @@
 burst). Larger requests are few, and would be refused to teams that keep
 within small limits."""
 
-TOLD_MS = 1000
-TOLD_LATE_MS = 2000
+STARTUP_WAIT_MS = 1000
+LARGE_FLEET_STARTUP_WAIT_MS = 2000
 """How long a router that starts waits to be told what is left: four rounds of
 beacons, which are half as frequent in a large fleet. If nobody has told it by
 then, nobody was there before it."""
@@ -108,13 +108,13 @@
         self._spent: dict[str, int] = {}
         self._is_begun = False
         self._began = 0
-        self.share = 1.0
+        self.known_share = 1.0
         """Part of the fleet that this router hears, itself among it."""
-        self.routers: ty.Callable[[], int] = lambda: 1
+        self.count_routers: ty.Callable[[], int] = lambda: 1
         """Returns how many routers there are, as far as this one knows."""
-        self.told_ms = TOLD_MS
+        self.startup_wait_ms = STARTUP_WAIT_MS
         """How long this router waits to be told what is left."""
-        self.knows_late: ty.Callable[[], bool] = lambda: False
+        self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
         """Says whether it knows of the others' spends so late that each keeps
         to its part where little is left, and heads lend."""
 
@@ -137,7 +137,7 @@
                     0.0,
                     not self._is_new(),
                 )
-            known.fill(now, self.share, self.routers())
+            known.fill(now, self.known_share, self.count_routers())
             known.rate, known.burst = team.rate, team.burst
             known.level = min(known.level, known.burst)
             buckets[team.name] = known
@@ -160,7 +160,7 @@
         self._spent[team] = self._spent.get(team, 0) + tokens
         return 0
 
-    def is_sure(self, team: str) -> bool:
+    def is_level_known(self, team: str) -> bool:
         """Return whether what is left of a team's limit is known here."""
         bucket = self._buckets.get(team)
         return bucket is None or bucket.is_sure
@@ -180,7 +180,9 @@
         if bucket is None:
             return False
         if bucket.is_sure:
-            bucket.fill(self._clock.now(), self.share, self.routers())
+            bucket.fill(
+                self._clock.now(), self.known_share, self.count_routers()
+            )
             return bucket.level >= _needed(bucket, tokens)
         parts = members * (1 - _OWN_SHARE) * self._part(bucket)
         if parts - bucket.lent < _needed(bucket, tokens):
@@ -189,7 +191,7 @@
         bucket.lent += tokens
         return True
 
-    def take_lent(self, team: str, tokens: int) -> None:
+    def take_borrowed(self, team: str, tokens: int) -> None:
         """Let a request pass for which tokens were lent."""
         bucket = self._buckets.get(team)
         if bucket is not None:
@@ -197,24 +199,24 @@
             bucket.borrowed += tokens
         self._spent[team] = self._spent.get(team, 0) + tokens
 
-    def note_used_up(self, team: str) -> None:
+    def note_lender_empty(self, team: str) -> None:
         """Take note that the head had nothing to lend of a team's limit."""
         bucket = self._buckets.get(team)
         if bucket is not None:
             bucket.is_used_up = True
 
-    def state(self, team: str) -> str:
+    def describe(self, team: str) -> str:
         """Return what a decision on a team's request goes by, in words."""
         bucket = self._buckets.get(team)
         if bucket is None:
             return f'{team} without a limit'
         return (
             f'{team} level {bucket.level:.0f} rate {bucket.rate:g}'
-            f' burst {bucket.burst:g} share {self.share:.2f}'
+            f' burst {bucket.burst:g} share {self.known_share:.2f}'
             f'{"" if bucket.is_sure else " untold"}'
         )
 
-    def give_back(self, team: str, tokens: int) -> None:
+    def refund(self, team: str, tokens: int) -> None:
         """Return the tokens of a request that did not run."""
         self._spent[team] = self._spent.get(team, 0) - tokens
         bucket = self._buckets.get(team)
@@ -226,16 +228,16 @@
         """Return what this router has let pass so far, by team."""
         return dict(self._spent)
 
-    def spent_elsewhere(self, spends: dict[str, int]) -> None:
+    def subtract_peer_spends(self, spends: dict[str, int]) -> None:
         """Take what other routers have let pass out of the buckets."""
         now = self._clock.now()
         for team, tokens in spends.items():
             bucket = self._buckets.get(team)
             if bucket is not None:
-                bucket.fill(now, self.share, self.routers())
+                bucket.fill(now, self.known_share, self.count_routers())
                 bucket.level = min(bucket.burst, bucket.level - tokens)
 
-    def worth(self, share: float, since: int) -> dict[str, int]:
+    def max_spends(self, share: float, since: int) -> dict[str, int]:
         """Return what part of the routers may have spent since a moment.
 
         That is their part of what came in and was not lost at full buckets:
@@ -244,7 +246,7 @@
         now = self._clock.now()
         found = {}
         for team, bucket in self._buckets.items():
-            bucket.fill(now, self.share, self.routers())
+            bucket.fill(now, self.known_share, self.count_routers())
             ms = now - max(since, bucket.full_at)
             found[team] = round(bucket.rate * share * max(0, ms) / 1000)
         return found
@@ -255,7 +257,7 @@
             for team, bucket in self._buckets.items():
                 self._settle(team, bucket)
 
-    def is_untold(self) -> bool:
+    def needs_levels(self) -> bool:
         """Return whether a peer is to tell this router what is left."""
         unsure = not all(b.is_sure for b in self._buckets.values())
         return unsure or not self._is_begun
@@ -265,10 +267,10 @@
         now = self._clock.now()
         sure = {t: b for t, b in self._buckets.items() if b.is_sure}
         for bucket in sure.values():
-            bucket.fill(now, self.share, self.routers())
+            bucket.fill(now, self.known_share, self.count_routers())
         return {team: round(b.level) for team, b in sure.items()}
 
-    def hear_levels(self, levels: dict[str, int]) -> None:
+    def adopt_levels(self, levels: dict[str, int]) -> None:
         """Take over from a peer what is left.
 
         What this router has let pass before may be taken off there already,
@@ -283,7 +285,7 @@
 
     def _is_new(self) -> bool:
         """Return whether limits have come into force here just now."""
-        return self._clock.now() - self._began < self.told_ms
+        return self._clock.now() - self._began < self.startup_wait_ms
 
     def _settle(self, team: str, bucket: _Bucket) -> None:
         """Go on from what is left by the own part: nobody was there before."""
@@ -292,28 +294,28 @@
         bucket.is_sure = True
         if bucket.is_used_up:
             bucket.level = min(bucket.level, 0.0)
-        elif not self.knows_late():
+        elif not self.has_stale_peer_data():
             # The others have let pass as much as this one, as far as it can
             # tell: most of what they count is on its way.
             part = self._part(bucket) - self._spent.get(team, 0)
-            left = max(-bucket.burst, part * self.routers())
+            left = max(-bucket.burst, part * self.count_routers())
             bucket.level = min(bucket.level, left)
 
     def _part(self, bucket: _Bucket) -> float:
         """Return what this router may let pass before it is told."""
-        ms = min(self.told_ms, self._clock.now() - self._began)
-        return (bucket.burst + bucket.rate * ms / 1000) / self.routers()
+        ms = min(self.startup_wait_ms, self._clock.now() - self._began)
+        return (bucket.burst + bucket.rate * ms / 1000) / self.count_routers()
 
     def _wait_ms(self, team: str, bucket: _Bucket, tokens: int) -> int:
         """Return how long a request has to wait, in ms; 0 if not at all."""
         self.tick()
-        bucket.fill(self._clock.now(), self.share, self.routers())
+        bucket.fill(self._clock.now(), self.known_share, self.count_routers())
         needed = _needed(bucket, tokens)
         if bucket.level < needed:
             return self._gathering_ms(bucket, needed)
         if bucket.is_sure:
             return self._pause_ms(bucket, tokens)
-        share = _OWN_SHARE if self.knows_late() else 1.0
+        share = _OWN_SHARE if self.has_stale_peer_data() else 1.0
         own = self._spent.get(team, 0) - bucket.borrowed
         left = share * self._part(bucket) - own
         return 0 if left >= needed else _TELL_MS
@@ -321,15 +323,17 @@
     def _pause_ms(self, bucket: _Bucket, tokens: int) -> int:
         """Return how long to wait for the own part where little is left."""
         little = bucket.level < _LITTLE * bucket.burst
-        if not (self.knows_late() and little and _is_small(bucket, tokens)):
+        if not (
+            self.has_stale_peer_data() and little and _is_small(bucket, tokens)
+        ):
             return 0
-        part = bucket.rate * _PART / self.routers()
+        part = bucket.rate * _PART / self.count_routers()
         wait = math.ceil(bucket.owed / part * 1000)
         return min(_LONGEST_WAIT_MS, wait)
 
     def _gathering_ms(self, bucket: _Bucket, needed: float) -> int:
         """Return how long the tokens that are needed take to gather."""
-        rate = bucket.rate * self.share
+        rate = bucket.rate * self.known_share
         if rate <= 0:
             return _LONGEST_WAIT_MS
         wait = math.ceil((needed - bucket.level) / rate * 1000)
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -39,7 +39,7 @@
 class Sent:
     """An attempt whose answer has begun."""
 
-    place: placement.Place
+    place: placement.Reservation
     conn: connection_.Connection
     head: connection_.ResponseHead
     verdict: Verdict
@@ -88,7 +88,7 @@
     def send(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Place,
+        place: placement.Reservation,
         silence_ms: int,
         resume: ty.Optional[dialect_.ResumePoint] = None,
     ) -> ty.Union[Sent, failures.Failure]:
@@ -107,7 +107,7 @@
         view = place.view
         conn = self._pool.take(view.address)
         if isinstance(conn, failures.Failure):
-            view.health.failed()
+            view.health.record_failure()
             return conn
         in_use = self._in_use.setdefault(view, weakref.WeakKeyDictionary())
         in_use[conn] = exchange.fingerprint
@@ -142,7 +142,7 @@
         if failure.reason == crash_tracker_.BLOCK_REASON:
             # Cancelled by this router: not a failure of the upstream.
             return
-        view.health.failed()
+        view.health.record_failure()
         self._crashes.note_failure(
             exchange.fingerprint, view, failure, sent_at, was_answering
         )
@@ -177,7 +177,7 @@
     def _exchange(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Place,
+        place: placement.Reservation,
         conn: connection_.Connection,
         silence_ms: int,
         resume: ty.Optional[dialect_.ResumePoint],
@@ -188,7 +188,7 @@
             return failures.not_run('deadline', 'no time was left to send')
         headers = self._dialect.headers(exchange, place.view, left, resume)
         deadline = min(exchange.ends_at, now + silence_ms)
-        place.view.health.sent()
+        place.view.health.record_sent()
         failure = conn.send(
             exchange.method, exchange.target, headers, exchange.body, deadline
         )
@@ -198,7 +198,7 @@
             head = conn.read_head(exchange.method, deadline)
             if isinstance(head, failures.Failure):
                 return head
-            place.view.was_heard()
+            place.view.note_activity()
             verdict = self._dialect.verdict(exchange, head)
             if verdict not in _UNATTRIBUTED:
                 self._crashes.note_response(place.view, now)
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -136,17 +136,17 @@
                 if isinstance(moved, failures.Failure):
                     return moved
                 continue
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.take(data)
-        stream.sent.place.was_read()
-        stream.sent.place.view.health.succeeded()
+        stream.sent.place.mark_prompt_read()
+        stream.sent.place.view.health.record_success()
         return None
 
     def _read_more(self, stream: Stream) -> None:
         exchange = stream.exchange
         data = stream.sent.conn.read_some(self._patient_until(stream))
         if not isinstance(data, failures.Failure):
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.take(data)
             return
         failure: ty.Optional[failures.Failure] = data
@@ -227,7 +227,7 @@
     def _send_on(
         self,
         stream: Stream,
-        place: placement.Place,
+        place: placement.Reservation,
         point: dialect_.ResumePoint,
     ) -> ty.Union[sender_.Sent, failures.Failure]:
         exchange = stream.exchange
@@ -260,7 +260,7 @@
 class Moved:
     """Where a run that was moved goes on."""
 
-    place: placement.Place
+    place: placement.Reservation
     copy: str
     """Where its memory lies."""
 
--- a/src/peridotmast/serving/upstream_limits.py
+++ b/src/peridotmast/serving/upstream_limits.py
@@ -104,7 +104,7 @@
         self._routers: frozenset[str] = frozenset((router,))
         self._previous_routers = self._routers
         """Known routers before the last membership change."""
-        self.tell: ty.Callable[[], None] = lambda: None
+        self.notify_peers: ty.Callable[[], None] = lambda: None
         """Called when peers must be updated at once."""
 
     def __len__(self) -> int:
@@ -124,7 +124,7 @@
         """Record the limit that an answer states, in requests per second."""
         now = self._clock.now()
         if self._merge(view.name, view.born, rate, now, now):
-            self.tell()
+            self.notify_peers()
 
     def note_no_limit(
         self, view: upstream_view.UpstreamView, sent_at: int
@@ -139,7 +139,7 @@
         """
         if view.run in self._limits:
             if self._merge(view.name, view.born, None, sent_at, sent_at):
-                self.tell()
+                self.notify_peers()
 
     def rate(self, view: upstream_view.UpstreamView) -> ty.Optional[float]:
         """Return the limit of an upstream, in requests per second.
@@ -192,7 +192,7 @@
             for limit in selected
         ]
 
-    def hear(self, updates: ty.Iterable[pb.UpstreamLimit]) -> None:
+    def merge_updates(self, updates: ty.Iterable[pb.UpstreamLimit]) -> None:
         """Merge updates from another router."""
         now = self._clock.now()
         for message in updates:
--- a/src/peridotmast/serving/upstream_view.py
+++ b/src/peridotmast/serving/upstream_view.py
@@ -63,11 +63,11 @@
     ) -> None:
         self.born = 0
         """When this run began, ms since 1970; 0 where that is not told."""
-        self.mine = Load()
+        self.local_load = Load()
         """This router's own work there."""
         self.health = health_.Health(clock)
         """How it has answered lately."""
-        self.left_at = 0
+        self.not_live_since = 0
         """Moment at which it was heard to leave, or its entry to be missing,
         in ms; 0 before."""
         self._clock = clock
@@ -75,9 +75,9 @@
         self._heard_at = 0
         self._others: dict[str, Load] = {}
         self._total = Load()
-        self.change(record)
+        self.update(record)
 
-    def change(self, record: pb.UpstreamRecord) -> None:
+    def update(self, record: pb.UpstreamRecord) -> None:
         """Take in a newer statement on it."""
         upstream = record.upstream
         self.record = record
@@ -101,47 +101,47 @@
         return run_of(self.name, self.born)
 
     @property
-    def is_there(self) -> bool:
+    def is_available(self) -> bool:
         """Whether nobody said that it leaves."""
         return self.record.state in (LIVE, LAPSED)
 
-    def is_sure(self, limit: int) -> bool:
+    def is_confirmed(self, limit: int) -> bool:
         """Return whether its entry is there, or missing since `limit`."""
-        return self.record.state == LIVE or self.left_at > limit
+        return self.record.state == LIVE or self.not_live_since > limit
 
-    def take_on(self, load: Load) -> None:
+    def add_load(self, load: Load) -> None:
         """Add a request's work of this router."""
-        if not self.mine.running:
+        if not self.local_load.running:
             # It had nothing to say until now.
-            self.was_heard()
-        self.mine.add(load)
+            self.note_activity()
+        self.local_load.add(load)
         self._total.add(load)
         self._busy.add(self)
 
-    def hand_back(self, load: Load) -> None:
+    def remove_load(self, load: Load) -> None:
         """Take a request's work of this router, or a part of it, away."""
-        self.mine.add(load, -1)
+        self.local_load.add(load, -1)
         self._total.add(load, -1)
-        if not self.mine.running:
+        if not self.local_load.running:
             self._busy.discard(self)
 
-    def set_other(self, router: str, load: Load) -> None:
+    def set_peer_load(self, router: str, load: Load) -> None:
         """Take in all work that another router has there."""
         self._total.add(self._others.pop(router, Load()), -1)
         if load.running:
             self._others[router] = load
             self._total.add(load)
 
-    def was_heard(self) -> None:
+    def note_activity(self) -> None:
         """Note that something came from it."""
         self._heard_at = self._clock.now()
 
     def silent_ms(self) -> int:
         """Return for how long nothing came while this router waited, in ms."""
-        if not self.mine.running:
+        if not self.local_load.running:
             return 0
         return self._clock.now() - self._heard_at
 
-    def load(self) -> Load:
+    def total_load(self) -> Load:
         """Return the work of all routers there, as far as it is known."""
         return self._total
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -83,7 +83,7 @@
         """Call `listener` with each upstream whose state changed."""
         self._listeners.append(listener)
 
-    def listen_ends(self, listener: Listener) -> None:
+    def listen_replacements(self, listener: Listener) -> None:
         """Call `listener` with each view whose run has ended.
 
         Another run has begun under its name: the work that was sent to it
@@ -116,7 +116,9 @@
     def tick(self) -> list[upstream_view.UpstreamView]:
         """Give up those whose entry did not come back; return them."""
         limit = self._clock.now() - self._lapse_ms
-        late = [view for view in self._lapsed() if view.left_at <= limit]
+        late = [
+            view for view in self._lapsed() if view.not_live_since <= limit
+        ]
         for view in late:
             gone = _changed(view.record, GONE, view.record.revision)
             self._put(view, gone)
@@ -127,7 +129,7 @@
         for record in records:
             self.merge(record)
 
-    def told_since(self, revision: int) -> list[pb.UpstreamRecord]:
+    def records_since(self, revision: int) -> list[pb.UpstreamRecord]:
         """Return what is said of upstreams after a revision, for a peer."""
         now = self._clock.now()
         found = []
@@ -136,7 +138,7 @@
                 record = pb.UpstreamRecord()
                 record.CopyFrom(view.record)
                 if record.state == LAPSED:
-                    record.doubted_ms = now - view.left_at
+                    record.doubted_ms = now - view.not_live_since
                 found.append(record)
         return found
 
@@ -164,35 +166,35 @@
             self._by_service = self._live_by_service()
         return self._by_service.get(service, ())
 
-    def my_loads(self) -> list[pb.UpstreamLoad]:
+    def local_loads(self) -> list[pb.UpstreamLoad]:
         """Return this router's work at each upstream that has some."""
         return [
-            self.load_of(view)
+            self.local_load(view)
             for view in self._busy
             if self._views.get(view.name) is view
         ]
 
-    def load_of(self, view: upstream_view.UpstreamView) -> pb.UpstreamLoad:
+    def local_load(self, view: upstream_view.UpstreamView) -> pb.UpstreamLoad:
         """Return this router's work at one upstream."""
         return pb.UpstreamLoad(
             upstream=view.name,
-            running=view.mine.running,
-            unread=view.mine.unread,
-            memory=view.mine.memory,
+            running=view.local_load.running,
+            unread=view.local_load.unread,
+            memory=view.local_load.memory,
             born=view.born,
         )
 
-    def take_load(self, router: str, load: pb.UpstreamLoad) -> None:
+    def set_peer_load(self, router: str, load: pb.UpstreamLoad) -> None:
         """Take in another router's work at one upstream."""
         if not self._is_of_this_run(load):
             return
-        self._views[load.upstream].set_other(
+        self._views[load.upstream].set_peer_load(
             router,
             upstream_view.Load(load.running, load.unread, load.memory),
         )
         self._told.setdefault(router, set()).add(load.upstream)
 
-    def take_loads(
+    def set_peer_loads(
         self, router: str, loads: ty.Iterable[pb.UpstreamLoad]
     ) -> None:
         """Take in another router's work, all of it at once.
@@ -204,10 +206,10 @@
         }
         for name in self._told.pop(router, set()) - theirs.keys():
             if name in self._views:
-                self._views[name].set_other(router, upstream_view.Load())
+                self._views[name].set_peer_load(router, upstream_view.Load())
         for name, load in theirs.items():
             if name in self._views:
-                self._views[name].set_other(
+                self._views[name].set_peer_load(
                     router,
                     upstream_view.Load(load.running, load.unread, load.memory),
                 )
@@ -220,18 +222,19 @@
             return False
         return not (load.born and view.born) or load.born == view.born
 
-    def forget_loads(self, routers: ty.Collection[str]) -> None:
+    def retain_peer_loads(self, routers: ty.Collection[str]) -> None:
         """Drop the work of all routers but these: they are silent."""
         for router in [r for r in self._told if r not in routers]:
-            self.take_loads(router, ())
+            self.set_peer_loads(router, ())
 
-    def forget_gone(self) -> None:
+    def remove_gone(self) -> None:
         """Drop upstreams that are gone for long."""
         limit = self._clock.now() - _FORGET_MS
         old = [
             name
             for name, view in self._off.items()
-            if view.record.state in (GONE, UNREADABLE) and view.left_at < limit
+            if view.record.state in (GONE, UNREADABLE)
+            and view.not_live_since < limit
         ]
         for name in old:
             del self._views[name]
@@ -251,7 +254,7 @@
     ) -> bool:
         """Take in the first statement on a later run of an upstream."""
         self._off.pop(ended.name, None)
-        ended.change(_changed(ended.record, GONE, ended.record.revision))
+        ended.update(_changed(ended.record, GONE, ended.record.revision))
         for routers in self._told.values():
             routers.discard(ended.name)
         begun = self._begin(record)
@@ -262,13 +265,13 @@
     def _put(
         self, view: upstream_view.UpstreamView, record: pb.UpstreamRecord
     ) -> None:
-        view.change(record)
+        view.update(record)
         if record.state == LIVE:
-            view.left_at = 0
+            view.not_live_since = 0
             self._off.pop(view.name, None)
         else:
             heard = self._clock.now() - max(0, record.doubted_ms)
-            view.left_at = view.left_at or heard
+            view.not_live_since = view.not_live_since or heard
             self._off[view.name] = view
         self._by_service = None
         for listener in self._listeners:
@@ -283,10 +286,12 @@
         sure: dict[str, list[upstream_view.UpstreamView]] = {}
         unsure: dict[str, list[upstream_view.UpstreamView]] = {}
         for view in self._views.values():
-            if view.is_there:
-                kind = sure if view.is_sure(limit) else unsure
+            if view.is_available:
+                kind = sure if view.is_confirmed(limit) else unsure
                 kind.setdefault(view.service, []).append(view)
-        in_doubt = (v.left_at for v in self._lapsed() if v.is_sure(limit))
+        in_doubt = (
+            v.not_live_since for v in self._lapsed() if v.is_confirmed(limit)
+        )
         self._sure_until = min(in_doubt, default=_NEVER) + self._doubt_ms
         return {**unsure, **sure}
 
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -709,8 +709,8 @@
     Mutation(
         'keep to no part where little is left',
         SERVING + 'quota.py',
-        'if not (self.knows_late() and little and _is_small(bucket, tokens)):',
-        'if True:',
+        'self.has_stale_peer_data() and little and _is_small(bucket, tokens)',
+        'False',
         'groups',
     ),
     Mutation(
@@ -829,7 +829,7 @@
     Mutation(
         'tell a doubt without its age',
         SERVING + 'upstreams.py',
-        'record.doubted_ms = now - view.left_at',
+        'record.doubted_ms = now - view.not_live_since',
         'pass',
         'upstreams',
     ),
@@ -1058,7 +1058,7 @@
     Mutation(
         'hear of no crashes from peers',
         ROUTER + 'peering.py',
-        'self._serving.crashes.hear(beacon.crash_suspects)',
+        'self._serving.crashes.merge_updates(beacon.crash_suspects)',
         'pass',
         'crashes',
     ),
@@ -1219,7 +1219,7 @@
     Mutation(
         'hear of no limits from peers',
         ROUTER + 'peering.py',
-        'self._serving.limits.hear(beacon.upstream_limits)',
+        'self._serving.limits.merge_updates(beacon.upstream_limits)',
         'pass',
         'upstream_limits',
     ),
