--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -127,7 +127,7 @@
             bounds.drain_ms,
         )
         knowledge.table.listen(migrator.on_change)
-        knowledge.table.listen_ends(self._sender.abort_run)
+        knowledge.table.listen_replacements(self._sender.abort_run)
         self.gateway = gateway_.Gateway(
             clock,
             self._make_desk(),
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/sharing.py
@@ -45,7 +45,7 @@
         self._usage = serving.usage
         self._table = table
         self._spends = fleet_counts.FleetCounts(
-            self._quota.spent, self._quota.spent_elsewhere
+            self._quota.spent, self._quota.subtract_peer_spends
         )
         self._asked = fleet_counts.FleetCounts(
             self._demand.counts, self._demand.count_from_peers
@@ -57,7 +57,7 @@
         """Return what this router itself counts and has in work."""
         return pb.Totals(
             spends=_spends(self._quota.spent()),
-            loads=self._table.my_loads(),
+            loads=self._table.local_loads(),
             usage=self._usage.counts(),
             demand=_demand(
                 self._demand.counts(), self._demand.own_prefill_rates()
@@ -119,7 +119,7 @@
         self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
-            self._table.take_loads(router, totals.loads)
+            self._table.set_peer_loads(router, totals.loads)
             self._hear_readings(router, totals)
 
     def hear_group(
@@ -133,7 +133,7 @@
         self._usage.merge_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
-            self._table.take_loads(_group_name(group), totals.loads)
+            self._table.set_peer_loads(_group_name(group), totals.loads)
             self._hear_readings(head, totals)
 
     def follow(
@@ -144,7 +144,7 @@
         self._asked.receive_fleet(head, run, _by_service(totals), counted)
         self._usage.merge_fleet(totals.usage)
         if counted:
-            self._table.take_loads(FLEET, totals.loads)
+            self._table.set_peer_loads(FLEET, totals.loads)
             self._hear_readings(head, totals)
 
     def reckon(self, spends: dict[str, int]) -> None:
@@ -191,13 +191,13 @@
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({FLEET})
+            self._table.retain_peer_loads({FLEET})
             return
         names = {_group_name(group) for group in self._group_loads}
-        self._table.forget_loads({*self._loads, *names})
+        self._table.retain_peer_loads({*self._loads, *names})
 
     def _members_loads(self) -> list[Loads]:
-        return [self._table.my_loads(), *self._loads.values()]
+        return [self._table.local_loads(), *self._loads.values()]
 
     def _readings(self) -> dict[str, float]:
         found = {
