--- a/features/environment.py
+++ b/features/environment.py
@@ -65,9 +65,9 @@
         close()
     if context.fleet is not None:
         broken = {
-            router.cfg.name: router.checks.broken
+            router.cfg.name: router.invariants.broken
             for router in context.fleet.routers
-            if router.checks.broken
+            if router.invariants.broken
         }
         context.fleet.stop()
         assert not broken, f'promises broken inside: {broken}'
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -88,7 +88,7 @@
     turned_away = [
         router
         for router in routers
-        if router.knowledge.watchers.is_due(names.CONFIG_KIND)
+        if router.fleet_state.watchers.is_due(names.CONFIG_KIND)
     ]
     assert 0 < len(turned_away) < len(routers), len(turned_away)
     for router in turned_away:
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -33,7 +33,7 @@
 @when('{count:d} requests are sent to all routers within a window')
 def within_a_window(context, count):
     fleet = context.fleet
-    clock = fleet.routers[0].knowledge.fleet_clock
+    clock = fleet.routers[0].fleet_state.fleet_clock
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
     context.window = fleet.routers[0].serving.usage.window_now()
     tasks = [
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -9,10 +9,10 @@
 from behave import then
 from behave import when
 import config_steps
-import doubt_steps
 import helpers
 import hypothesis
 from hypothesis import strategies
+import store_outage_steps
 
 from peridotmast import addresses
 from peridotmast import clock as clock_
@@ -85,8 +85,8 @@
 
 @when('the entry of "{name}" has {value} for "{field}"')
 def entry_has(context, name, value, field):
-    spec = {**doubt_steps.entry(name), field: json.loads(value)}
-    doubt_steps.changed(context, name, spec)
+    spec = {**store_outage_steps.entry_spec(name), field: json.loads(value)}
+    store_outage_steps.apply_change(context, name, spec)
 
 
 @then('"{name}" may get no work while its entry is null, [], "a", 7 or {{}}')
@@ -95,10 +95,14 @@
         item = {names.META: {'name': name, names.REVISION: 50}}
         item[names.SPEC] = spec
         stored = store_.documents.stored(item)
-        doubt_steps.changed(context, name, stored.spec)
-        assert name not in doubt_steps.usable(context.upstreams), spec
-        doubt_steps.changed(context, name, doubt_steps.entry(name))
-        assert name in doubt_steps.usable(context.upstreams)
+        store_outage_steps.apply_change(context, name, stored.spec)
+        assert name not in store_outage_steps.live_names(context.upstreams), (
+            spec
+        )
+        store_outage_steps.apply_change(
+            context, name, store_outage_steps.entry_spec(name)
+        )
+        assert name in store_outage_steps.live_names(context.upstreams)
 
 
 @when(
@@ -111,7 +115,7 @@
             [
                 objects.Stored(a, 20, {'capacity-slots': float('inf')}),
                 objects.Stored(
-                    b, 21, doubt_steps.entry(b, upstreams_.LEAVING)
+                    b, 21, store_outage_steps.entry_spec(b, upstreams_.LEAVING)
                 ),
             ],
             21,
@@ -125,7 +129,11 @@
     ' read can be used'
 )
 def drawn_entries(context, count):
-    whole = {**doubt_steps.entry('a'), names.BORN: 5, names.RECLAIMABLE: True}
+    whole = {
+        **store_outage_steps.entry_spec('a'),
+        names.BORN: 5,
+        names.RECLAIMABLE: True,
+    }
     everywhere = strategies.sampled_from(sorted(places(whole)))
 
     def one(path, value):
@@ -390,7 +398,7 @@
         taken = router.beacons._unpack(router.beacons._pack(beacon))
         assert (taken is None) == bool(found), found
         if taken is not None:
-            router._peering.take(taken)
+            router._peering.receive(taken)
             for peer in router.members.peers():
                 assert peer.member.name
         assert {view.name for view in router.table.all()} == known
@@ -402,7 +410,7 @@
 def garbling_peer(context):
     fleet = helpers.start_fleet(context, routers=1)
     context.router = fleet.routers[0]
-    context.router._catch_up.config._peers = _Garbling()
+    context.router._catch_up.config_fetcher._peers = _Garbling()
     context.lines = []
 
     class Log:
@@ -412,7 +420,7 @@
         def error(self, event, **values):
             context.lines.append((event, values))
 
-    context.router._catch_up.config._log = Log()
+    context.router._catch_up.config_fetcher._log = Log()
 
 
 class _Garbling:
@@ -428,7 +436,7 @@
 @when('it asks the peer')
 def asks_peer(context):
     context.version = context.router.config.routes.version
-    context.news = context.router._catch_up.ask_config('127.0.0.1:9')
+    context.news = context.router._catch_up.fetch_config('127.0.0.1:9')
 
 
 @then('nothing has changed and the peer is named in the log')
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -27,7 +27,7 @@
 from peridotmast import green
 from peridotmast.router import catch_up as catch_up_
 from peridotmast.router import peering as peering_
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import shared_totals as shared_totals_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import demand as demand_
@@ -94,7 +94,7 @@
             quota=quota_.Quota(self.clock),
             demand=demand_.Demand(self.clock),
             usage=usage_.Usage(self.time.now, WINDOW_MS),
-            budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
+            retry_budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
             crashes=crash_tracker_.CrashTracker(self.clock, self.name),
             limits=upstream_limits.UpstreamLimits(self.clock, self.name),
         )
@@ -106,7 +106,7 @@
             self.clock,
             knowledge,
             self.serving,
-            sharing_.Sharing(self.serving, self.table),
+            shared_totals_.SharedTotals(self.serving, self.table),
             types.SimpleNamespace(
                 hint=lambda: None,
                 hear=lambda hint: None,
@@ -131,8 +131,8 @@
             fleet_clock=self.time,
             outage=types.SimpleNamespace(is_felt=lambda: False),
             is_watching=lambda what: False,
-            overtaken=lambda what: None,
-            doubt_store=lambda: None,
+            refresh=lambda what: None,
+            check_store=lambda: None,
         )
 
     def spent(self):
@@ -182,7 +182,7 @@
             for node in list(self.nodes.values()):
                 node.peering.tick()
                 node.serving.demand.tick()
-                for beacon, peers in list(node.peering.rounds.due()):
+                for beacon, peers in list(node.peering.rounds.next_round()):
                     self.hand_over(node, beacon, peers)
             self.clock.advance(ROUND_MS)
 
@@ -196,7 +196,7 @@
             if self.is_cut(beacon):
                 continue
             self.got[there.name] += 1
-            there.peering.take(pb.Beacon.FromString(data))
+            there.peering.receive(pb.Beacon.FromString(data))
 
     def run_apart(self, ms):
         """Pass time while each router has rounds at moments of its own.
@@ -213,7 +213,9 @@
                     late = self.draws.randrange(0, LATE_MS, STEP_MS)
                     node.next_at = passed + ROUND_MS + late
                     node.peering.tick()
-                    for beacon, peers in list(node.peering.rounds.due()):
+                    for beacon, peers in list(
+                        node.peering.rounds.next_round()
+                    ):
                         self.hand_over(node, beacon, peers)
             self.clock.advance(STEP_MS)
             yield
@@ -413,7 +415,7 @@
 
 
 def tell_news(fleet, node):
-    fleet.hand_over(node, node.peering.news.fill(), node.members.peers())
+    fleet.hand_over(node, node.peering.updates.build(), node.members.peers())
 
 
 @then('for {ms:d} ms each hears all the others, whose rounds are not at once')
@@ -532,7 +534,7 @@
     context.ended = node.name
     node.members.change_me(state=members_.LEAVING, ready=False)
     context.groups.hand_over(
-        node, node.peering.news.fill(), node.members.peers()
+        node, node.peering.updates.build(), node.members.peers()
     )
 
 
@@ -886,7 +888,7 @@
     passed = 0
     for _ in range(offered // tokens):
         size = round(tokens * draws.uniform(0.4, 1.6))
-        if not draws.choice(nodes).peering.borrowing.take('noor', size):
+        if not draws.choice(nodes).peering.borrowing.acquire('noor', size):
             passed += size
         elif refused is not None:
             refused.append(size)
@@ -921,7 +923,7 @@
         while due >= 1:
             due -= 1
             node = fleet.draws.choice(nodes)
-            if node.peering.borrowing.take('noor', tokens):
+            if node.peering.borrowing.acquire('noor', tokens):
                 refused += 1
             else:
                 passed += 1
@@ -959,7 +961,7 @@
 def repeats_before(context, most):
     sent = 0
     for node in context.came:
-        while node.serving.budget.take('pool'):
+        while node.serving.retry_budget.take('pool'):
             sent += 1
     assert sent <= most, sent
 
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -150,7 +150,7 @@
     """Return what a router keeps limits by, without the rest of it."""
     return types.SimpleNamespace(
         quota=quota_.Quota(clock),
-        budget=retry_budget.RetryBudget(clock, 0.2, 10_000, 50),
+        retry_budget=retry_budget.RetryBudget(clock, 0.2, 10_000, 50),
         crashes=crash_tracker.CrashTracker(clock, 'router-1'),
         limits=upstream_limits.UpstreamLimits(clock, 'router-1'),
     )
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -5,10 +5,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import fleet_steps
 import helpers
 import raw_upstream
+import store_outage_steps
 import stream_steps
 
 from peridotmast import clock as clock_
@@ -31,7 +31,7 @@
         upstream=pb.Upstream(
             name='a',
             address='10.0.0.1:1',
-            service=doubt_steps.SERVICE,
+            service=store_outage_steps.SERVICE,
             slots=4,
             failure_domain='fd-1',
             born=born,
@@ -113,7 +113,7 @@
 
 @then('"a" may get new work and was born at {born:d}')
 def may_get_work(context, born):
-    (view,) = context.upstreams.live(doubt_steps.SERVICE)
+    (view,) = context.upstreams.live(store_outage_steps.SERVICE)
     assert view.born == born, view.born
 
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -555,7 +555,7 @@
     service = pb.Service(name=shape_.ENGINES, slots=64)
     exchange = exchange_with('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
-    places = context.fleet.routers[0].serving.places
+    places = context.fleet.routers[0].serving.placement
     context.place = places.choose(exchange, service)
 
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -202,12 +202,12 @@
         table = upstreams_.UpstreamTable(world.clock)
         self.asked = 0
         self.knowledge = knowledge = types.SimpleNamespace(
-            is_from_store=False,
+            is_synced_with_store=False,
             members=members,
             config=self.config,
             table=table,
             is_watching=lambda what: False,
-            overtaken=lambda *what: None,
+            refresh=lambda *what: None,
         )
         self.catch_up = catch_up_.CatchUp(
             world.clock, knowledge, self, self._spawn
@@ -345,7 +345,7 @@
 def know_behind(context):
     others = [n for n in context.world.nodes if n not in context.first]
     assert others
-    assert all(node.catch_up.config.is_behind() for node in others)
+    assert all(node.catch_up.config_fetcher.is_behind() for node in others)
 
 
 @when('one says again and again that it has what the store has not')
@@ -368,7 +368,7 @@
     found = []
     for _ in range(200):
         world.run(100)
-        found += [node.catch_up.config.is_behind() for node in others]
+        found += [node.catch_up.config_fetcher.is_behind() for node in others]
     assert sum(found) * 100 <= share * len(found), sum(found) / len(found)
 
 
@@ -424,7 +424,7 @@
 def unreadable_behind(context):
     node = context.world.nodes[0]
     assert node.version == OLD
-    assert node.catch_up.config.is_behind()
+    assert node.catch_up.config_fetcher.is_behind()
 
 
 @then('no link of those has carried more than {most:d} bytes')
@@ -447,7 +447,7 @@
     )
     newer = router.config.routes.version + 1
     beacon = pb.Beacon(member=member, config_version=newer, news_only=True)
-    router._peering.take(beacon)
+    router._peering.receive(beacon)
 
 
 @then(
@@ -501,7 +501,7 @@
 @when('the store has told each of platform and fleet')
 def store_has_told(context):
     for node in context.world.nodes:
-        node.knowledge.is_from_store = True
+        node.knowledge.is_synced_with_store = True
 
 
 @then('none of them has asked a seed')
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -145,7 +145,7 @@
     keep_connection(context)
     # No other task runs between these two.
     send_on_kept(context, 'crossing-2')
-    context.fleet.routers[0]._faces.close_idle()
+    context.fleet.routers[0]._http_servers.close_idle()
 
 
 @when('a request comes on a kept connection right after it was shut')
@@ -155,7 +155,7 @@
     context.closing.append(lambda: setattr(server_, '_shut', real))
     # A kernel may still take in what comes, and nothing goes out any more.
     server_._shut = lambda sock: sock.shutdown(socket.SHUT_WR)
-    context.fleet.routers[0]._faces.close_idle()
+    context.fleet.routers[0]._http_servers.close_idle()
     send_on_kept(context, 'crossing-2')
 
 
@@ -304,7 +304,7 @@
 @when('the file names another store')
 def another_store(context):
     write_settings(context, SETTINGS.format(port=9))
-    context.watch.look()
+    context.watch.reload_if_changed()
 
 
 @then('the new one is applied')
@@ -315,7 +315,7 @@
 @when('the file becomes malformed')
 def malformed_file(context):
     write_settings(context, '[router]\nlisten = nowhere\n')
-    context.watch.look()
+    context.watch.reload_if_changed()
 
 
 @then('the last good settings stay in force')
@@ -400,7 +400,7 @@
 
 def bare_peering(clock, watches, asked):
     """Return a peering that only compares what peers know."""
-    knowledge = types.SimpleNamespace(
+    fleet_state = types.SimpleNamespace(
         members=members_.Members(
             pb.Member(name='me', incarnation=1), clock, 1000
         ),
@@ -410,13 +410,13 @@
         ),
         table=upstreams_.UpstreamTable(clock),
         is_watching=lambda what: watches,
-        doubt_store=lambda: None,
+        check_store=lambda: None,
     )
     catch_up = catch_up_.CatchUp(
-        clock, knowledge, None, lambda name, *rest: asked.append(name)
+        clock, fleet_state, None, lambda name, *rest: asked.append(name)
     )
     serving = helpers.bare_limits(clock)
-    return peering_.Peering(clock, knowledge, serving, None, None, catch_up)
+    return peering_.Peering(clock, fleet_state, serving, None, None, catch_up)
 
 
 @given('a router that does not watch and one that does')
@@ -435,7 +435,7 @@
             name='peer', incarnation=1, peer_address='10.0.0.1:1'
         )
         beacon = pb.Beacon(member=member, config_version=4, news_only=True)
-        peering.take(beacon)
+        peering.receive(beacon)
 
 
 @when('both hear that a peer is ahead, twice within {ms:d} ms')
@@ -488,7 +488,7 @@
     ahead, context.behind = context.fleet.routers
     ahead.table.revision += 100
     context.begun = []
-    for watch in context.behind.knowledge._watches:
+    for watch in context.behind.fleet_state._watches:
         watch._wait.fire = lambda: context.begun.append(1)
 
 
--- a/features/steps/doubt_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -20,7 +20,7 @@
 SERVICE = 'pool'
 
 
-def entry(name, state=upstreams_.LIVE):
+def entry_spec(name, state=upstreams_.LIVE):
     record = pb.UpstreamRecord(
         upstream=pb.Upstream(
             name=name,
@@ -34,7 +34,7 @@
     return upstream_codec.write_upstream(record)
 
 
-def changed(context, name, spec, after_outage=False):
+def apply_change(context, name, spec, after_outage=False):
     context.revision += 1
     stored = objects.Stored(name, context.revision, spec)
     context.feed.on_changes(
@@ -42,7 +42,7 @@
     )
 
 
-def usable(table):
+def live_names(table):
     return ', '.join(sorted(view.name for view in table.live(SERVICE)))
 
 
@@ -55,32 +55,32 @@
     )
     context.revision = 0
     for name in (a, b, c):
-        changed(context, name, entry(name))
+        apply_change(context, name, entry_spec(name))
 
 
 @when('the entry of "{name}" is removed')
 def is_removed(context, name):
-    changed(context, name, None)
+    apply_change(context, name, None)
 
 
 @when('the entry of "{name}" is missing after an outage')
 def is_missing(context, name):
-    changed(context, name, None, after_outage=True)
+    apply_change(context, name, None, after_outage=True)
 
 
 @when('the entry of "{name}" is back')
 def is_back(context, name):
-    changed(context, name, entry(name))
+    apply_change(context, name, entry_spec(name))
 
 
 @when('the entry of "{name}" says that it leaves')
 def says_it_leaves(context, name):
-    changed(context, name, entry(name, upstreams_.LEAVING))
+    apply_change(context, name, entry_spec(name, upstreams_.LEAVING))
 
 
 @when('what it said before comes once more')
 def comes_again(context):
-    stored = objects.Stored('a', 1, entry('a'))
+    stored = objects.Stored('a', 1, entry_spec('a'))
     context.feed.on_changes(objects.Changes([stored], 1), False)
     listing = objects.Listing([stored], 1)
     context.other = upstreams_.UpstreamTable(context.clock)
@@ -116,13 +116,15 @@
 
 @then('"{names}" may get new work')
 def may_get_work(context, names):
-    assert usable(context.upstreams) == names, usable(context.upstreams)
+    assert live_names(context.upstreams) == names, live_names(
+        context.upstreams
+    )
 
 
 @then('there "{names}" may get new work')
 def may_there(context, names):
     context.other.tick()
-    assert usable(context.other) == names, usable(context.other)
+    assert live_names(context.other) == names, live_names(context.other)
 
 
 @then('"{name}" is not given up yet')
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -8,10 +8,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import helpers
 import prometheus_client
 import raw_upstream
+import store_outage_steps
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed
@@ -26,7 +26,7 @@
 from peridotmast.platform import names
 from peridotmast.platform import store as store_
 from peridotmast.router import catch_up as catch_up_
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import peering as peering_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
@@ -219,13 +219,13 @@
         bounds=ini.defaults(pb.BoundsSettings),
     )
     checks = invariants.Invariants(prometheus_client.CollectorRegistry(), True)
-    context.knowledge = knowledge_.Knowledge(file, context.clock, checks)
+    context.fleet_state = fleet_state_.FleetState(file, context.clock, checks)
     context.errors = []
     tasks = green.Tasks(lambda *error: context.errors.append(error))
     context.closing.append(tasks.stop)
     if not watches:
-        context.knowledge.watchers.is_due = lambda kind: False
-    context.knowledge.begin(tasks, lambda: False, lambda: None)
+        context.fleet_state.watchers.is_due = lambda kind: False
+    context.fleet_state.start(tasks, lambda: False, lambda: None)
 
 
 @given('a router that has watched the store for {ms:d} ms')
@@ -251,7 +251,7 @@
 
 @when('a call of it is refused, and the store answers again')
 def refused_once(context):
-    store = context.knowledge.store
+    store = context.fleet_state.store
 
     def is_settled():
         # It enters itself there once; after that it has nothing to ask.
@@ -260,40 +260,40 @@
         return store.calls == calls
 
     helpers.wait_until(is_settled, 'no call under way')
-    context.knowledge.outage.failed('429')
+    context.fleet_state.outage.failed('429')
 
 
 @then('it finds out by itself')
 def finds_out(context):
     helpers.wait_until(
-        lambda: not context.knowledge.outage.is_out, 'an answer'
+        lambda: not context.fleet_state.outage.is_out, 'an answer'
     )
 
 
 @when('another call of it fails and the next one is answered')
 def fails_and_answered(context):
-    context.knowledge.outage.failed('silent')
-    context.knowledge.outage.answered()
+    context.fleet_state.outage.failed('silent')
+    context.fleet_state.outage.answered()
 
 
 @when('a call of it is answered, and then one made before that fails')
 def answered_then_failed(context):
-    context.knowledge.outage.answered()
+    context.fleet_state.outage.answered()
     context.clock.advance(500)
-    context.knowledge.outage.failed('silent', 1500)
+    context.fleet_state.outage.failed('silent', 1500)
     context.clock.advance(500)
-    context.knowledge.outage.answered()
+    context.fleet_state.outage.answered()
 
 
 @when('another peer says so after one that is refused for long')
 def peer_after_refused(context):
-    knowledge = context.knowledge
+    fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
-        context.clock, knowledge, Peer(), lambda name, *args: None
+        context.clock, fleet_state, Peer(), lambda name, *args: None
     )
     peering = peering_.Peering(
         context.clock,
-        knowledge,
+        fleet_state,
         helpers.bare_limits(context.clock),
         None,
         None,
@@ -303,7 +303,7 @@
     def say(name, rounds):
         member = pb.Member(name=name, incarnation=1)
         for _ in range(rounds):
-            peering.take(pb.Beacon(member=member, outage_felt=True))
+            peering.receive(pb.Beacon(member=member, outage_felt=True))
             green.sleep_ms(2 * TURN_MS)
             context.clock.advance(250)
 
@@ -326,16 +326,16 @@
 @when('a peer says that the store does not answer it, again and again')
 def peer_says_out(context):
     serving = helpers.bare_limits(context.clock)
-    knowledge = context.knowledge
+    fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
-        context.clock, knowledge, Peer(), lambda name, *args: None
+        context.clock, fleet_state, Peer(), lambda name, *args: None
     )
     peering = peering_.Peering(
-        context.clock, knowledge, serving, None, None, catch_up
+        context.clock, fleet_state, serving, None, None, catch_up
     )
     member = pb.Member(name='r2', incarnation=1)
     for _ in range(20):
-        peering.take(pb.Beacon(member=member, outage_felt=True))
+        peering.receive(pb.Beacon(member=member, outage_felt=True))
         # Those of a watch that was begun anew would follow by then.
         green.sleep_ms(2 * TURN_MS)
         context.clock.advance(250)
@@ -350,7 +350,7 @@
 def news_on_upstreams(context):
     catch_up = catch_up_.CatchUp(
         context.clock,
-        context.knowledge,
+        context.fleet_state,
         Peer(),
         lambda name, func, *args: func(*args),
     )
@@ -361,12 +361,12 @@
     catch_up.compare(beacon)
     context.clock.advance(1000)
     catch_up.compare(beacon)
-    assert context.knowledge.table.get('a') is not None
+    assert context.fleet_state.table.get('a') is not None
 
 
 @when('a peer has news on the configuration')
 def news_on_configuration(context):
-    context.knowledge.overtaken('config')
+    context.fleet_state.refresh('config')
 
 
 @then('it watches the {what} anew')
@@ -423,7 +423,7 @@
 def in_two_halves(context):
     context.clock = clock_.ManualClock()
     context.halving = HalvingStore(context)
-    context.follower = doubt_steps.Follower()
+    context.follower = store_outage_steps.Follower()
     # Long, so that only a peer's news can end the watch.
     store = store_.PlatformStore(
         context.halving.raw.address, 60_000, outage_.Outage(context.clock, 1)
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -69,7 +69,7 @@
 def heard_by_call(context):
     first, second = context.fleet.routers
     news = [
-        router._catch_up.ask_upstreams(other.peer_address)
+        router._catch_up.fetch_upstreams(other.peer_address)
         for router, other in ((first, second), (second, first))
     ]
     assert news == [False, False], news
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -209,7 +209,7 @@
 @when('a caller posts "{text}" to "{path}" early in a usage window')
 def posts_early(context, text, path):
     (router,) = context.fleet.routers
-    now = router.knowledge.fleet_clock.now()
+    now = router.fleet_state.fleet_clock.now()
     green.sleep_ms(USAGE_WINDOW_MS - now % USAGE_WINDOW_MS + 20)
     context.window = router.serving.usage.window_now()
     fleet_steps.posts(context, text, path)
--- a/src/peridotmast/cli/router.py
+++ b/src/peridotmast/cli/router.py
@@ -42,13 +42,13 @@
         config,
         settings,
         lambda path: ini.load_file(path, pb.RouterFile),
-        router.apply,
+        router.apply_settings,
     )
     tasks = green.Tasks(
         lambda name, exc: log.error('task_failed', task=name, error=repr(exc))
     )
-    tasks.every('settings', _SETTINGS_MS, watch.look)
-    _program.on_reload(watch.look)
+    tasks.every('settings', _SETTINGS_MS, watch.reload_if_changed)
+    _program.on_reload(watch.reload_if_changed)
     log.info('stopping', signal=_program.wait_for_stop())
     router.drain()
     router.stop()
--- a/src/peridotmast/embedded/fleet.py
+++ b/src/peridotmast/embedded/fleet.py
@@ -295,7 +295,7 @@
 
     def broken_promises(self) -> int:
         """Return how often routers found a promise broken in themselves."""
-        return sum(router.checks.broken for router in self.routers)
+        return sum(router.invariants.broken for router in self.routers)
 
     def store_calls(self) -> int:
         """Return the calls of the store by all routers."""
--- a/src/peridotmast/router/rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -12,9 +12,9 @@
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import outage_word
-from peridotmast.router import knowledge as knowledge_
-from peridotmast.router import news
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import fleet_state as fleet_state_
+from peridotmast.router import shared_totals as shared_totals_
+from peridotmast.router import update_beacons
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import quota as quota_
@@ -39,14 +39,14 @@
 teams' limits: two rounds of a large fleet."""
 
 
-class Rounds:
+class BeaconRounds:
     """Fills this router's beacons, as a member of its group or as its head.
 
     Parameters
     ----------
     clock : clock.Clock
         Times what is told for a while.
-    knowledge : knowledge.Knowledge
+    fleet_state : fleet_state.FleetState
         What is known from the store, and of the members.
     quota : quota.Quota
         What is left of the teams' limits.
@@ -54,7 +54,7 @@
         Tracks requests that crash upstreams.
     limits : upstream_limits.UpstreamLimits
         Splits the limits of upstreams between routers.
-    sharing : sharing.Sharing
+    totals : shared_totals.SharedTotals
         What routers count together.
     lease : lease.Lease
         The lease on the duties.
@@ -69,33 +69,33 @@
     def __init__(
         self,
         clock: clock_.Clock,
-        knowledge: knowledge_.Knowledge,
+        fleet_state: fleet_state_.FleetState,
         quota: quota_.Quota,
         crashes: crash_tracker_.CrashTracker,
         limits: upstream_limits_.UpstreamLimits,
-        sharing: sharing_.Sharing,
+        totals: shared_totals_.SharedTotals,
         lease: lease_.Lease,
         outages: outage_word.OutageWord,
         groups: groups_.Groups,
         look: ty.Callable[[], groups_.Look],
     ) -> None:
         self._clock = clock
-        self._knowledge = knowledge
-        self._members = knowledge.members
+        self._fleet_state = fleet_state
+        self._members = fleet_state.members
         self._quota = quota
         self._crashes = crashes
         self._limits = limits
-        self._sharing = sharing
+        self._totals = totals
         self._lease = lease
         self._outages = outages
         self._groups = groups
         self._look = look
-        self._choice = random.Random(knowledge.members.me.name)
+        self._choice = random.Random(fleet_state.members.me.name)
         self._numbers = itertools.count()
         self._untold: dict[str, int] = {}
         self._leads_since = 0
 
-    def due(self) -> beacons_.Round:
+    def next_round(self) -> beacons_.Round:
         """Return the beacons of a round, and the peers that each goes to.
 
         In a small fleet all tell all. In a large one members tell their head
@@ -112,11 +112,11 @@
             return self._head_round(look)
         return self._own_round(look.heads())
 
-    def note_lead(self) -> None:
+    def start_leading(self) -> None:
         """Take note that this router leads its group from now on."""
         self._leads_since = self._clock.now()
 
-    def note_untold(self, peer: str, untold: bool) -> None:
+    def set_needs_levels(self, peer: str, untold: bool) -> None:
         """Take note of whether a peer asks what is left of the limits."""
         now = self._clock.now()
         limit = now - _ASKED_LEVELS_MS
@@ -127,9 +127,9 @@
 
     def _fill(self) -> pb.Beacon:
         """Return what every beacon of a round says."""
-        beacon = news.beacon_of(self._knowledge)
+        beacon = update_beacons.beacon_of(self._fleet_state)
         beacon.wall_ms = self._clock.wall()
-        beacon.outage_felt = self._knowledge.outage.is_felt()
+        beacon.outage_felt = self._fleet_state.outage.is_felt()
         beacon.untold = self._quota.is_untold()
         beacon.crash_suspects.extend(self._crashes.updates())
         beacon.upstream_limits.extend(self._limits.updates())
@@ -143,7 +143,7 @@
     def _own_round(self, peers: list[members_.Peer]) -> beacons_.Round:
         """Yield what this router counts itself, for some peers."""
         beacon = self._fill()
-        beacon.own.CopyFrom(self._sharing.own())
+        beacon.own.CopyFrom(self._totals.own())
         yield from self._with_levels(beacon, peers)
 
     def _with_levels(
@@ -173,7 +173,7 @@
         heard = {peer.member.name for peer in self._members.heard()}
         members = [peer.member.name for peer in look.members()]
         base = self._fill()
-        base.wall_ms = self._knowledge.fleet_clock.now()
+        base.wall_ms = self._fleet_state.fleet_clock.now()
         base.changed.extend(self._members.changed(_CHANGED_MS, _CHANGED_MOST))
         led_ms = self._clock.now() - self._leads_since
         base.others_alive = led_ms < _LED_MS
@@ -182,14 +182,14 @@
             base.lease.CopyFrom(lease)
         beacon = pb.Beacon()
         beacon.CopyFrom(base)
-        beacon.group.CopyFrom(self._sharing.group())
+        beacon.group.CopyFrom(self._totals.group())
         beacon.alive.extend(name for name in members if name in heard)
         beacon.outage_felt |= self._outages.is_heard_of_member()
         yield from self._with_levels(beacon, look.other_heads())
         base.alive.extend(heard)
         base.outage_felt |= self._outages.is_heard()
         peers = {peer.member.name: peer for peer in look.members()}
-        for name, totals in self._sharing.others(list(peers)):
+        for name, totals in self._totals.totals_for_members(list(peers)):
             beacon = pb.Beacon()
             beacon.CopyFrom(base)
             beacon.others.CopyFrom(totals)
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -13,8 +13,8 @@
 from peridotmast import green
 from peridotmast import logs
 from peridotmast import packing
-from peridotmast.router import config_asking
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import config_fetcher
+from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import peer_calls
 from peridotmast import rpc
 from peridotmast.schema import peridotmast_pb2 as pb
@@ -42,7 +42,7 @@
     ----------
     clock : clock.Clock
         Times how long a peer has been ahead.
-    knowledge : knowledge.Knowledge
+    fleet_state : fleet_state.FleetState
         What is known from the store, and of the members.
     peers : rpc.RpcClient
         Calls of peers.
@@ -53,31 +53,35 @@
     def __init__(
         self,
         clock: clock_.Clock,
-        knowledge: knowledge_.Knowledge,
+        fleet_state: fleet_state_.FleetState,
         peers: rpc.RpcClient,
         spawn: ty.Callable[..., None],
     ) -> None:
         self._clock = clock
-        self._knowledge = knowledge
-        self._members = knowledge.members
-        self._config = knowledge.config
-        self._table = knowledge.table
+        self._fleet_state = fleet_state
+        self._members = fleet_state.members
+        self._config = fleet_state.config
+        self._table = fleet_state.table
         self._calls = peer_calls.PeerCalls(
-            clock, peers, knowledge.members.me.name
+            clock, peers, fleet_state.members.me.name
         )
         self._spawn = spawn
-        self.config = config_asking.ConfigAsking(
-            clock, knowledge.config, self._calls, knowledge.members.me, spawn
+        self.config_fetcher = config_fetcher.ConfigFetcher(
+            clock,
+            fleet_state.config,
+            self._calls,
+            fleet_state.members.me,
+            spawn,
         )
         """Gets the configuration from peers."""
         self._behind: dict[str, tuple[ty.Any, int]] = {}
         self._asking: set[str] = set()
-        self._log = logs.get('catch_up', router=knowledge.members.me.name)
+        self._log = logs.get('catch_up', router=fleet_state.members.me.name)
 
     def compare(self, beacon: pb.Beacon) -> None:
         """Ask a peer that is ahead of this router, by its beacon."""
         address = beacon.member.peer_address
-        self.config.hear(
+        self.config_fetcher.record_versions(
             address, beacon.config_version, beacon.document_version
         )
         self.tick()
@@ -85,10 +89,10 @@
             'upstreams',
             self._table.revision,
             beacon.upstreams_revision > self._table.revision,
-            functools.partial(self.ask_upstreams, address),
+            functools.partial(self.fetch_upstreams, address),
         )
 
-    def take_upstreams(self, beacon: pb.Beacon) -> None:
+    def merge_upstreams(self, beacon: pb.Beacon) -> None:
         """Take in the statements on upstreams that came with news.
 
         Where earlier ones are missing here, a peer is asked for all as if
@@ -111,8 +115,8 @@
         self._note(
             'config',
             (self._config.routes.version, self._config.own.version),
-            self.config.is_behind(),
-            self.config.run,
+            self.config_fetcher.is_behind(),
+            self.config_fetcher.fetch_until_current,
         )
 
     def join(self, seeds: ty.Iterable[str]) -> None:
@@ -123,7 +127,7 @@
         starts as a whole over the links of three.
         """
         green.sleep_ms(_STORE_FIRST_MS)
-        if self._knowledge.is_from_store:
+        if self._fleet_state.is_synced_with_store:
             return
         order = list(seeds)
         # Those who start together are told the same ones: asked by all at
@@ -133,14 +137,17 @@
             if address == self._members.me.peer_address:
                 continue
             if self._join_at(address):
-                self.ask_config(address)
-                self.ask_upstreams(address)
+                self.fetch_config(address)
+                self.fetch_upstreams(address)
 
-    def ask_config(self, address: str) -> bool:
+    def fetch_config(self, address: str) -> bool:
         """Take a peer's configuration, if it is newer; say whether it was."""
-        return self.config.ask(address) is config_asking.Answer.NEWS
+        return (
+            self.config_fetcher.fetch_from(address)
+            is config_fetcher.FetchResult.UPDATED
+        )
 
-    def ask_upstreams(self, address: str) -> bool:
+    def fetch_upstreams(self, address: str) -> bool:
         """Take in what a peer knows of upstreams; say whether it was news."""
         request = pb.UpstreamsRequest(since=self._table.revision)
         reply = self._calls.call(address, 'FetchUpstreams', request, _CALL_MS)
@@ -211,7 +218,7 @@
         if known != own:
             since = now
         self._behind[what] = own, since
-        patience = _PATIENCE_MS if self._knowledge.is_watching(what) else 0
+        patience = _PATIENCE_MS if self._fleet_state.is_watching(what) else 0
         if now - since < patience or what in self._asking:
             return
         self._asking.add(what)
@@ -220,6 +227,6 @@
     def _ask(self, what: str, ask: ty.Callable[[], bool]) -> None:
         try:
             if ask():
-                self._knowledge.overtaken(what)
+                self._fleet_state.refresh(what)
         finally:
             self._asking.discard(what)
--- a/src/peridotmast/router/chat_answers.py
+++ b/src/peridotmast/router/chat_answers.py
@@ -9,11 +9,11 @@
 from peridotmast.serving import reply as reply_
 from peridotmast import web
 
-EVENTS = 'text/event-stream'
+EVENT_STREAM = 'text/event-stream'
 """Content type of streams."""
 
 
-def collect(
+def read_body(
     reply: reply_.Reply,
 ) -> ty.Union[bytes, failures.Failure]:
     """Return the whole body of an answer."""
@@ -53,10 +53,10 @@
         """Give back what the answer holds."""
         self._reply.close()
 
-    def whole(self) -> web.Response:
+    def completion(self) -> web.Response:
         """Return the answer in one piece."""
         try:
-            body = collect(self._reply)
+            body = read_body(self._reply)
         finally:
             self.close()
         if isinstance(body, failures.Failure):
@@ -80,7 +80,7 @@
         response.headers.append(('X-Request-Id', self._id))
         return response
 
-    def frames(self) -> ty.Iterator[bytes]:
+    def event_stream(self) -> ty.Iterator[bytes]:
         """Yield the answer as server-sent events; not for one that failed."""
         parts = self._reply.body
         if isinstance(parts, bytes):
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -24,7 +24,7 @@
 from peridotmast import web
 from peridotmast.wire import caller_connection
 
-MAX_ID = 120
+MAX_REQUEST_ID_LENGTH = 120
 """Longest request id of a caller."""
 
 PRIORITIES = {'interactive': 0, 'standard': 1, 'draft': 2}
@@ -73,7 +73,7 @@
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
-    def routes(self, app: web.WebApp) -> None:
+    def add_routes(self, app: web.WebApp) -> None:
         """Add the handlers to `app`."""
         app.route('POST', '/v1/chat/completions', self._chat)
         app.route('POST', '/v1/services/([^/]+)/([^/]+)', self._service)
@@ -89,10 +89,14 @@
             return web.from_failure(reply, call.id, _status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
-            return answer.whole()
+            return answer.completion()
         headers = [('X-Request-Id', call.id), ('Cache-Control', 'no-cache')]
         return web.Response(
-            200, answer.frames(), chat_answers.EVENTS, headers, answer.close
+            200,
+            answer.event_stream(),
+            chat_answers.EVENT_STREAM,
+            headers,
+            answer.close,
         )
 
     def _service(
@@ -105,7 +109,7 @@
         if isinstance(reply, failures.Failure):
             return web.from_failure(reply, call.id, _status(reply))
         try:
-            body = chat_answers.collect(reply)
+            body = chat_answers.read_body(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
@@ -197,10 +201,12 @@
         """Return what both kinds of request have in common."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
-            len(request_id) > MAX_ID or not _ID.fullmatch(request_id)
+            len(request_id) > MAX_REQUEST_ID_LENGTH
+            or not _ID.fullmatch(request_id)
         ):
             return failures.invalid(
-                'request_id', f'at most {MAX_ID} of A-Z a-z 0-9 . _ : -'
+                'request_id',
+                f'at most {MAX_REQUEST_ID_LENGTH} of A-Z a-z 0-9 . _ : -',
             )
         work = body.work or req.header('X-Work') or 'standard'
         if work not in PRIORITIES:
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -60,7 +60,7 @@
         self._at = clock.now()
         self._log = logs.get('config_copies', router=router)
 
-    def give(self, req: pb.ConfigRequest) -> pb.ConfigReply:
+    def fetch(self, req: pb.ConfigRequest) -> pb.ConfigReply:
         """Return what is newer than the caller's, or who else has it."""
         routes, own = self._config.routes, self._config.own
         reply = pb.ConfigReply(
--- a/src/peridotmast/router/config_asking.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -65,12 +65,12 @@
 """Most that a packed text may unpack to; the store takes values of 1 MB."""
 
 
-class Answer(enum.Enum):
+class FetchResult(enum.Enum):
     """What came of asking a peer."""
 
-    NEWS = 'news'
+    UPDATED = 'news'
     """Something newer is in force now."""
-    NOTHING = 'nothing'
+    UNCHANGED = 'nothing'
     """It has nothing newer, or gives it to others first."""
     FAILED = 'failed'
     """It did not answer, or with what is no configuration."""
@@ -120,7 +120,7 @@
         return self.versions if now < self.until else _NONE
 
 
-class ConfigAsking:
+class ConfigFetcher:
     """Asks those that are ahead until nobody is.
 
     That something newer is in force elsewhere is believed until it is in
@@ -163,7 +163,9 @@
         self._asks_store = False
         self._log = logs.get('config_asking', router=me.name)
 
-    def hear(self, address: str, version: int, document: int) -> None:
+    def record_versions(
+        self, address: str, version: int, document: int
+    ) -> None:
         """Take in which versions a peer has."""
         now = self._clock.now()
         has = _Versions(version, document)
@@ -180,14 +182,14 @@
         """Return whether something newer is believed to be in force."""
         return self._newest.is_over(self._in_force())
 
-    def run(self) -> bool:
+    def fetch_until_current(self) -> bool:
         """Ask until nobody is ahead; return whether there was any news."""
         before = self._in_force()
         store_at = self._next_store()
         while self._newest.is_over(self._floor()):
             address = self._choose()
             if address:
-                self._spawn('ask_peer', self.ask, address)
+                self._spawn('ask_peer', self.fetch_from, address)
             if self._clock.now() >= store_at and not self._asks_store:
                 self._spawn('ask_store', self._ask_store)
                 store_at = self._next_store()
@@ -196,18 +198,20 @@
             green.sleep_ms(pause * self._choice.uniform(0.5, 1.5))
         return self._in_force().is_over(before)
 
-    def ask(self, address: str) -> Answer:
+    def fetch_from(self, address: str) -> FetchResult:
         """Take over what one peer has that is newer."""
         reply = self._call(address)
         if isinstance(reply, failures.Failure):
             self._leave_alone(address, _AFTER_FAILURE_MS)
-            return Answer.FAILED
+            return FetchResult.FAILED
         for holder in filter(addresses.is_usable, reply.holders):
-            self.hear(holder, reply.config_version, reply.document_version)
+            self.record_versions(
+                holder, reply.config_version, reply.document_version
+            )
         put_off = min(_MOST_PUT_OFF_MS, reply.retry_after_ms)
         self._leave_alone(address, put_off or _AFTER_NOTHING_MS)
         answer = self._take(reply, address)
-        if answer is Answer.FAILED:
+        if answer is FetchResult.FAILED:
             self._leave_alone(address, _AFTER_FAILURE_MS)
         return answer
 
@@ -260,7 +264,7 @@
         finally:
             self._calls.pop(address, None)
 
-    def _take(self, reply: pb.ConfigReply, address: str) -> Answer:
+    def _take(self, reply: pb.ConfigReply, address: str) -> FetchResult:
         """Put into force what a peer gave."""
         source = f'peer {address}'
         news = False
@@ -275,12 +279,12 @@
                 )
         except (ValueError, RecursionError) as exc:
             self._log.error('peer_garbled', peer=address, error=str(exc)[:200])
-            return Answer.FAILED
+            return FetchResult.FAILED
         if not news and (routes or own):
             self._give_up(
                 _Versions(reply.config_version, reply.document_version)
             )
-        return Answer.NEWS if news else Answer.NOTHING
+        return FetchResult.UPDATED if news else FetchResult.UNCHANGED
 
     def _give_up(self, found: _Versions) -> None:
         """Ask no more for a while for a version that can't be read here."""
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -57,7 +57,7 @@
 in which an upstream that leaves may still get work."""
 
 
-class Knowledge:
+class FleetState:
     """The platform's store, and what is known from it.
 
     Parameters
@@ -125,16 +125,16 @@
         self._spawn: ty.Callable[..., None] = lambda name, func: None
 
     @property
-    def is_enough(self) -> bool:
+    def has_config_and_upstreams(self) -> bool:
         """Whether it is known what to do with callers."""
         return bool(self.config.routes.version and self.table.all())
 
     @property
-    def is_from_store(self) -> bool:
+    def is_synced_with_store(self) -> bool:
         """Whether the store has told of platform and fleet, all of it."""
         return self._is_entered and all(w.is_listed for w in self._watches)
 
-    def begin(
+    def start(
         self,
         tasks: green.Tasks,
         is_outage_felt: ty.Callable[[], bool],
@@ -185,7 +185,7 @@
         """
         return all(map(self.watchers.is_due, _KINDS[what]))
 
-    def overtaken(self, what: str) -> None:
+    def refresh(self, what: str) -> None:
         """Ask the store anew: a peer had news that no watch has brought.
 
         Watches of other kinds go on: it was not theirs to bring.
@@ -199,7 +199,7 @@
             if watch.kind in _KINDS[what]:
                 watch.overtaken()
 
-    def doubt_store(self) -> None:
+    def check_store(self) -> None:
         """Find out whether the store answers here: a peer gets no answer.
 
         Nothing that waits here need ever fail, or be answered.
--- a/src/peridotmast/router/faces.py
+++ b/src/peridotmast/router/http_servers.py
@@ -11,7 +11,7 @@
 from peridotmast.platform import callers
 from peridotmast.platform import directory as directory_
 from peridotmast.router import chat_api
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import serving as serving_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast import web
@@ -22,7 +22,7 @@
 lost is left alone after that, and each question costs about a millisecond."""
 
 
-class Faces:
+class HttpServers:
     """Listens where the settings say, and hands requests to the gateway.
 
     Parameters
@@ -31,7 +31,7 @@
         Checked settings.
     clock : clock.Clock
         Times requests.
-    knowledge : knowledge.Knowledge
+    fleet_state : fleet_state.FleetState
         Configuration and members.
     serving : serving.Serving
         Answers requests.
@@ -43,36 +43,36 @@
         self,
         file: pb.RouterFile,
         clock: clock_.Clock,
-        knowledge: knowledge_.Knowledge,
+        fleet_state: fleet_state_.FleetState,
         serving: serving_.Serving,
         registry: prometheus_client.CollectorRegistry,
     ) -> None:
         cfg = file.router
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._registry = registry
         self._limits = server_.ServerLimits(write_ms=cfg.write_ms)
         face = callers.PlatformCallers(
             clock, serving.gateway, self._limits, serving.decisions
         )
-        self.front = server_.HttpServer(cfg.listen, face, self._limits)
+        self.platform = server_.HttpServer(cfg.listen, face, self._limits)
         """Where the platform's callers connect."""
-        self.front.retry_ms = serving.gateway.retry_ms
+        self.platform.retry_ms = serving.gateway.retry_ms
         self.chat: ty.Optional[server_.HttpServer] = None
         """Where the chat API is served, if anywhere."""
         if cfg.chat_listen:
             app = self._own_app()
             chat_api.ChatApi(
                 clock,
-                knowledge.config,
+                fleet_state.config,
                 serving.gateway,
-                knowledge.members,
+                fleet_state.members,
                 int(_RESOLVE_TTL_S * 1000),
-            ).routes(app)
+            ).add_routes(app)
             self.chat = server_.HttpServer(cfg.chat_listen, app)
         directory = directory_.PlatformDirectory(
-            knowledge.members, _RESOLVE_TTL_S
+            fleet_state.members, _RESOLVE_TTL_S
         )
-        self.others = {
+        self.auxiliary = {
             name: server_.HttpServer(address, application)
             for name, address, application in (
                 ('ready', cfg.ready_listen, directory.ready),
@@ -95,7 +95,7 @@
 
     def close_idle(self) -> None:
         """Close kept connections, and the others after their answers."""
-        self.front.close_idle()
+        self.platform.close_idle()
         if self.chat is not None:
             self.chat.close_idle()
 
@@ -109,7 +109,7 @@
 
     def _servers(self) -> list[server_.HttpServer]:
         chat = [self.chat] if self.chat else []
-        return [self.front, *chat, *self.others.values()]
+        return [self.platform, *chat, *self.auxiliary.values()]
 
     def _own_app(self) -> web.WebApp:
         app = web.WebApp('http')
@@ -125,7 +125,7 @@
         )
 
     def _show_health(self, req: web.Request) -> web.Response:
-        me, config = self._knowledge.members.me, self._knowledge.config
+        me, config = self._fleet_state.members.me, self._fleet_state.config
         serving = me.ready and me.state == members_.ALIVE
         body = {
             'serving': serving,
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -168,7 +168,7 @@
     ) -> pb.RequestShowReply:
         """Tell what all routers decided on a request."""
         self._allow(caller, READ)
-        reply = self.own_steps(req)
+        reply = self.local_steps(req)
         for other in self._members.heard():
             theirs = self._peers.call(
                 other.member.peer_address, 'FetchRequest', req, _CALL_MS
@@ -186,7 +186,7 @@
         plan = event_plan.plan(self._feed.config, self._clock.wall())
         return pb.PlanReply(lines=event_plan.explain(plan))
 
-    def own_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
+    def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
         """Return what this router decided on a request."""
         reply = pb.RequestShowReply()
         for at, text in self._decisions.of(req.request_id):
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -32,7 +32,7 @@
         The configuration in force.
     table : upstreams.UpstreamTable
         The upstreams.
-    own_steps : callable
+    local_steps : callable
         Returns what this router decided on a request.
     tls : pb.TlsSettings
         Says by which name routers are told.
@@ -44,7 +44,7 @@
         members: members_.Members,
         config: config_feed_.ConfigFeed,
         table: upstreams_.UpstreamTable,
-        own_steps: ty.Callable[[pb.RequestShowRequest], pb.RequestShowReply],
+        local_steps: ty.Callable[[pb.RequestShowRequest], pb.RequestShowReply],
         tls: pb.TlsSettings,
     ) -> None:
         self._members = members
@@ -52,7 +52,7 @@
             config, clock, members.me.name
         )
         self._table = table
-        self._own_steps = own_steps
+        self._local_steps = local_steps
         self._tls = tls
 
     def Join(  # noqa: N802
@@ -72,7 +72,7 @@
     ) -> pb.ConfigReply:
         """Give what the caller lacks of the configuration in force."""
         self._check(caller)
-        return self._copies.give(req)
+        return self._copies.fetch(req)
 
     def FetchUpstreams(  # noqa: N802
         self, req: pb.UpstreamsRequest, caller: rpc.Caller
@@ -89,7 +89,7 @@
     ) -> pb.RequestShowReply:
         """Give what this router decided on a request."""
         self._check(caller)
-        return self._own_steps(req)
+        return self._local_steps(req)
 
     def _check(self, caller: rpc.Caller) -> None:
         """Raise `rpc.Denied` where the caller is no router."""
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -11,13 +11,13 @@
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import outage_word
 from peridotmast import logs
-from peridotmast.router import borrowing as borrowing_
+from peridotmast.router import beacon_rounds as beacon_rounds_
 from peridotmast.router import catch_up as catch_up_
-from peridotmast.router import knowledge as knowledge_
-from peridotmast.router import news as news_
-from peridotmast.router import rounds as rounds_
+from peridotmast.router import fleet_state as fleet_state_
+from peridotmast.router import quota_borrowing as quota_borrowing_
 from peridotmast.router import serving as serving_
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import shared_totals as shared_totals_
+from peridotmast.router import update_beacons as update_beacons_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import quota as quota_
 from peridotmast.serving import upstream_view
@@ -50,11 +50,11 @@
     ----------
     clock : clock.Clock
         Times silences and words of outages.
-    knowledge : knowledge.Knowledge
+    fleet_state : fleet_state.FleetState
         What is known from the store, and of the members.
     serving : serving.Serving
         What is counted on the way of requests.
-    sharing : sharing.Sharing
+    totals : shared_totals.SharedTotals
         What routers count together.
     lease : lease.Lease
         The lease on the duties.
@@ -65,36 +65,36 @@
     def __init__(
         self,
         clock: clock_.Clock,
-        knowledge: knowledge_.Knowledge,
+        fleet_state: fleet_state_.FleetState,
         serving: serving_.Serving,
-        sharing: sharing_.Sharing,
+        totals: shared_totals_.SharedTotals,
         lease: lease_.Lease,
         catch_up: catch_up_.CatchUp,
     ) -> None:
         self._clock = clock
-        self._knowledge = knowledge
-        self._members = members = knowledge.members
-        self._config = knowledge.config
-        self._table = knowledge.table
+        self._fleet_state = fleet_state
+        self._members = members = fleet_state.members
+        self._config = fleet_state.config
+        self._table = fleet_state.table
         self._serving = serving
         self._lease = lease
         self._catch_up = catch_up
-        self.news = news_.News(knowledge, catch_up)
+        self.updates = update_beacons_.UpdateBeacons(fleet_state, catch_up)
         """What this router tells all others at once."""
-        self._outages = outage_word.OutageWord(clock, knowledge.doubt_store)
-        self._sharing = sharing
+        self._outages = outage_word.OutageWord(clock, fleet_state.check_store)
+        self._totals = totals
         self._groups = groups_.Groups(members)
-        self.borrowing = borrowing_.Borrowing(
+        self.borrowing = quota_borrowing_.QuotaBorrowing(
             members, serving.quota, self._look_if_split
         )
         """What heads lend of the teams' limits."""
-        self.rounds = rounds_.Rounds(
+        self.rounds = beacon_rounds_.BeaconRounds(
             clock,
-            knowledge,
+            fleet_state,
             serving.quota,
             serving.crashes,
             serving.limits,
-            sharing,
+            totals,
             lease,
             self._outages,
             self._groups,
@@ -104,14 +104,14 @@
         self._gaps = gaps_.Gaps(clock, serving.quota.worth)
         self._role = _Role(False, False, 1)
         self._group_heard: dict[int, int] = {}
-        serving.quota.routers = serving.budget.routers = members.counted
-        serving.quota.knows_late = self.knows_late
-        serving.crashes.relays_updates = self.knows_late
+        serving.quota.routers = serving.retry_budget.routers = members.counted
+        serving.quota.knows_late = self.has_delayed_totals
+        serving.crashes.relays_updates = self.has_delayed_totals
         self._followed = '', -_GROUP_SILENT_MS
         self._looked: tuple[ty.Optional[groups_.Look], int] = None, 0
         self._log = logs.get('peering', router=members.me.name)
 
-    def load_round(self, view: upstream_view.UpstreamView) -> beacons_.Round:
+    def load_beacons(self, view: upstream_view.UpstreamView) -> beacons_.Round:
         """Return news of this router's work at an upstream, and for whom.
 
         In a large fleet there are too many to tell each other.
@@ -126,22 +126,24 @@
         )
         return [(pb.Beacon(load_news=news), self._members.heard())]
 
-    def serving_round(self) -> beacons_.Round:
+    def serving_beacons(self) -> beacons_.Round:
         """Return updates on crashes and upstreams' limits, for all peers."""
         crashes, limits = self._serving.crashes, self._serving.limits
-        beacon = self.news.fill_serving(crashes.updates(), limits.updates())
+        beacon = self.updates.build_serving(
+            crashes.updates(), limits.updates()
+        )
         return [(beacon, self._members.peers())]
 
-    def take(self, beacon: pb.Beacon) -> None:
+    def receive(self, beacon: pb.Beacon) -> None:
         """Take in a peer's beacon."""
         if beacon.HasField('load_news'):
             self._take_load(beacon.load_news)
             return
         if beacon.HasField('limit_ask'):
-            self.borrowing.take_ask(beacon.limit_ask)
+            self.borrowing.handle_request(beacon.limit_ask)
             return
         if beacon.HasField('limit_answer'):
-            self.borrowing.take_answer(beacon.limit_answer)
+            self.borrowing.handle_answer(beacon.limit_answer)
             return
         member = beacon.member
         if not self._members.hear(member):
@@ -151,7 +153,7 @@
         self._serving.crashes.hear(beacon.crash_suspects)
         self._serving.limits.hear(beacon.upstream_limits)
         if beacon.news_only:
-            self.news.take(beacon)
+            self.updates.receive(beacon)
             return
         if beacon.HasField('other'):
             self._members.learn(beacon.other)
@@ -160,7 +162,7 @@
         self._take_totals(beacon)
         if beacon.outage_felt:
             self._outages.hear(member.name, beacon.HasField('own'))
-        self.rounds.note_untold(member.name, beacon.untold)
+        self.rounds.set_needs_levels(member.name, beacon.untold)
         if beacon.levels:
             self._serving.quota.hear_levels(
                 {level.team: level.tokens for level in beacon.levels}
@@ -175,7 +177,9 @@
         self._serving.limits.set_routers(self._members.counted_names())
         quota.share = (1 + len(heard)) / self._members.counted()
         quota.told_ms = (
-            quota_.TOLD_LATE_MS if self.knows_late() else quota_.TOLD_MS
+            quota_.TOLD_LATE_MS
+            if self.has_delayed_totals()
+            else quota_.TOLD_MS
         )
         quota.tick()
         limit = self._clock.now() - _GROUP_SILENT_MS
@@ -185,8 +189,8 @@
         self._outages.forget(limit)
         look, split = self._look(), self._groups.is_split()
         if split:
-            self._sharing.reckon(self._gaps.tick(self._shares(look)))
-        self._sharing.forget(
+            self._totals.add_estimates(self._gaps.tick(self._shares(look)))
+        self._totals.prune(
             {p.member.name for p in self._members.peers()},
             look.members_heard()
             if split
@@ -195,14 +199,14 @@
             split and not look.leads,
         )
 
-    def knows_late(self) -> bool:
+    def has_delayed_totals(self) -> bool:
         """Return whether others' work is known later than it lasts."""
         return self._groups.is_split()
 
     def is_outage_felt(self) -> bool:
         """Return whether what is missing may be missing due to an outage."""
         is_heard = self._outages.is_heard()
-        return is_heard or self._knowledge.outage.is_felt()
+        return is_heard or self._fleet_state.outage.is_felt()
 
     def _take_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
@@ -214,13 +218,13 @@
     def _take_totals(self, beacon: pb.Beacon) -> None:
         """Take in what a peer counts, as far as it is the one to tell it."""
         name, run = beacon.member.name, beacon.member.incarnation
-        clock = self._knowledge.fleet_clock
+        clock = self._fleet_state.fleet_clock
         split = self._groups.is_split()
         look = self._look()
         if beacon.HasField('own'):
             clock.hear(name, beacon.wall_ms)
             counted = not split or (look.leads and look.is_member(name))
-            self._sharing.hear(name, run, beacon.own, counted)
+            self._totals.update_peer(name, run, beacon.own, counted)
         if beacon.HasField('group'):
             clock.hear(name, beacon.wall_ms)
             group = look.group_of(name)
@@ -228,7 +232,7 @@
             told_of = () if beacon.others_alive else look.names_in(group)
             self._members.hear_some(beacon.alive, told_of)
             counted = split and look.leads
-            self._sharing.hear_group(name, run, group, beacon.group, counted)
+            self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
                 self._close_gap(_source(group), (name, run), look)
         if beacon.HasField('others') and self._follows(name):
@@ -237,7 +241,7 @@
             counted = split and not look.leads
             if counted:
                 clock.follow(beacon.wall_ms)
-            self._sharing.follow(name, run, beacon.others, counted)
+            self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
                 self._close_gap(_FLEET, (name, run), look)
 
@@ -246,7 +250,7 @@
     ) -> None:
         """Take note that a source is told of."""
         share = self._shares(look).get(source, 0.0)
-        self._sharing.reckon(self._gaps.hear(source, teller, share))
+        self._totals.add_estimates(self._gaps.hear(source, teller, share))
 
     def _shares(self, look: groups_.Look) -> dict[str, float]:
         """Return the parts of the fleet that others tell this router of.
@@ -302,16 +306,16 @@
         role = _Role(split, split and look.leads, look.count if split else 1)
         known, self._role = self._role, role
         if role.leads and not known.leads:
-            self.rounds.note_lead()
+            self.rounds.start_leading()
         if role.leads or not split:
-            self._knowledge.fleet_clock.lead()
+            self._fleet_state.fleet_clock.lead()
         if role.groups != known.groups:
             everybody = not split
-            self._sharing.regroup(
+            self._totals.retain_members(
                 lambda name: everybody or look.is_member(name)
             )
         if role != known:
-            self._sharing.switch()
+            self._totals.change_source()
             self._gaps.begin(self._shares(look) if split else ())
             self._log.info(
                 'role',
--- a/src/peridotmast/router/borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -16,7 +16,7 @@
 be told to come back."""
 
 
-class Borrowing:
+class QuotaBorrowing:
     """Asks this router's head for tokens of a team, or lends them as a head.
 
     A router that has just started knows only its own part of what a team may
@@ -49,7 +49,7 @@
         ] = lambda beacon, peers: None
         """Sends a beacon."""
 
-    def take(self, team: str, tokens: int) -> int:
+    def acquire(self, team: str, tokens: int) -> int:
         """Let a request pass, or say how long to wait, in ms (0: passed).
 
         Asks the head where that is of use, and waits for its answer.
@@ -63,7 +63,7 @@
         # What is left may have been told meanwhile.
         return self._quota.take(team, tokens)
 
-    def take_ask(self, ask: pb.LimitAsk) -> None:
+    def handle_request(self, ask: pb.LimitAsk) -> None:
         """Answer a member of this router's group, if it is the head."""
         peer, look = self._members.get(ask.router), self._look()
         if peer is None or look is None or not look.leads:
@@ -76,7 +76,7 @@
         )
         self.send(pb.Beacon(limit_answer=answer), [peer])
 
-    def take_answer(self, answer: pb.LimitAnswer) -> None:
+    def handle_answer(self, answer: pb.LimitAnswer) -> None:
         """Take in what the head says to the ask with a number."""
         waiting = self._waiting.get(answer.number)
         is_mine = answer.incarnation == self._members.me.incarnation
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -22,20 +22,20 @@
 from peridotmast.platform import cloud_api
 from peridotmast.router import catch_up as catch_up_
 from peridotmast.router import drain as drain_
-from peridotmast.router import faces as faces_
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import fleet_state as fleet_state_
+from peridotmast.router import http_servers as http_servers_
 from peridotmast.router import operator_service
 from peridotmast.router import peer_service
 from peridotmast.router import peering as peering_
 from peridotmast.router import serving as serving_
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import shared_totals as shared_totals_
 from peridotmast import rpc
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.schema import peridotmast_pb2_grpc as pb_grpc
 from peridotmast.serving import upstream_view
 from peridotmast import tracing
 
-LEASE = 'duties'
+LEASE_NAME = 'duties'
 """Name of the lease on all duties."""
 
 _LEASE_SLACK_MS = 1000
@@ -77,7 +77,7 @@
         self.registry = prometheus_client.CollectorRegistry()
         """Metrics of this router."""
         prometheus_client.ProcessCollector(registry=self.registry)
-        self.checks = invariants_.Invariants(
+        self.invariants = invariants_.Invariants(
             self.registry, self.cfg.fatal_invariants
         )
         """Promises checked while it runs."""
@@ -85,30 +85,32 @@
         self._is_serving_tell_due = False
         self.is_running = False
         """Whether it was started and not stopped yet."""
-        self.knowledge = knowledge_.Knowledge(file, self._clock, self.checks)
+        self.fleet_state = fleet_state_.FleetState(
+            file, self._clock, self.invariants
+        )
         """What it knows of platform and fleet."""
-        self.store = self.knowledge.store
+        self.store = self.fleet_state.store
         """The platform's store."""
-        self.members = self.knowledge.members
+        self.members = self.fleet_state.members
         """The routers, this one too."""
-        self.table = self.knowledge.table
+        self.table = self.fleet_state.table
         """The upstreams."""
-        self.config = self.knowledge.config
+        self.config = self.fleet_state.config
         """The configuration in force."""
         self.serving = serving_.Serving(
             file,
             self._clock,
-            self.knowledge,
+            self.fleet_state,
             self.registry,
-            self.checks,
+            self.invariants,
             self._tracer,
             self._tasks.spawn,
         )
         """The parts on a request's way."""
         self._make_peering()
         self._make_duties()
-        self._faces = faces_.Faces(
-            file, self._clock, self.knowledge, self.serving, self.registry
+        self._http_servers = http_servers_.HttpServers(
+            file, self._clock, self.fleet_state, self.serving, self.registry
         )
         self.config.listen(self._configure)
         self.table.listen(lambda view: self._see_ready())
@@ -121,7 +123,7 @@
         me = self.members.me
         self.lease = lease_.Lease(
             self.store,
-            LEASE,
+            LEASE_NAME,
             cfg.name,
             ids.owner_of(cfg.name, me.incarnation),
             self._file.bounds.lease_ms + _LEASE_SLACK_MS,
@@ -130,13 +132,13 @@
         )
         """The lease on all duties."""
         self._catch_up = catch_up_.CatchUp(
-            self._clock, self.knowledge, self._peers, self._tasks.spawn
+            self._clock, self.fleet_state, self._peers, self._tasks.spawn
         )
         self._peering = peering_.Peering(
             self._clock,
-            self.knowledge,
+            self.fleet_state,
             self.serving,
-            sharing_.Sharing(self.serving, self.table),
+            shared_totals_.SharedTotals(self.serving, self.table),
             self.lease,
             self._catch_up,
         )
@@ -145,24 +147,26 @@
         self.beacons = beacons_.Beacons(
             f'{host}:{port}',
             self.members,
-            self._peering.rounds.due,
-            self._peering.news.fill,
-            self._peering.take,
+            self._peering.rounds.next_round,
+            self._peering.updates.build,
+            self._peering.receive,
             _secret(tls),
         )
         """What the routers tell each other."""
         self._peering.borrowing.send = self.beacons.send
-        self.serving.gateway.take = self._peering.borrowing.take
-        self.serving.gateway.is_behind = self._catch_up.config.is_behind
-        self.serving.places.tell = self._tell_load
-        self.serving.places.knows_late = self._peering.knows_late
+        self.serving.gateway.take = self._peering.borrowing.acquire
+        self.serving.gateway.is_behind = (
+            self._catch_up.config_fetcher.is_behind
+        )
+        self.serving.placement.tell = self._tell_load
+        self.serving.placement.knows_late = self._peering.has_delayed_totals
         self.serving.crashes.tell = self._tell_serving_soon
         self.serving.limits.tell = self._tell_serving_soon
         self.serving.crashes.may_retry = self.lease.may_act
 
     def _make_duties(self) -> None:
         platform, bounds = self._file.platform, self._file.bounds
-        fleet_now = self.knowledge.fleet_clock.now
+        fleet_now = self.fleet_state.fleet_clock.now
         self._cloud = cloud_api.PlatformCloud(
             platform.cloud,
             platform.timeout_ms,
@@ -178,14 +182,14 @@
             self._clock,
             fleet_now,
         )
-        scaler.needs.knows_late = self._peering.knows_late
+        scaler.needs.knows_late = self._peering.has_delayed_totals
         reporter = usage_reporter.UsageReporter(
             self.serving.usage,
             self._cloud,
             self.store,
             int(bounds.usage_window_s * 1000),
             fleet_now,
-            self.checks,
+            self.invariants,
         )
         self._holder = holder_.DutyHolder(
             self.lease,
@@ -203,12 +207,14 @@
     @property
     def address(self) -> ids.Address:
         """Address of the platform's callers."""
-        return self._faces.front.address
+        return self._http_servers.platform.address
 
     @property
     def chat_address(self) -> str:
         """Address of the chat API; empty where there is none."""
-        return self._faces.chat.address if self._faces.chat else ''
+        return (
+            self._http_servers.chat.address if self._http_servers.chat else ''
+        )
 
     @property
     def peer_address(self) -> str:
@@ -217,7 +223,7 @@
 
     def address_of(self, what: str) -> str:
         """Return the address of ``ready``, ``directory`` or ``metrics``."""
-        return self._faces.others[what].address
+        return self._http_servers.auxiliary[what].address
 
     def start(self) -> None:
         """Begin to learn and to serve.
@@ -236,7 +242,7 @@
         )
         self.beacons.start()
         self.lease.bind(place.of(self.beacons.address))
-        self._faces.start()
+        self._http_servers.start()
         self._start_tasks()
         self.is_running = True
         self._log.info(
@@ -253,7 +259,7 @@
             self._clock,
             self.members,
             self._announce,
-            self._faces.close_idle,
+            self._http_servers.close_idle,
             self.serving.gateway,
             self._holder.release,
             int(self._file.bounds.grace_s * 1000),
@@ -265,7 +271,7 @@
             return
         self.is_running = False
         self._tasks.stop()
-        self._faces.stop()
+        self._http_servers.stop()
         self.beacons.stop()
         self._rpc.stop()
         self._peers.close()
@@ -274,13 +280,13 @@
         self._tracer.close()
         self._log.info('stopped')
 
-    def apply(self, file: pb.RouterFile) -> None:
+    def apply_settings(self, file: pb.RouterFile) -> None:
         """Take changed settings in; addresses listened on stay as they are."""
         self._file = file
         self.store.address = file.platform.objects
         self._cloud.address = file.platform.cloud
         self.cfg = file.router
-        self.serving.apply(file)
+        self.serving.apply_settings(file)
 
     def _start_rpc(self) -> None:
         operators = operator_service.OperatorService(
@@ -300,7 +306,7 @@
             self.members,
             self.config,
             self.table,
-            operators.own_steps,
+            operators.local_steps,
             self._file.tls,
         )
         self._rpc.start(
@@ -310,7 +316,7 @@
 
     def _start_tasks(self) -> None:
         every = self._tasks.every
-        self.knowledge.begin(
+        self.fleet_state.start(
             self._tasks, self._peering.is_outage_felt, self._tell_news
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
@@ -326,11 +332,11 @@
 
     def _tell_heirs(self, heirs: ty.Sequence[pb.Member]) -> None:
         found = [self.members.get(member.name) for member in heirs]
-        beacon = self._peering.news.fill_lease(self.lease.hint())
+        beacon = self._peering.updates.build_lease(self.lease.hint())
         self.beacons.send(beacon, [peer for peer in found if peer])
 
     def _tell_load(self, view: upstream_view.UpstreamView) -> None:
-        for beacon, peers in self._peering.load_round(view):
+        for beacon, peers in self._peering.load_beacons(view):
             self.beacons.send(beacon, peers)
 
     def _tell_serving_soon(self) -> None:
@@ -341,22 +347,22 @@
 
     def _tell_serving(self) -> None:
         self._is_serving_tell_due = False
-        for beacon, peers in self._peering.serving_round():
+        for beacon, peers in self._peering.serving_beacons():
             self.beacons.send(beacon, peers)
 
     def _tell_news(self) -> None:
         """Tell those who don't watch that there is news."""
-        if not self.knowledge.watchers.all_watch():
+        if not self.fleet_state.watchers.all_watch():
             self.beacons.send_news()
 
     def _configure(self, config: pb.Config) -> None:
         if self.config.routes.version:
             self.serving.gateway.configure(config)
-        self._faces.set_limits(config.limits)
+        self._http_servers.set_limits(config.limits)
         self._see_ready()
 
     def _keep_house(self) -> None:
-        self.knowledge.tick()
+        self.fleet_state.tick()
         self._peering.tick()
         self._catch_up.tick()
         self.serving.tick()
@@ -365,7 +371,7 @@
     def _see_ready(self) -> None:
         """Take callers as soon as it is known what to do with them."""
         me = self.members.me
-        knows = self.knowledge.is_enough
+        knows = self.fleet_state.has_config_and_upstreams
         if knows and not me.ready and me.state == members_.ALIVE:
             self.members.change_me(ready=True)
             self._announce()
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -10,7 +10,7 @@
 from peridotmast import invariants as invariants_
 from peridotmast.platform import dialect
 from peridotmast.platform import engine_control
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import decisions as decisions_
@@ -42,7 +42,7 @@
         Checked settings.
     clock : clock.Clock
         Times everything.
-    knowledge : knowledge.Knowledge
+    fleet_state : fleet_state.FleetState
         Configuration and upstreams.
     registry : prometheus_client.CollectorRegistry
         Metrics.
@@ -58,7 +58,7 @@
         self,
         file: pb.RouterFile,
         clock: clock_.Clock,
-        knowledge: knowledge_.Knowledge,
+        fleet_state: fleet_state_.FleetState,
         registry: prometheus_client.CollectorRegistry,
         checks: invariants_.Invariants,
         tracer: tracing.Tracing,
@@ -71,14 +71,14 @@
         self.decisions = decisions_.Decisions(clock, cfg.name)
         """What was decided on each request."""
         self.usage = usage_.Usage(
-            knowledge.fleet_clock.now, int(bounds.usage_window_s * 1000)
+            fleet_state.fleet_clock.now, int(bounds.usage_window_s * 1000)
         )
         """Requests that upstreams began."""
         self.quota = quota_.Quota(clock)
         """The teams' limits."""
         self.demand = demand_.Demand(clock)
         """What the services are asked for."""
-        self.budget = retry_budget.RetryBudget(
+        self.retry_budget = retry_budget.RetryBudget(
             clock,
             bounds.budget_ratio,
             int(bounds.budget_window_s * 1000),
@@ -101,8 +101,8 @@
             self.limits,
         )
         self.crashes.on_block = self._sender.cancel_attempts
-        self.places = placement.Placement(
-            knowledge.table,
+        self.placement = placement.Placement(
+            fleet_state.table,
             placement.POLICIES[cfg.policy](cfg.failure_domain),
             cfg.name,
             self.limits,
@@ -111,8 +111,8 @@
         self._relay = stream_relay.StreamRelay(
             clock,
             self._sender,
-            self.places,
-            self.budget,
+            self.placement,
+            self.retry_budget,
             self.crashes,
             self._metrics,
             self.decisions,
@@ -120,14 +120,14 @@
         mover = mover_.Mover(
             clock,
             self._relay,
-            self.places,
+            self.placement,
             engine_control.EngineControl(_MOVE_MS),
             self.decisions,
             spawn,
             bounds.drain_ms,
         )
-        knowledge.table.listen(mover.on_change)
-        knowledge.table.listen_ends(self._sender.run_ended)
+        fleet_state.table.listen(mover.on_change)
+        fleet_state.table.listen_ends(self._sender.run_ended)
         self.gateway = gateway_.Gateway(
             clock,
             self._make_desk(),
@@ -146,11 +146,11 @@
         self.crashes.tick()
         self.limits.tick()
 
-    def apply(self, file: pb.RouterFile) -> None:
+    def apply_settings(self, file: pb.RouterFile) -> None:
         """Take changed settings in."""
         bounds = file.bounds
         self.pool.connect_ms = file.router.connect_ms
-        self.budget.set_limits(
+        self.retry_budget.set_limits(
             bounds.budget_ratio,
             int(bounds.budget_window_s * 1000),
             bounds.budget_slack,
@@ -160,9 +160,9 @@
         return desk_.Desk(
             self._clock,
             self._sender,
-            self.places,
+            self.placement,
             self._relay,
-            self.budget,
+            self.retry_budget,
             self.crashes,
             self.usage,
             self.demand,
--- a/src/peridotmast/router/settings_watch.py
+++ b/src/peridotmast/router/settings_watch.py
@@ -44,7 +44,7 @@
         self._seen = self._read()
         self._log = logs.get('settings')
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Take in the file if its text has changed."""
         text = self._read()
         if text is None or text == self._seen:
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -9,7 +9,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 
-FLEET = '|fleet'
+_FLEET = '|fleet'
 """Whom the work of all others is entered for, where a head tells of it; no
 router has such a name."""
 
@@ -24,7 +24,7 @@
 _NOTHING = (0, 0, 0)
 
 
-class Sharing:
+class SharedTotals:
     """Counts of this router, of those it hears, and of all.
 
     Parameters
@@ -71,7 +71,7 @@
             demand=_demand(self._asked.group(), self._readings()),
         )
 
-    def others(
+    def totals_for_members(
         self, members: ty.Sequence[str]
     ) -> ty.Iterator[tuple[str, pb.Totals]]:
         """Yield for each of some members what all but that one have.
@@ -101,7 +101,7 @@
                 ),
             )
 
-    def hear(
+    def update_peer(
         self, router: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in what another router counts and has in work.
@@ -120,7 +120,7 @@
             self._table.take_loads(router, totals.loads)
             self._hear_readings(router, totals)
 
-    def hear_group(
+    def update_group(
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from another head what its group has."""
@@ -132,7 +132,7 @@
             self._table.take_loads(_group_name(group), totals.loads)
             self._hear_readings(head, totals)
 
-    def follow(
+    def update_fleet(
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from the own head what all others have."""
@@ -140,26 +140,26 @@
         self._asked.follow(head, run, _by_service(totals), counted)
         self._usage.follow(totals.usage)
         if counted:
-            self._table.take_loads(FLEET, totals.loads)
+            self._table.take_loads(_FLEET, totals.loads)
             self._hear_readings(head, totals)
 
-    def reckon(self, spends: dict[str, int]) -> None:
+    def add_estimates(self, spends: dict[str, int]) -> None:
         """Take in what others may have spent while nobody told of it."""
         if spends:
             self._spends.reckon(spends)
 
-    def regroup(self, is_member: ty.Callable[[str], bool]) -> None:
+    def retain_members(self, is_member: ty.Callable[[str], bool]) -> None:
         """Begin anew with groups that are not those of before."""
         self._group_loads = {}
         self._loads = {r: v for r, v in self._loads.items() if is_member(r)}
         self._usage.regroup(is_member)
 
-    def switch(self) -> None:
+    def change_source(self) -> None:
         """Count what others do by another way from now on."""
         self._spends.switch()
         self._asked.switch()
 
-    def forget(
+    def prune(
         self,
         known: ty.Collection[str],
         heard: ty.Collection[str],
@@ -187,7 +187,7 @@
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({FLEET})
+            self._table.forget_loads({_FLEET})
             return
         names = {_group_name(group) for group in self._group_loads}
         self._table.forget_loads({*self._loads, *names})
--- a/tools/pages.py
+++ b/tools/pages.py
@@ -77,7 +77,7 @@
     'wire/request_body',
     'wire/server',
     'wire/strict_protocol',
-    'router/knowledge',
+    'router/fleet_state',
     'router/router',
     'router/serving',
     'embedded/fleet',
