--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -217,7 +217,7 @@
         context.fleet.announce_leaving(other)
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: len(router.table.live(shape_.ENGINES)) == 1,
+        lambda: len(router.upstream_table.live(shape_.ENGINES)) == 1,
         'one engine is live',
     )
     context.queued = [
@@ -236,7 +236,7 @@
         set_crash_body(context, added)
     helpers.wait_until(
         lambda: all(
-            len(router.table.live(shape_.ENGINES)) == len(others)
+            len(router.upstream_table.live(shape_.ENGINES)) == len(others)
             for router in context.fleet.routers
         ),
         'the replacements are live',
@@ -267,7 +267,7 @@
     router = context.fleet.routers[0]
     [view] = [
         view
-        for view in router.table.all()
+        for view in router.upstream_table.all()
         if view.name == context.queued_at.name
     ]
     assert view.health.failing_share() == 0, view.health.failing_share()
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -389,7 +389,7 @@
 def drawn_beacons(context, count):
     fleet = helpers.start_fleet(context, routers=1, services=0, domains=1)
     router = fleet.routers[0]
-    known = {view.name for view in router.table.all()}
+    known = {view.name for view in router.upstream_table.all()}
     wrong = strategies.binary(max_size=40)
 
     def one(beacon, bytes_):
@@ -401,7 +401,7 @@
             router._peering.receive(taken)
             for peer in router.members.peers():
                 assert peer.member.name
-        assert {view.name for view in router.table.all()} == known
+        assert {view.name for view in router.upstream_table.all()} == known
 
     draw(count, BEACONS, wrong, test=one)
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -222,7 +222,7 @@
     """Wait until every router knows so many live upstreams."""
     helpers.wait_until(
         lambda: all(
-            len(router.table.live(service)) == count
+            len(router.upstream_table.live(service)) == count
             for router in context.fleet.serving()
         ),
         f'{count} of {service}',
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -127,7 +127,7 @@
         return types.SimpleNamespace(
             members=self.members,
             config=types.SimpleNamespace(routes=version, own=version),
-            table=self.table,
+            upstream_table=self.table,
             fleet_clock=self.time,
             outage=types.SimpleNamespace(is_felt=lambda: False),
             is_watching=lambda what: False,
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -231,7 +231,7 @@
         context.fleet.begin_again(guest)
         for guest in helpers.guests(context, service)
     ]
-    table = context.fleet.routers[0].table
+    table = context.fleet.routers[0].upstream_table
     helpers.wait_until(
         lambda: all(
             table.get(guest.name).born == guest.record.upstream.born
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -569,7 +569,7 @@
     name = context.place.view.name
     helpers.wait_until(
         lambda: all(
-            router.table.get(name).load().unread == tokens
+            router.upstream_table.get(name).load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
         'the others know',
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -205,7 +205,7 @@
             is_synced_with_store=False,
             members=members,
             config=self.config,
-            table=table,
+            upstream_table=table,
             is_watching=lambda what: False,
             refresh=lambda *what: None,
         )
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -408,7 +408,7 @@
             routes=types.SimpleNamespace(version=3),
             own=types.SimpleNamespace(version=0),
         ),
-        table=upstreams_.UpstreamTable(clock),
+        upstream_table=upstreams_.UpstreamTable(clock),
         is_watching=lambda what: watches,
         check_store=lambda: None,
     )
@@ -475,7 +475,7 @@
 @then('every router knows it within {ms:d} ms')
 def all_know(context, ms):
     def known(router):
-        view = router.table.get(context.leaver.name)
+        view = router.upstream_table.get(context.leaver.name)
         return view.record.state == upstreams_.LEAVING
 
     helpers.wait_until(
@@ -486,7 +486,7 @@
 @when("one router's upstreams go up to a revision without a record")
 def revision_without_record(context):
     ahead, context.behind = context.fleet.routers
-    ahead.table.revision += 100
+    ahead.upstream_table.revision += 100
     context.begun = []
     for watch in context.behind.fleet_state._watches:
         watch._wait.fire = lambda: context.begun.append(1)
@@ -496,7 +496,10 @@
 def is_level(context, ms):
     ahead = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: context.behind.table.revision >= ahead.table.revision,
+        lambda: (
+            context.behind.upstream_table.revision
+            >= ahead.upstream_table.revision
+        ),
         'the same revision',
         ms,
     )
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -361,7 +361,7 @@
     catch_up.compare(beacon)
     context.clock.advance(1000)
     catch_up.compare(beacon)
-    assert context.fleet_state.table.get('a') is not None
+    assert context.fleet_state.upstream_table.get('a') is not None
 
 
 @when('a peer has news on the configuration')
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -312,7 +312,7 @@
     green.sleep_ms(300)
     context.states = []
     for router in context.fleet.serving():
-        router.table.listen(
+        router.upstream_table.listen(
             lambda view: context.states.append((view.name, view.record.state))
         )
     context.fleet.drop_entry(context.leaver)
@@ -338,7 +338,7 @@
 def taken_for_gone(context, ms):
     helpers.wait_until(
         lambda: all(
-            router.table.get(context.leaver.name).record.state == 3
+            router.upstream_table.get(context.leaver.name).record.state == 3
             for router in context.fleet.serving()
         ),
         'gone everywhere',
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -61,7 +61,7 @@
         self._fleet_state = fleet_state
         self._members = fleet_state.members
         self._config = fleet_state.config
-        self._table = fleet_state.table
+        self._table = fleet_state.upstream_table
         self._calls = peer_calls.PeerCalls(
             clock, peers, fleet_state.members.me.name
         )
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -101,7 +101,9 @@
             groups_.WHOLE,
         )
         """The routers, this one too."""
-        self.table = upstreams_.UpstreamTable(clock, bounds.drain_ms, lapse_ms)
+        self.upstream_table = upstreams_.UpstreamTable(
+            clock, bounds.drain_ms, lapse_ms
+        )
         """The upstreams."""
         self.config = config_feed.ConfigFeed(
             self.store,
@@ -116,7 +118,7 @@
         self.watchers = watchers_.Watchers(self.members)
         """Which routers watch the store."""
         self._upstreams = upstream_feed.UpstreamFeed(
-            self.table, upstream_codec.read_upstream
+            self.upstream_table, upstream_codec.read_upstream
         )
         self._registry = registry_.Registry(self.store, self.members)
         self._watches: list[kind_watch.KindWatch] = []
@@ -127,7 +129,7 @@
     @property
     def has_config_and_upstreams(self) -> bool:
         """Whether it is known what to do with callers."""
-        return bool(self.config.routes.version and self.table.all())
+        return bool(self.config.routes.version and self.upstream_table.all())
 
     @property
     def is_synced_with_store(self) -> bool:
@@ -211,7 +213,7 @@
     def tick(self) -> None:
         """Give up and forget the upstreams whose time is over."""
         self._upstreams.tick()
-        self.table.forget_gone()
+        self.upstream_table.forget_gone()
 
     def _is_due(self, kind: str) -> bool:
         """Return whether this router is to watch a kind.
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -75,7 +75,7 @@
         self._fleet_state = fleet_state
         self._members = members = fleet_state.members
         self._config = fleet_state.config
-        self._table = fleet_state.table
+        self._table = fleet_state.upstream_table
         self._serving = serving
         self._lease = lease
         self._catch_up = catch_up
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -93,7 +93,7 @@
         """The platform's store."""
         self.members = self.fleet_state.members
         """The routers, this one too."""
-        self.table = self.fleet_state.table
+        self.upstream_table = self.fleet_state.upstream_table
         """The upstreams."""
         self.config = self.fleet_state.config
         """The configuration in force."""
@@ -113,7 +113,7 @@
             file, self._clock, self.fleet_state, self.serving, self.registry
         )
         self.config.listen(self._configure)
-        self.table.listen(lambda view: self._see_ready())
+        self.upstream_table.listen(lambda view: self._see_ready())
 
     def _make_peering(self) -> None:
         cfg, tls = self.cfg, self._file.tls
@@ -138,7 +138,7 @@
             self._clock,
             self.fleet_state,
             self.serving,
-            shared_totals_.SharedTotals(self.serving, self.table),
+            shared_totals_.SharedTotals(self.serving, self.upstream_table),
             self.lease,
             self._catch_up,
         )
@@ -176,7 +176,7 @@
         scaler = scaler_.Scaler(
             self._cloud,
             lambda: self.config.config,
-            self.table,
+            self.upstream_table,
             self.serving.demand,
             self.serving.limits,
             self._clock,
@@ -293,7 +293,7 @@
             self._clock,
             self.config,
             self.members,
-            self.table,
+            self.upstream_table,
             self.lease,
             self.serving.decisions,
             self._peers,
@@ -305,7 +305,7 @@
             self._clock,
             self.members,
             self.config,
-            self.table,
+            self.upstream_table,
             operators.local_steps,
             self._file.tls,
         )
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -102,7 +102,7 @@
         )
         self.crashes.on_block = self._sender.cancel_attempts
         self.placement = placement.Placement(
-            fleet_state.table,
+            fleet_state.upstream_table,
             placement.POLICIES[cfg.policy](cfg.failure_domain),
             cfg.name,
             self.limits,
@@ -126,8 +126,8 @@
             spawn,
             bounds.drain_ms,
         )
-        fleet_state.table.listen(mover.on_change)
-        fleet_state.table.listen_ends(self._sender.run_ended)
+        fleet_state.upstream_table.listen(mover.on_change)
+        fleet_state.upstream_table.listen_ends(self._sender.run_ended)
         self.gateway = gateway_.Gateway(
             clock,
             self._make_desk(),
--- a/src/peridotmast/router/update_beacons.py
+++ b/src/peridotmast/router/update_beacons.py
@@ -31,7 +31,7 @@
         self, fleet_state: fleet_state_.FleetState, catch_up: catch_up_.CatchUp
     ) -> None:
         self._fleet_state = fleet_state
-        self._table = fleet_state.table
+        self._table = fleet_state.upstream_table
         self._catch_up = catch_up
         self._told_revision = 0
 
@@ -75,7 +75,7 @@
         member=fleet_state.members.me,
         config_version=fleet_state.config.routes.version,
         document_version=fleet_state.config.own.version,
-        upstreams_revision=fleet_state.table.revision,
+        upstreams_revision=fleet_state.upstream_table.revision,
     )
 
 
