--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -556,7 +556,7 @@
     service = pb.Service(name=shape_.ENGINES, slots=64)
     exchange = exchange_with('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
-    places = context.fleet.routers[0].serving.places
+    places = context.fleet.routers[0].serving.placement
     context.place = places.choose(exchange, service)
 
 
@@ -570,7 +570,7 @@
     name = context.place.view.name
     helpers.wait_until(
         lambda: all(
-            router.table.get(name).total_load().unread == tokens
+            router.upstream_table.get(name).total_load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
         'the others know',
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -57,7 +57,7 @@
 in which an upstream that leaves may still get work."""
 
 
-class Knowledge:
+class FleetState:
     """The platform's store, and what is known from it.
 
     Parameters
@@ -101,7 +101,9 @@
             groups_.FULL_MESH_LIMIT,
         )
         """The routers, this one too."""
-        self.table = upstreams_.UpstreamTable(clock, bounds.drain_ms, lapse_ms)
+        self.upstream_table = upstreams_.UpstreamTable(
+            clock, bounds.drain_ms, lapse_ms
+        )
         """The upstreams."""
         self.config = config_feed.ConfigFeed(
             self.store,
@@ -116,7 +118,7 @@
         self.watchers = watchers_.Watchers(self.members)
         """Which routers watch the store."""
         self._upstreams = upstream_feed.UpstreamFeed(
-            self.table, upstream_codec.read_upstream
+            self.upstream_table, upstream_codec.read_upstream
         )
         self._registry = registry_.Registry(self.store, self.members)
         self._watches: list[kind_watch.KindWatch] = []
@@ -125,16 +127,16 @@
         self._spawn: ty.Callable[..., None] = lambda name, func: None
 
     @property
-    def is_enough(self) -> bool:
+    def has_config_and_upstreams(self) -> bool:
         """Whether it is known what to do with callers."""
-        return bool(self.config.routes.version and self.table.all())
+        return bool(self.config.routes.version and self.upstream_table.all())
 
     @property
-    def is_from_store(self) -> bool:
+    def is_synced_with_store(self) -> bool:
         """Whether the store has told of platform and fleet, all of it."""
         return self._is_entered and all(w.is_listed for w in self._watches)
 
-    def begin(
+    def start(
         self,
         tasks: green.Tasks,
         is_outage_felt: ty.Callable[[], bool],
@@ -185,7 +187,7 @@
         """
         return all(map(self.watchers.should_watch, _KINDS[what]))
 
-    def overtaken(self, what: str) -> None:
+    def refresh(self, what: str) -> None:
         """Ask the store anew: a peer had news that no watch has brought.
 
         Watches of other kinds go on: it was not theirs to bring.
@@ -199,7 +201,7 @@
             if watch.kind in _KINDS[what]:
                 watch.on_peer_ahead()
 
-    def doubt_store(self) -> None:
+    def check_store(self) -> None:
         """Find out whether the store answers here: a peer gets no answer.
 
         Nothing that waits here need ever fail, or be answered.
@@ -213,7 +215,7 @@
     def tick(self) -> None:
         """Give up and forget the upstreams whose time is over."""
         self._upstreams.tick()
-        self.table.remove_gone()
+        self.upstream_table.remove_gone()
 
     def _is_due(self, kind: str) -> bool:
         """Return whether this router is to watch a kind.
