--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -123,7 +123,7 @@
 
 def cuts(fleet, ended, drained):
     """Return how many cuts by planned stops one broken answer counts as."""
-    attempt = caller_.Attempt('its', ADDRESS, ended=ended)
+    attempt = caller_.Attempt('its', ADDRESS, ended_at=ended)
     answer = caller_.Answer(failure=failures.unknown('broke_off'))
     answer.attempts.append(attempt)
     arrival = arrivals.draw(soak.WORKLOADS[-1:], 9, 1)[0]
