--- a/features/environment.py
+++ b/features/environment.py
@@ -69,9 +69,9 @@
         close()
     if context.fleet is not None:
         violations = {
-            router.cfg.name: router.checks.violations
+            router.cfg.name: router.invariants.violations
             for router in context.fleet.routers
-            if router.checks.violations
+            if router.invariants.violations
         }
         context.fleet.stop()
         assert not violations, f'invariants violated: {violations}'
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -172,7 +172,7 @@
         lambda: any(
             left
             for router in context.fleet.serving()
-            if router.lease.held()
+            if router.lease.is_held()
             for left in [(router.lease._current().get('left') or {})]
             if left.get('crashSuspects')
         ),
@@ -221,7 +221,7 @@
         context.fleet.announce_leaving(other)
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: len(router.table.live(shape_.ENGINES)) == 1,
+        lambda: len(router.upstream_table.live(shape_.ENGINES)) == 1,
         'one engine is live',
     )
     context.queued = [
@@ -243,7 +243,7 @@
         set_crash_body(context, added)
     helpers.wait_until(
         lambda: all(
-            len(router.table.live(shape_.ENGINES)) == len(others)
+            len(router.upstream_table.live(shape_.ENGINES)) == len(others)
             for router in context.fleet.routers
         ),
         'the replacements are live',
@@ -274,10 +274,10 @@
     router = context.fleet.routers[0]
     [view] = [
         view
-        for view in router.table.all()
+        for view in router.upstream_table.all()
         if view.name == context.queued_at.name
     ]
-    assert view.health.failing_share() == 0, view.health.failing_share()
+    assert view.health.failure_share() == 0, view.health.failure_share()
     assert view.health.breaker is health_.Breaker.CLOSED, view.health.breaker
 
 
@@ -421,7 +421,7 @@
 @then('it is refused, also by a router that receives the update')
 def refused_by_both(context):
     other = crash_tracker_.CrashTracker(context.clock, 'router-2')
-    other.hear(context.tracker.updates())
+    other.merge_updates(context.tracker.updates())
     context.other_tracker = other
     assert context.tracker.retry_after_ms(crash_model.CRASHING)
     assert other.retry_after_ms(crash_model.CRASHING)
@@ -431,7 +431,7 @@
 def answered_completely(context):
     context.clock.advance(100)
     context.other_tracker.note_success(crash_model.CRASHING)
-    context.tracker.hear(context.other_tracker.updates())
+    context.tracker.merge_updates(context.other_tracker.updates())
 
 
 @then('neither router refuses it')
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -17,7 +17,7 @@
 from peridotmast.coordination import fleet_clock
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.duties import holder as holder_
+from peridotmast.duties import duty_holder
 from peridotmast.duties import usage_reporter
 from peridotmast.embedded import shape as shape_
 from peridotmast import failures
@@ -33,7 +33,7 @@
 @when('{count:d} requests are sent to all routers within a window')
 def within_a_window(context, count):
     fleet = context.fleet
-    clock = fleet.routers[0].knowledge.fleet_clock
+    clock = fleet.routers[0].fleet_state.fleet_clock
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
     context.window = fleet.routers[0].serving.usage.window_now()
     tasks = [
@@ -77,9 +77,9 @@
     for me in context.starts:
         members = members_.Members(member_of(context, me), context.clock, 1000)
         for other in context.starts:
-            members.hear(member_of(context, other))
+            members.receive(member_of(context, other))
         lease = lease_.Lease(None, 'l', me, me, 4000, 600, context.clock)
-        holder = holder_.DutyHolder(lease, members, (), context.clock)
+        holder = duty_holder.DutyHolder(lease, members, (), context.clock)
         found[holder._rank()] = me
     return [found[rank] for rank in range(len(found))]
 
@@ -112,19 +112,19 @@
     """A duty that leaves something, and remembers what was left to it."""
 
     def __init__(self):
-        self.changes = 0
+        self.state_version = 0
         self.needed = 0
         self.left = []
 
-    def begin(self, left):
+    def start(self, left):
         self.left.append(left)
 
-    def act(self, fencing):
+    def run(self, fencing):
         pass
 
-    def leave(self, left):
+    def save(self, left):
         left.needs['pool'] = self.needed
-        for _ in range(self.changes):
+        for _ in range(self.state_version):
             left.orders.add(service='pool', coming=5)
 
 
@@ -141,11 +141,11 @@
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
         )
-        self.lease.bind(f'boot:net:{name}')
+        self.lease.set_endpoint(f'boot:net:{name}')
         self._members = members_.Members(member_of(context, name), clock, 1000)
         self._peers = [member_of(context, other) for other in context.starts]
         self._runs = context.runs if 'runs' in context else []
-        self._holder = holder_.DutyHolder(
+        self._holder = duty_holder.DutyHolder(
             self.lease,
             self._members,
             (self.duty,),
@@ -158,7 +158,7 @@
         names = {member.name for member in heirs}
         for one in self._runs:
             if one.name in names:
-                one.lease.hear(self.lease.hint())
+                one.lease.receive_hint(self.lease.hint())
 
     def stop(self):
         """Give the duties up, as a planned stop does."""
@@ -166,9 +166,9 @@
 
     def keep(self):
         for peer in self._peers:
-            self._members.hear(peer)
+            self._members.receive(peer)
         self._holder.keep_lease()
-        self._holder.act()
+        self._holder.run_duties()
 
 
 def start_all(context, run):
@@ -194,7 +194,7 @@
         hint = one.lease.known_holder()
         for other in runs:
             if hint is not None and other is not one:
-                other.lease.hear(hint)
+                other.lease.receive_hint(hint)
 
 
 @given('the last of them had the duties when all were killed')
@@ -215,7 +215,7 @@
 def some_remember(context, ms):
     start_all(context, 2)
     for one in context.runs:
-        one.lease.hear(context.hint)
+        one.lease.receive_hint(context.hint)
     go_on(context, ms)
 
 
@@ -239,7 +239,7 @@
 @then('the next one has the duties {ms:d} ms later')
 def next_has(context, ms):
     go_on(context, ms, 1400)
-    held = [one.name for one in context.runs if one.lease.held()]
+    held = [one.name for one in context.runs if one.lease.is_held()]
     assert held == ['r1'], held
 
 
@@ -247,14 +247,14 @@
 def first_finds(context, count):
     all_start(context, 3000)
     first = context.runs[0]
-    assert first.lease.held() and first.duty.left == [pb.DutiesLeft()]
+    assert first.lease.is_held() and first.duty.left == [pb.DutiesLeft()]
     first.duty.needed = count
 
 
 @when('{ms:d} ms later it orders, and is killed {later:d} ms after that')
 def orders_and_ends(context, ms, later):
     go_on(context, ms)
-    context.runs[0].duty.changes += 1
+    context.runs[0].duty.state_version += 1
     go_on(context, later)
     context.runs.pop(0)
 
@@ -274,7 +274,7 @@
 
 
 def holder_now(context):
-    (holder,) = [one for one in context.runs if one.lease.held()]
+    (holder,) = [one for one in context.runs if one.lease.is_held()]
     return holder
 
 
@@ -284,7 +284,7 @@
     first, second = context.runs[:2]
     first.stop()
     second.lease.attempt()
-    assert second.lease.held() and not second.duty.left
+    assert second.lease.is_held() and not second.duty.left
     second.stop()
     del context.runs[:2]
 
@@ -308,15 +308,17 @@
 @then('the first one has them again, and goes on from what it knows')
 def has_again(context):
     first = context.runs[0]
-    assert first.lease.held() and first.lease.fencing == 2, first.lease.fencing
+    assert first.lease.is_held() and first.lease.fencing == 2, (
+        first.lease.fencing
+    )
     assert first.duty.left[-1] is None, first.duty.left
 
 
 @then('the {which} one has the duties with the number {number:d}')
 def one_has(context, which, number):
     lease = context.runs[{'first': 0, 'last': -1}[which]].lease
-    held = [(one.lease.held(), one.lease.fencing) for one in context.runs]
-    assert lease.held() and lease.fencing == number, held
+    held = [(one.lease.is_held(), one.lease.fencing) for one in context.runs]
+    assert lease.is_held() and lease.fencing == number, held
 
 
 @then('each router has asked the store {count:d} times at most')
@@ -344,7 +346,7 @@
 def names_place(context):
     def holder():
         routers = context.fleet.routers
-        return next((one for one in routers if one.lease.held()), None)
+        return next((one for one in routers if one.lease.is_held()), None)
 
     helpers.wait_until(holder, 'a holder')
     found = holder()
@@ -490,9 +492,9 @@
 @when('the next holder begins')
 def next_holder(context):
     context.reporter = reporter(context)
-    context.reporter.begin(None)
+    context.reporter.start(None)
     for _ in range(4):
-        context.reporter.act(2)
+        context.reporter.run(2)
         context.clock.advance(WINDOW_MS // 2)
 
 
@@ -511,7 +513,7 @@
     set_up(context, 10)
     context.usage.count_started('noor')
     context.reporter = reporter(context)
-    context.reporter.begin(None)
+    context.reporter.start(None)
     context.store.lose_replies = 1
 
 
@@ -521,7 +523,7 @@
         context.clock.advance(400)
         if number == 15:
             context.usage.count_started('noor')
-        context.reporter.act(1)
+        context.reporter.run(1)
 
 
 @then('each window was sent once, with what was written down')
@@ -585,7 +587,9 @@
     context.before = context.fleet_clock.now()
     walls = [0, 3, -2, 3_600_000]
     for number, off in enumerate(walls):
-        context.fleet_clock.hear(f'router-{number}', context.own.boot() + off)
+        context.fleet_clock.record_peer(
+            f'router-{number}', context.own.boot() + off
+        )
     context.own.off = -3_600_000
     context.own.advance(SINCE_MS)
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -222,7 +222,7 @@
     """Wait until every router knows `count` live upstreams of `service`."""
     helpers.wait_until(
         lambda: all(
-            len(router.table.live(service)) == count
+            len(router.upstream_table.live(service)) == count
             for router in context.fleet.serving()
         ),
         f'{count} live upstreams of {service}',
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -152,7 +152,7 @@
     """Return the limits of a router without the rest of the router."""
     return types.SimpleNamespace(
         quota=quota_.Quota(clock),
-        budget=retry_budget.RetryBudget(clock, 0.2, 10_000, 50),
+        retry_budget=retry_budget.RetryBudget(clock, 0.2, 10_000, 50),
         crashes=crash_tracker.CrashTracker(clock, 'router-1'),
         limits=upstream_limits.UpstreamLimits(clock, 'router-1'),
     )
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -325,7 +325,7 @@
     green.sleep_ms(300)
     context.states = []
     for router in context.fleet.serving():
-        router.table.listen(
+        router.upstream_table.listen(
             lambda view: context.states.append((view.name, view.record.state))
         )
     context.fleet.drop_entry(context.leaver)
@@ -351,7 +351,7 @@
 def engine_gone_everywhere(context, ms):
     helpers.wait_until(
         lambda: all(
-            router.table.get(context.leaver.name).record.state == 3
+            router.upstream_table.get(context.leaver.name).record.state == 3
             for router in context.fleet.serving()
         ),
         'all routers consider the engine gone',
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -69,7 +69,7 @@
 def heard_by_call(context):
     first, second = context.fleet.routers
     news = [
-        router._catch_up.ask_upstreams(other.peer_address)
+        router._catch_up.fetch_upstreams(other.peer_address)
         for router, other in ((first, second), (second, first))
     ]
     assert news == [False, False], news
@@ -113,7 +113,7 @@
     version = context.fleet.write_document(document)
     helpers.wait_until(
         lambda: all(
-            router.config.own.version >= version
+            router.config.product.version >= version
             for router in context.fleet.routers
         ),
         'the document is in force',
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -13,7 +13,7 @@
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
+from peridotmast.coordination import router_selector
 from peridotmast import failures
 from peridotmast import logs
 from peridotmast.router import chat_answers
@@ -24,7 +24,7 @@
 from peridotmast import web
 from peridotmast.wire import caller_connection
 
-MAX_ID = 120
+MAX_REQUEST_ID_LENGTH = 120
 """Longest request id of a caller."""
 
 PRIORITIES = {'interactive': 0, 'standard': 1, 'draft': 2}
@@ -69,11 +69,11 @@
         self._clock = clock
         self._feed = feed
         self._gateway = gateway
-        self._nearest = nearest.Nearest(members, _RESOLVED)
+        self._nearest = router_selector.RouterSelector(members, _RESOLVED)
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
-    def routes(self, app: web.WebApp) -> None:
+    def add_routes(self, app: web.WebApp) -> None:
         """Add the handlers to `app`."""
         app.route('POST', '/v1/chat/completions', self._chat)
         app.route('POST', '/v1/services/([^/]+)/([^/]+)', self._service)
@@ -82,17 +82,21 @@
     def _chat(self, req: web.Request) -> web.Response:
         asked = self._read_chat(req)
         if isinstance(asked, failures.Failure):
-            return web.from_failure(asked)
+            return web.failure_response(asked)
         call, body = asked
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
-            return answer.whole()
+            return answer.completion()
         headers = [('X-Request-Id', call.id), ('Cache-Control', 'no-cache')]
         return web.Response(
-            200, answer.frames(), chat_answers.EVENTS, headers, answer.close
+            200,
+            answer.event_stream(),
+            chat_answers.EVENT_STREAM,
+            headers,
+            answer.close,
         )
 
     def _service(
@@ -100,23 +104,23 @@
     ) -> web.Response:
         call = self._read_service(req, service, name)
         if isinstance(call, failures.Failure):
-            return web.from_failure(call)
+            return web.failure_response(call)
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         try:
-            body = chat_answers.collect(reply)
+            body = chat_answers.read_body(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
-            return web.from_failure(body, call.id)
+            return web.failure_response(body, call.id)
         response = web.Response(reply.head.status, body, 'text/plain')
         response.headers.append(('X-Request-Id', call.id))
         return response
 
     def _resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get('failure_domain', '')
-        found = self._nearest.of(domain, lambda m: bool(m.chat_address))
+        found = self._nearest.select(domain, lambda m: bool(m.chat_address))
         return web.json_response(
             {
                 'addresses': [member.chat_address for member in found],
@@ -199,10 +203,12 @@
         """Return what both kinds of request have in common."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
-            len(request_id) > MAX_ID or not _ID.fullmatch(request_id)
+            len(request_id) > MAX_REQUEST_ID_LENGTH
+            or not _ID.fullmatch(request_id)
         ):
             return failures.invalid(
-                'request_id', f'at most {MAX_ID} of A-Z a-z 0-9 . _ : -'
+                'request_id',
+                f'at most {MAX_REQUEST_ID_LENGTH} of A-Z a-z 0-9 . _ : -',
             )
         work = body.work or req.header('X-Work') or 'standard'
         if work not in PRIORITIES:
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -87,8 +87,8 @@
         members += [peer.member for peer in self._members.peers()]
         return pb.ConfigStatusReply(
             nodes=[self._node_status(member) for member in members],
-            document_version=self._feed.own.version,
-            document=self._feed.own.document.get('document') or '',
+            document_version=self._feed.product.version,
+            document=self._feed.product.document.get('document') or '',
         )
 
     def ConfigHistory(  # noqa: N802
@@ -96,7 +96,7 @@
     ) -> pb.ConfigHistoryReply:
         """Tell who changed the own document, and when."""
         self._allow(caller, READ)
-        history = self._feed.own.document.get('history') or ()
+        history = self._feed.product.document.get('history') or ()
         return pb.ConfigHistoryReply(
             changes=[
                 pb.ConfigHistoryReply.Change(
@@ -118,7 +118,9 @@
         reply = pb.NodeListReply()
         reply.nodes.add(member=self._members.me, silent_ms=-1)
         for other in self._members.peers():
-            silent = now - other.heard_at if other.heard_at else now
+            silent = (
+                now - other.last_beacon_at if other.last_beacon_at else now
+            )
             reply.nodes.add(member=other.member, silent_ms=silent)
         hint = self._lease.known_holder()
         if hint is not None:
@@ -150,7 +152,7 @@
         self._allow(caller, READ)
         reply = pb.UpstreamListReply()
         for view in sorted(self._table.all(), key=lambda view: view.name):
-            load = view.load()
+            load = view.total_load()
             reply.upstreams.add(
                 record=view.record,
                 load=pb.UpstreamLoad(
@@ -168,8 +170,8 @@
     ) -> pb.RequestShowReply:
         """Tell what all routers decided on a request."""
         self._allow(caller, READ)
-        reply = self.own_steps(req)
-        for other in self._members.heard():
+        reply = self.local_steps(req)
+        for other in self._members.live_peers():
             theirs = self._peers.call(
                 other.member.peer_address, 'FetchRequest', req, _CALL_MS
             )
@@ -186,7 +188,7 @@
         plan = event_plan.plan(self._feed.config, self._clock.wall())
         return pb.PlanReply(lines=event_plan.explain(plan))
 
-    def own_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
+    def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
         """Return what this router decided on a request."""
         reply = pb.RequestShowReply()
         for at, text in self._decisions.history(req.request_id):
@@ -194,22 +196,25 @@
         return reply
 
     def _allow(self, caller: rpc.Caller, role: str) -> None:
-        """Raise `rpc.Denied` where the caller has not the role."""
-        if not self._tls.cert_file or self._tls.router_name in caller.others:
+        """Raise `rpc.PermissionDenied` where the caller has not the role."""
+        if (
+            not self._tls.cert_file
+            or self._tls.router_name in caller.alt_names
+        ):
             return
         operators = self._feed.config.operators
-        if not operators and not self._feed.own.version:
+        if not operators and not self._feed.product.version:
             # Before the first document there is nobody to ask.
             return
         if any(caller.name == o.name and role in o.may for o in operators):
             return
-        raise rpc.Denied(f'{caller.name or "nobody"} may not {role}')
+        raise rpc.PermissionDenied(f'{caller.name or "nobody"} may not {role}')
 
     def _node_status(self, member: pb.Member) -> pb.ConfigStatusReply.Node:
         node = pb.ConfigStatusReply.Node(name=member.name)
         if member.name == self._members.me.name:
             node.config_version = self._feed.routes.version
-            node.document_version = self._feed.own.version
+            node.document_version = self._feed.product.version
             return node
         # Versions only: the texts of a whole fleet would fill the link.
         request = pb.ConfigRequest(
@@ -233,6 +238,6 @@
             )
         return pb.ConfigApplyReply(
             conflict=True,
-            current_version=self._feed.own.version,
-            current_document=self._feed.own.document.get('document') or '',
+            current_version=self._feed.product.version,
+            current_document=self._feed.product.document.get('document') or '',
         )
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -5,9 +5,9 @@
 import typing as ty
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast.coordination import members as members_
-from peridotmast import packing
 from peridotmast.router import config_copies
 from peridotmast import rpc
 from peridotmast.schema import peridotmast_pb2 as pb
@@ -32,7 +32,7 @@
         The configuration in force.
     table : upstreams.UpstreamTable
         The upstreams.
-    own_steps : callable
+    local_steps : callable
         Returns what this router decided on a request.
     tls : pb.TlsSettings
         Says by which name routers are told.
@@ -44,7 +44,7 @@
         members: members_.Members,
         config: config_feed_.ConfigFeed,
         table: upstreams_.UpstreamTable,
-        own_steps: ty.Callable[[pb.RequestShowRequest], pb.RequestShowReply],
+        local_steps: ty.Callable[[pb.RequestShowRequest], pb.RequestShowReply],
         tls: pb.TlsSettings,
     ) -> None:
         self._members = members
@@ -52,7 +52,7 @@
             config, clock, members.me.name
         )
         self._table = table
-        self._own_steps = own_steps
+        self._local_steps = local_steps
         self._tls = tls
 
     def Join(  # noqa: N802
@@ -65,14 +65,16 @@
         reply = pb.JoinReply(members=[self._members.me, *peers])
         if not req.takes_packed:
             return reply
-        return pb.JoinReply(packed=packing.pack(reply.SerializeToString()))
+        return pb.JoinReply(
+            packed=compression.compress(reply.SerializeToString())
+        )
 
     def FetchConfig(  # noqa: N802
         self, req: pb.ConfigRequest, caller: rpc.Caller
     ) -> pb.ConfigReply:
         """Give what the caller lacks of the configuration in force."""
         self._check(caller)
-        return self._copies.give(req)
+        return self._copies.fetch(req)
 
     def FetchUpstreams(  # noqa: N802
         self, req: pb.UpstreamsRequest, caller: rpc.Caller
@@ -80,7 +82,7 @@
         """Give the upstreams that have changed since a revision."""
         self._check(caller)
         return pb.UpstreamsReply(
-            upstreams=self._table.told_since(req.since),
+            upstreams=self._table.records_since(req.since),
             revision=self._table.revision,
         )
 
@@ -89,10 +91,12 @@
     ) -> pb.RequestShowReply:
         """Give what this router decided on a request."""
         self._check(caller)
-        return self._own_steps(req)
+        return self._local_steps(req)
 
     def _check(self, caller: rpc.Caller) -> None:
-        """Raise `rpc.Denied` where the caller is no router."""
-        known = self._tls.router_name in caller.others
+        """Raise `rpc.PermissionDenied` where the caller is no router."""
+        known = self._tls.router_name in caller.alt_names
         if self._tls.cert_file and not known:
-            raise rpc.Denied(f'{caller.name or "nobody"} is no router')
+            raise rpc.PermissionDenied(
+                f'{caller.name or "nobody"} is no router'
+            )
--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -174,12 +174,12 @@
         return failures.not_run('no_upstream', '', _RETRY_MS)
 
     def _check_invariants(
-        self, state: _RequestState, place: placement.Place
+        self, state: _RequestState, place: placement.Reservation
     ) -> None:
         """Check the invariants that must hold before a request is sent."""
         self._invariants.check(
             invariants_.Invariant.NO_WORK_TO_LEAVING,
-            place.view.is_there,
+            place.view.is_available,
             place.view.name,
         )
         self._invariants.check(
@@ -189,7 +189,7 @@
         )
 
     def _send(
-        self, state: _RequestState, place: placement.Place
+        self, state: _RequestState, place: placement.Reservation
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         exchange = state.exchange
         first_bytes_ms = self._first_bytes_ms(state)
@@ -209,7 +209,7 @@
             self._count_started(state, sent.sent_at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
-            place.view.health.failed()
+            place.view.health.record_failure()
             return failures.unknown('garbled', str(sent.head.status))
         if is_streaming:
             return self._begin_stream(state, sent, first_bytes_ms)
@@ -237,13 +237,13 @@
         self, exchange: exchange_.Exchange, sent: sender_.Sent
     ) -> failures.Failure:
         if sent.verdict is Verdict.ELSEWHERE:
-            sent.place.view.health.failed()
+            sent.place.view.health.record_failure()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
         body = sent.conn.read_all(exchange.deadline, _MAX_BODY_BYTES)
         if not isinstance(body, failures.Failure):
             self._sender.finish(sent)
-        sent.place.view.health.answered_badly()
+        sent.place.view.health.record_error()
         return failures.not_run('upstream_refused', '', _RETRY_MS)
 
     def _begin_stream(
@@ -270,10 +270,10 @@
     def _note_prefill(self, state: _RequestState, sent: sender_.Sent) -> None:
         """Record the prefill time of an engine that had no other prefill."""
         place, prompt = sent.place, state.exchange.prompt
-        if place.grounds.unread:
+        if place.selection.unread:
             return
         tokens = prompt.tokens_in
-        if place.grounds.is_home:
+        if place.selection.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
         took_ms = self._clock.now() - sent.sent_at
         self._demand.note_prefill(state.service.name, tokens, took_ms)
@@ -291,11 +291,11 @@
         self._sender.finish(sent)
         reply = reply_.Reply(sent.head, body, view.name)
         if sent.verdict is Verdict.FAILED:
-            view.health.answered_badly()
+            view.health.record_error()
             if sent.head.status not in NOT_RUN_STATUSES:
                 state.fallback = reply
             return failures.unknown('answered_badly', str(sent.head.status))
-        view.health.succeeded()
+        view.health.record_success()
         self._crashes.note_success(state.exchange.fingerprint)
         return reply
 
@@ -340,7 +340,10 @@
         return failure
 
     def _log_attempt(
-        self, state: _RequestState, place: placement.Place, result: ty.Any
+        self,
+        state: _RequestState,
+        place: placement.Reservation,
+        result: ty.Any,
     ) -> None:
         failed = isinstance(result, failures.Failure)
         outcome = 'caller_left'
@@ -356,12 +359,12 @@
             born=place.view.born,
             number=len(state.tried),
             revision=place.view.record.revision,
-            among=place.grounds.among,
-            home=place.grounds.is_home,
+            among=place.selection.compared,
+            home=place.selection.is_home,
             tokens=state.exchange.prompt.tokens_in,
             shared=sum(p.tokens for p in state.exchange.prompt.shared),
-            running=place.grounds.running,
-            unread=place.grounds.unread,
+            running=place.selection.running,
+            unread=place.selection.unread,
             slots=place.view.slots,
             outcome=outcome,
             detail=result.detail if failed else '',
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -41,7 +41,7 @@
 class Sent:
     """An attempt whose response head was read."""
 
-    place: placement.Place
+    place: placement.Reservation
     conn: connection_.Connection
     head: connection_.ResponseHead
     verdict: Verdict
@@ -90,7 +90,7 @@
     def send(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Place,
+        place: placement.Reservation,
         head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint] = None,
     ) -> ty.Union[Sent, failures.Failure]:
@@ -110,7 +110,7 @@
         view = place.view
         conn = self._pool.take(view.address)
         if isinstance(conn, failures.Failure):
-            view.health.failed()
+            view.health.record_failure()
             return conn
         attempts = self._attempts.setdefault(view, weakref.WeakKeyDictionary())
         attempts[conn] = exchange.fingerprint
@@ -147,7 +147,7 @@
         if failure.reason == crash_tracker_.BLOCK_REASON:
             # Cancelled by this router, so the upstream did not fail.
             return
-        view.health.failed()
+        view.health.record_failure()
         self._crashes.note_failure(
             exchange.fingerprint, view, failure, sent_at, was_answering
         )
@@ -182,7 +182,7 @@
     def _attempt(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Place,
+        place: placement.Reservation,
         conn: connection_.Connection,
         head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint],
@@ -195,7 +195,7 @@
             )
         headers = self._dialect.headers(exchange, place.view, left_ms, resume)
         deadline = min(exchange.deadline, now + head_timeout_ms)
-        place.view.health.sent()
+        place.view.health.record_sent()
         failure = conn.send(
             exchange.method, exchange.target, headers, exchange.body, deadline
         )
@@ -205,7 +205,7 @@
             head = conn.read_head(exchange.method, deadline)
             if isinstance(head, failures.Failure):
                 return head
-            place.view.was_heard()
+            place.view.note_activity()
             verdict = self._dialect.verdict(exchange, head)
             if verdict not in _UNATTRIBUTED:
                 self._crashes.note_response(place.view, now)
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -162,7 +162,7 @@
             return
         if not copy.is_at_target:
             place.release()
-            place = placement.Place(view, exchange)
+            place = placement.Reservation(view, exchange)
         self._note(stream, 'moved', view, place.view.name)
         stream.end_migration(stream_relay.MigratedRun(place, copy.location))
 
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -141,17 +141,17 @@
                 if isinstance(migrated, failures.Failure):
                     return migrated
                 continue
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.feed(data)
-        stream.sent.place.was_read()
-        stream.sent.place.view.health.succeeded()
+        stream.sent.place.mark_prompt_read()
+        stream.sent.place.view.health.record_success()
         return None
 
     def _read_more(self, stream: Stream) -> None:
         exchange = stream.exchange
         data = stream.sent.conn.read_some(self._stall_deadline(stream))
         if not isinstance(data, failures.Failure):
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.feed(data)
             return
         failure: ty.Optional[failures.Failure] = data
@@ -237,7 +237,7 @@
     def _send_resume(
         self,
         stream: Stream,
-        place: placement.Place,
+        place: placement.Reservation,
         resume_point: dialect_.ResumePoint,
     ) -> ty.Union[sender_.Sent, failures.Failure]:
         exchange = stream.exchange
@@ -270,7 +270,7 @@
 class MigratedRun:
     """Where a migrated run continues."""
 
-    place: placement.Place
+    place: placement.Reservation
     kv_location: str
     """Location of the KV cache of the run."""
 
