--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -143,27 +143,29 @@
             return failures.not_run(
                 crash_tracker_.BLOCK_REASON, '', retry_after_ms
             )
-        place = self._placement.choose(exchange, state.service, state.tried)
-        if place is None:
+        reservation = self._placement.choose(
+            exchange, state.service, state.tried
+        )
+        if reservation is None:
             return self._placement_failure(state)
-        state.tried.add(place.view.name)
-        self._check_invariants(state, place)
+        state.tried.add(reservation.view.name)
+        self._check_invariants(state, reservation)
         span = self._tracer.start(
             'router.attempt',
             exchange.traceparent,
-            upstream=place.view.name,
+            upstream=reservation.view.name,
         )
         result: ty.Union[reply_.Reply, failures.Failure, None] = None
         try:
-            result = self._send(state, place)
+            result = self._send(state, reservation)
         finally:
             is_streaming = isinstance(result, reply_.Reply) and not isinstance(
                 result.body, bytes
             )
             if not is_streaming:
-                place.release()
+                reservation.release()
             span.end()
-            self._log_attempt(state, place, result)
+            self._log_attempt(state, reservation, result)
         return result
 
     def _placement_failure(self, state: _RequestState) -> failures.Failure:
@@ -174,13 +176,13 @@
         return failures.not_run('no_upstream', '', _RETRY_MS)
 
     def _check_invariants(
-        self, state: _RequestState, place: placement.Reservation
+        self, state: _RequestState, reservation: placement.Reservation
     ) -> None:
         """Check the invariants that must hold before a request is sent."""
         self._invariants.check(
             invariants_.Invariant.NO_WORK_TO_LEAVING,
-            place.view.is_available,
-            place.view.name,
+            reservation.view.is_available,
+            reservation.view.name,
         )
         self._invariants.check(
             invariants_.Invariant.ONE_RUN,
@@ -189,12 +191,12 @@
         )
 
     def _send(
-        self, state: _RequestState, place: placement.Reservation
+        self, state: _RequestState, reservation: placement.Reservation
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         exchange = state.exchange
         first_bytes_ms = self._first_bytes_ms(state)
         sent_at = self._clock.now()
-        sent = self._sender.send(exchange, place, first_bytes_ms)
+        sent = self._sender.send(exchange, reservation, first_bytes_ms)
         if isinstance(sent, failures.Failure):
             if sent.kind is failures.FailureKind.OUTCOME_UNKNOWN:
                 state.runs += 1
@@ -203,13 +205,13 @@
         if sent.verdict in (Verdict.NOT_RUN, Verdict.ELSEWHERE):
             return self._handle_not_run(exchange, sent)
         state.runs += 1
-        state.accepted_by.add(place.view.name)
+        state.accepted_by.add(reservation.view.name)
         is_streaming = exchange.is_stream and sent.verdict is Verdict.ANSWER
         if not is_streaming:
             self._count_started(state, sent.sent_at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
-            place.view.health.record_failure()
+            reservation.view.health.record_failure()
             return failures.unknown('garbled', str(sent.head.status))
         if is_streaming:
             return self._begin_stream(state, sent, first_bytes_ms)
@@ -237,13 +239,13 @@
         self, exchange: exchange_.Exchange, sent: sender_.Sent
     ) -> failures.Failure:
         if sent.verdict is Verdict.ELSEWHERE:
-            sent.place.view.health.record_failure()
+            sent.reservation.view.health.record_failure()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
         body = sent.conn.read_all(exchange.deadline, _MAX_BODY_BYTES)
         if not isinstance(body, failures.Failure):
             self._sender.finish(sent)
-        sent.place.view.health.record_error()
+        sent.reservation.view.health.record_error()
         return failures.not_run('upstream_refused', '', _RETRY_MS)
 
     def _begin_stream(
@@ -263,17 +265,17 @@
         return reply_.Reply(
             sent.head,
             self._relay.events(stream),
-            sent.place.view.name,
+            sent.reservation.view.name,
             lambda: self._relay.close(stream),
         )
 
     def _note_prefill(self, state: _RequestState, sent: sender_.Sent) -> None:
         """Record the prefill time of an engine that had no other prefill."""
-        place, prompt = sent.place, state.exchange.prompt
-        if place.selection.unread:
+        reservation, prompt = sent.reservation, state.exchange.prompt
+        if reservation.selection.unread:
             return
         tokens = prompt.tokens_in
-        if place.selection.is_home:
+        if reservation.selection.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
         took_ms = self._clock.now() - sent.sent_at
         self._demand.note_prefill(state.service.name, tokens, took_ms)
@@ -281,7 +283,7 @@
     def _read_response(
         self, state: _RequestState, sent: sender_.Sent
     ) -> ty.Union[reply_.Reply, failures.Failure]:
-        view = sent.place.view
+        view = sent.reservation.view
         deadline = state.exchange.deadline
         body = sent.conn.read_all(deadline, _MAX_BODY_BYTES)
         if isinstance(body, failures.Failure):
@@ -342,7 +344,7 @@
     def _log_attempt(
         self,
         state: _RequestState,
-        place: placement.Reservation,
+        reservation: placement.Reservation,
         result: ty.Any,
     ) -> None:
         failed = isinstance(result, failures.Failure)
@@ -355,17 +357,17 @@
             'attempt',
             route=state.exchange.route.name,
             fingerprint=state.exchange.fingerprint,
-            upstream=place.view.name,
-            born=place.view.born,
+            upstream=reservation.view.name,
+            born=reservation.view.born,
             number=len(state.tried),
-            revision=place.view.record.revision,
-            among=place.selection.compared,
-            home=place.selection.is_home,
+            revision=reservation.view.record.revision,
+            among=reservation.selection.compared,
+            home=reservation.selection.is_home,
             tokens=state.exchange.prompt.tokens_in,
             shared=sum(p.tokens for p in state.exchange.prompt.shared),
-            running=place.selection.running,
-            unread=place.selection.unread,
-            slots=place.view.slots,
+            running=reservation.selection.running,
+            unread=reservation.selection.unread,
+            slots=reservation.view.slots,
             outcome=outcome,
             detail=result.detail if failed else '',
         )
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -41,7 +41,7 @@
 class Sent:
     """An attempt whose response head was read."""
 
-    place: placement.Reservation
+    reservation: placement.Reservation
     conn: connection_.Connection
     head: connection_.ResponseHead
     verdict: Verdict
@@ -90,7 +90,7 @@
     def send(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Reservation,
+        reservation: placement.Reservation,
         head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint] = None,
     ) -> ty.Union[Sent, failures.Failure]:
@@ -107,7 +107,7 @@
             The kind of the failure states whether the request may have
             run.
         """
-        view = place.view
+        view = reservation.view
         conn = self._pool.take(view.address)
         if isinstance(conn, failures.Failure):
             view.health.record_failure()
@@ -118,7 +118,7 @@
         sent_at = self._clock.now()
         try:
             sent = self._attempt(
-                exchange, place, conn, head_timeout_ms, resume
+                exchange, reservation, conn, head_timeout_ms, resume
             )
         finally:
             if not isinstance(sent, Sent):
@@ -154,10 +154,10 @@
 
     def finish(self, sent: Sent) -> None:
         """Return the connection of a complete response to the pool."""
-        attempts = self._attempts.get(sent.place.view)
+        attempts = self._attempts.get(sent.reservation.view)
         if attempts is not None:
             attempts.pop(sent.conn, None)
-        self._pool.give_back(sent.place.view.address, sent.conn)
+        self._pool.give_back(sent.reservation.view.address, sent.conn)
 
     def abort_run(self, view: upstream_view.UpstreamView) -> None:
         """Cancel all attempts in progress at a run of an upstream.
@@ -182,7 +182,7 @@
     def _attempt(
         self,
         exchange: exchange_.Exchange,
-        place: placement.Reservation,
+        reservation: placement.Reservation,
         conn: connection_.Connection,
         head_timeout_ms: int,
         resume: ty.Optional[dialect_.ResumePoint],
@@ -193,9 +193,11 @@
             return failures.not_run(
                 'deadline', 'deadline passed before sending'
             )
-        headers = self._dialect.headers(exchange, place.view, left_ms, resume)
+        headers = self._dialect.headers(
+            exchange, reservation.view, left_ms, resume
+        )
         deadline = min(exchange.deadline, now + head_timeout_ms)
-        place.view.health.record_sent()
+        reservation.view.health.record_sent()
         failure = conn.send(
             exchange.method, exchange.target, headers, exchange.body, deadline
         )
@@ -205,17 +207,17 @@
             head = conn.read_head(exchange.method, deadline)
             if isinstance(head, failures.Failure):
                 return head
-            place.view.note_activity()
+            reservation.view.note_activity()
             verdict = self._dialect.verdict(exchange, head)
             if verdict not in _UNATTRIBUTED:
-                self._crashes.note_response(place.view, now)
-                self._note_limit(exchange, place.view, head, now)
+                self._crashes.note_response(reservation.view, now)
+                self._note_limit(exchange, reservation.view, head, now)
             if verdict is not Verdict.FOREIGN:
-                return Sent(place, conn, head, verdict, now)
+                return Sent(reservation, conn, head, verdict, now)
             self._decisions.note(
                 exchange.id,
                 'foreign_answer',
-                upstream=place.view.name,
+                upstream=reservation.view.name,
                 status=head.status,
             )
             body = conn.read_all(deadline, _MAX_FOREIGN_BYTES)
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -143,28 +143,32 @@
     ) -> None:
         """Migrate one stream to the upstream that placement selects."""
         exchange = stream.exchange
-        place = self._placement.choose(exchange, stream.service, {view.name})
-        if place is None:
+        reservation = self._placement.choose(
+            exchange, stream.service, {view.name}
+        )
+        if reservation is None:
             self._note(stream, 'nowhere_to_move', view)
             return
         stream.begin_migration()
         copy: ty.Union[KvCopy, failures.Failure] = failures.unknown('cut_off')
         try:
             copy = self._control.move(
-                view.address, exchange.id, place.view.address
+                view.address, exchange.id, reservation.view.address
             )
         finally:
             if not isinstance(copy, KvCopy):
-                place.release()
+                reservation.release()
                 stream.end_migration(None)
         if isinstance(copy, failures.Failure):
             self._note(stream, 'not_moved', view, copy.reason)
             return
         if not copy.is_at_target:
-            place.release()
-            place = placement.Reservation(view, exchange)
-        self._note(stream, 'moved', view, place.view.name)
-        stream.end_migration(stream_relay.MigratedRun(place, copy.location))
+            reservation.release()
+            reservation = placement.Reservation(view, exchange)
+        self._note(stream, 'moved', view, reservation.view.name)
+        stream.end_migration(
+            stream_relay.MigratedRun(reservation, copy.location)
+        )
 
     def _ends_in_time(self, stream: stream_relay.Stream, gone_at: int) -> bool:
         expected = stream.expected_end(self._clock.now())
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -71,7 +71,7 @@
 
     def streams_at(self, view: upstream_view.UpstreamView) -> list[Stream]:
         """Return the open streams that one run of an upstream serves."""
-        return [s for s in self._open if s.sent.place.view is view]
+        return [s for s in self._open if s.sent.reservation.view is view]
 
     def begin(
         self,
@@ -119,7 +119,7 @@
         if stream in self._open:
             self._open.remove(stream)
         stream.drop_migration()
-        stream.sent.place.release()
+        stream.sent.reservation.release()
         if stream.ended:
             self._crashes.note_success(stream.exchange.fingerprint)
             self._sender.finish(stream.sent)
@@ -141,17 +141,17 @@
                 if isinstance(migrated, failures.Failure):
                     return migrated
                 continue
-            stream.sent.place.view.note_activity()
+            stream.sent.reservation.view.note_activity()
             stream.feed(data)
-        stream.sent.place.mark_prompt_read()
-        stream.sent.place.view.health.record_success()
+        stream.sent.reservation.mark_prompt_read()
+        stream.sent.reservation.view.health.record_success()
         return None
 
     def _read_more(self, stream: Stream) -> None:
         exchange = stream.exchange
         data = stream.sent.conn.read_some(self._stall_deadline(stream))
         if not isinstance(data, failures.Failure):
-            stream.sent.place.view.note_activity()
+            stream.sent.reservation.view.note_activity()
             stream.feed(data)
             return
         failure: ty.Optional[failures.Failure] = data
@@ -159,7 +159,7 @@
             self._decisions.note(
                 exchange.id,
                 'stream_broke',
-                upstream=stream.sent.place.view.name,
+                upstream=stream.sent.reservation.view.name,
                 last_event=stream.reader.last_id,
                 reason=failure.reason,
                 detail=failure.detail,
@@ -177,7 +177,7 @@
 
     def _note_failure(self, stream: Stream, failure: failures.Failure) -> None:
         sent = stream.sent
-        view = sent.place.view
+        view = sent.reservation.view
         self._sender.note_failure(
             stream.exchange, view, failure, sent.sent_at, stream.is_answering
         )
@@ -202,11 +202,11 @@
         migrated = stream.wait_for_migration()
         if migrated is None:
             return None
-        stream.sent.place.release()
+        stream.sent.reservation.release()
         resume_point = dialect_.ResumePoint(
             max(0, stream.reader.last_id), migrated.kv_location
         )
-        return self._send_resume(stream, migrated.place, resume_point)
+        return self._send_resume(stream, migrated.reservation, resume_point)
 
     def _resume(
         self, stream: Stream, failure: failures.Failure
@@ -226,32 +226,36 @@
             raise reply_.BrokenAnswer(crash_tracker_.BLOCK_REASON)
         if not self._budget.take(stream.service.name):
             raise reply_.BrokenAnswer('no_budget')
-        stream.sent.place.release()
-        place = self._placement.choose(exchange, stream.service, stream.tried)
-        if place is None:
+        stream.sent.reservation.release()
+        reservation = self._placement.choose(
+            exchange, stream.service, stream.tried
+        )
+        if reservation is None:
             raise reply_.BrokenAnswer('no_upstream')
-        stream.tried.add(place.view.name)
+        stream.tried.add(reservation.view.name)
         resume_point = dialect_.ResumePoint(max(0, stream.reader.last_id))
-        return self._send_resume(stream, place, resume_point)
+        return self._send_resume(stream, reservation, resume_point)
 
     def _send_resume(
         self,
         stream: Stream,
-        place: placement.Reservation,
+        reservation: placement.Reservation,
         resume_point: dialect_.ResumePoint,
     ) -> ty.Union[sender_.Sent, failures.Failure]:
         exchange = stream.exchange
         stall_ms = 2 * _STALL_GAPS * exchange.route.target_gap_ms
         result: ty.Union[sender_.Sent, failures.Failure, None] = None
         try:
-            result = self._sender.send(exchange, place, stall_ms, resume_point)
+            result = self._sender.send(
+                exchange, reservation, stall_ms, resume_point
+            )
         finally:
             if not isinstance(result, sender_.Sent):
-                place.release()
+                reservation.release()
         if isinstance(result, failures.Failure):
             return result
         if result.verdict is not dialect_.Verdict.ANSWER:
-            place.release()
+            reservation.release()
             result.conn.close()
             return failures.not_run(result.verdict.value)
         stream.continue_from(result)
@@ -259,7 +263,7 @@
         self._decisions.note(
             exchange.id,
             'stream_goes_on',
-            upstream=place.view.name,
+            upstream=reservation.view.name,
             last_event=stream.reader.last_id,
             copy=resume_point.kv_location,
         )
@@ -270,7 +274,7 @@
 class MigratedRun:
     """Where a migrated run continues."""
 
-    place: placement.Reservation
+    reservation: placement.Reservation
     kv_location: str
     """Location of the KV cache of the run."""
 
@@ -290,7 +294,7 @@
         self.sent = sent
         """The attempt that currently supplies the events."""
         self.reader = event_reader.EventReader()
-        self.tried: set[str] = {sent.place.view.name}
+        self.tried: set[str] = {sent.reservation.view.name}
         """Upstreams at which the stream was run from the prompt."""
         self.pending = b''
         """Received events that were not forwarded yet."""
@@ -356,7 +360,7 @@
             # Nothing waits any more: the stream was closed, or the wait for
             # the migration timed out.
             if migrated is not None:
-                migrated.place.release()
+                migrated.reservation.release()
             return
         if not migration.ready():
             migration.send(migrated)
@@ -377,4 +381,4 @@
         if migration is not None and migration.ready():
             migrated = migration.wait()
             if migrated is not None:
-                migrated.place.release()
+                migrated.reservation.release()
