--- a/src/peridotmast/serving/candidates.py
+++ b/src/peridotmast/serving/candidates.py
@@ -1,4 +1,4 @@
-"""Which of a service's live upstreams a router looks at for a request."""
+"""Upstreams of a service that a router considers for a request."""
 
 from __future__ import annotations
 
@@ -11,35 +11,37 @@
 from peridotmast.serving import upstream_view
 
 SUBSET_SIZE = 128
-"""Upstreams that a router spreads its requests over. Of 5,700, each is then
-near to seven routers of 330, and to none with a chance of 1 in 1,800; a
-placement takes 0.3 ms, against 17 ms if it looked at all of them
-(`peridotmast-load slopes`)."""
+"""Number of upstreams over which a router spreads its requests. With 5,700
+upstreams and 330 routers, each upstream is in the subsets of seven routers on
+average, and in none with a probability of 1 in 1,800. A placement takes 0.3 ms
+instead of 17 ms with all upstreams (`peridotmast-load slopes`)."""
 
 _PROBES = 24
-"""Points at which a prompt is looked up. With one, the busiest upstream would
-be home to several times as many prompts as the mean; with this many, to about
-1.1 times (multi-probe consistent hashing, Appleton and O'Reilly, 2015)."""
+"""Number of points at which a prefix is looked up on the hash ring. With one
+probe, the busiest upstream would be the home of several times as many prefixes
+as the mean; with 24, of about 1.1 times as many (multi-probe consistent
+hashing, Appleton and O'Reilly, 2015)."""
 
 _POINT_BYTES = 8
-_CIRCLE = 1 << (8 * _POINT_BYTES)
+_RING_SIZE = 1 << (8 * _POINT_BYTES)
 
-_RANKS_KEPT = 1 << 14
-"""Hashes of names that are kept: two for each of 5,700 upstreams."""
+_CACHED_HASHES = 1 << 14
+"""Number of cached hashes: two for each of 5,700 upstreams."""
 
 
 class Candidates:
-    """The live upstreams of one service, in the order one router asks them.
+    """The live upstreams of one service, as candidates for one router.
 
-    Prompts that begin alike have one home each, the same at every router
-    without asking: upstreams lie on a circle by the hash of their run, and
-    a prompt's home is the one that follows most closely on one of its points.
-    When an upstream comes or goes, only the prompts at home there move.
+    Prompts with the same prefix have the same home upstream on every router,
+    without any communication: upstreams are placed on a hash ring by the hash
+    of their run, and the home of a prefix is the upstream with the shortest
+    distance after one of the probe points of the prefix. When an upstream
+    starts or leaves, only the prefixes of that upstream change their home.
 
     Parameters
     ----------
     router : str
-        Name of the router; each has other ones near to it.
+        Name of the router, which determines its subset.
     views : sequence of UpstreamView
         All live upstreams of the service.
     """
@@ -48,32 +50,37 @@
         self, router: str, views: ty.Sequence[upstream_view.UpstreamView]
     ) -> None:
         self.views = views
-        """All of them."""
+        """All live upstreams of the service."""
         self.subset = list(views)
-        """Those that the router spreads its requests over."""
+        """The upstreams over which the router spreads its requests."""
         if len(views) > SUBSET_SIZE:
             self.subset = heapq.nsmallest(
                 SUBSET_SIZE,
                 views,
-                key=lambda view: _rank(f'{router}|{view.run}'),
+                key=lambda view: _hash(f'{router}|{view.run}'),
             )
-        circle = sorted((_rank(v.run), v.name, v) for v in views)
-        self._points = [point for point, _, _ in circle]
-        self._circle = [view for _, _, view in circle]
+        ring = sorted((_hash(v.run), v.name, v) for v in views)
+        self._points = [point for point, _, _ in ring]
+        self._ring = [view for _, _, view in ring]
 
-    def homes(self, part: str) -> list[upstream_view.UpstreamView]:
-        """Return the upstreams that are to hold a part of prompts, best first.
+    def homes(self, prefix: str) -> list[upstream_view.UpstreamView]:
+        """Return the homes of a prompt prefix, in order of preference.
 
-        The second one is its home while the first can't be used.
+        Each upstream is the home while those before it are not usable.
+
+        Parameters
+        ----------
+        prefix : str
+            Identifier of the prefix.
         """
-        if not self._circle:
+        if not self._ring:
             return []
         found: dict[str, tuple[int, upstream_view.UpstreamView]] = {}
-        for point in _probes(part):
+        for point in _probe_points(prefix):
             index = bisect.bisect_left(self._points, point)
             index %= len(self._points)
-            view = self._circle[index]
-            distance = (self._points[index] - point) % _CIRCLE
+            view = self._ring[index]
+            distance = (self._points[index] - point) % _RING_SIZE
             known = found.get(view.name)
             if known is None or distance < known[0]:
                 found[view.name] = distance, view
@@ -81,16 +88,16 @@
         return [view for _, (_, view) in order]
 
 
-@functools.lru_cache(maxsize=_RANKS_KEPT)
-def _rank(name: str) -> int:
+@functools.lru_cache(maxsize=_CACHED_HASHES)
+def _hash(name: str) -> int:
     digest = hashlib.blake2b(name.encode(), digest_size=_POINT_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
-def _probes(part: str) -> ty.Iterator[int]:
-    """Yield the points at which a part of prompts is looked up."""
+def _probe_points(prefix: str) -> ty.Iterator[int]:
+    """Yield the points on the hash ring at which a prefix is looked up."""
     size = hashlib.blake2b.MAX_DIGEST_SIZE
-    for turn in range(_PROBES * _POINT_BYTES // size):
-        digest = hashlib.blake2b(f'{part}|{turn}'.encode()).digest()
+    for index in range(_PROBES * _POINT_BYTES // size):
+        digest = hashlib.blake2b(f'{prefix}|{index}'.encode()).digest()
         for start in range(0, size, _POINT_BYTES):
             yield int.from_bytes(digest[start : start + _POINT_BYTES], 'big')
--- a/src/peridotmast/serving/health.py
+++ b/src/peridotmast/serving/health.py
@@ -1,4 +1,4 @@
-"""How an upstream has answered lately, and whether it gets work."""
+"""Health of an upstream: recent outcomes and a circuit breaker."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 
 from peridotmast import clock as clock_
 
-_FAILURES_TO_OPEN = 2
-"""Failures in a row after which an upstream is passed over: one may be the
-connection's own, and more would each cost a caller its answer."""
+_FAILURE_THRESHOLD = 2
+"""Consecutive failures at which the breaker opens: a single failure may be due
+to one connection only, and each further failure costs a caller its answer."""
 
-_FIRST_OPEN_MS = 250
-_LAST_OPEN_MS = 4000
-"""How long it is passed over: doubled each time, up to about the time in
-which the platform takes a dead upstream off its list. As long at most, the
-outcome of a trial is waited for."""
+_MIN_OPEN_MS = 250
+_MAX_OPEN_MS = 4000
+"""Minimum and maximum time for which the breaker stays open. The time doubles
+with each failure, up to about the time in which the platform removes a dead
+upstream from its list. The maximum also bounds the wait for the outcome of a
+probe."""
 
 _HALF_LIFE_MS = 2000
-"""Age at which an outcome counts half; bad spells last a few seconds."""
+"""Age at which an outcome counts half; periods of failures last a few
+seconds."""
 
-_PRIOR = 4.0
-"""Successes that are taken for granted, so that the first failure of a
-fresh upstream says little."""
+_PRIOR_SUCCESSES = 4.0
+"""Number of successes assumed in advance, so that the first failure of a new
+upstream has little weight."""
 
 
 class Breaker(enum.Enum):
@@ -34,90 +36,89 @@
 
 
 class Health:
-    """Outcomes at one upstream, with a breaker and a share of failures.
+    """Circuit breaker and failure share of one upstream.
 
-    The breaker is for an upstream that does not answer at all; the share
-    is for one that fails some of its requests while its others succeed.
+    The breaker handles an upstream that does not answer at all; the failure
+    share handles one that fails only some of its requests.
 
     Parameters
     ----------
     clock : clock.Clock
-        Ages the outcomes.
+        Times the breaker and the decay of the outcomes.
     """
 
     def __init__(self, clock: clock_.Clock) -> None:
         self._clock = clock
-        self._in_a_row = 0
+        self._consecutive_failures = 0
         self._opened_at = 0
         self._open_ms = 0
-        self._probing = False
+        self._is_probing = False
         self._probed_at = 0
-        self._good = 0.0
-        self._bad = 0.0
-        self._at = clock.now()
+        self._successes = 0.0
+        self._failures = 0.0
+        self._decayed_at = clock.now()
         self.breaker = Breaker.CLOSED
-        """Whether it gets work at all."""
+        """State of the circuit breaker."""
 
     def allows_request(self) -> bool:
-        """Return whether a request may be sent to it now."""
+        """Return whether a request may be sent to the upstream now."""
         if self.breaker is Breaker.CLOSED:
             return True
         if self.breaker is Breaker.OPEN:
             if self._clock.now() - self._opened_at < self._open_ms:
                 return False
             self.breaker = Breaker.HALF_OPEN
-            self._probing = False
-        # One request at a time finds out whether it works again. One whose
-        # caller has left finds out nothing.
-        lapsed = self._clock.now() - self._probed_at >= _LAST_OPEN_MS
-        return not self._probing or lapsed
+            self._is_probing = False
+        # Only one probe at a time is sent to find out whether the upstream has
+        # recovered. A probe whose caller has left has no outcome, so that
+        # another one is allowed after a while.
+        is_expired = self._clock.now() - self._probed_at >= _MAX_OPEN_MS
+        return not self._is_probing or is_expired
 
     def record_sent(self) -> None:
-        """Count a request that was sent to it."""
-        self._probing = self.breaker is Breaker.HALF_OPEN
+        """Record that a request was sent to the upstream."""
+        self._is_probing = self.breaker is Breaker.HALF_OPEN
         self._probed_at = self._clock.now()
 
     def record_success(self) -> None:
-        """Count an answer: the breaker closes."""
-        self._age()
-        self._good += 1
-        self._in_a_row = 0
+        """Record a successful answer, which closes the breaker."""
+        self._decay()
+        self._successes += 1
+        self._consecutive_failures = 0
         self._open_ms = 0
         self.breaker = Breaker.CLOSED
 
     def record_error(self) -> None:
-        """Count an answer that says that the request failed there."""
-        self._age()
-        self._bad += 1
-        self._in_a_row = 0
+        """Record an answer that reports a failure of the request."""
+        self._decay()
+        self._failures += 1
+        self._consecutive_failures = 0
         if self.breaker is Breaker.HALF_OPEN:
             self.breaker = Breaker.CLOSED
 
     def record_failure(self) -> None:
-        """Count a request without an answer: after a few it is passed over."""
-        self._age()
-        self._bad += 1
-        self._in_a_row += 1
+        """Record a request without an answer, which may open the breaker."""
+        self._decay()
+        self._failures += 1
+        self._consecutive_failures += 1
         half_open = self.breaker is Breaker.HALF_OPEN
-        if self._in_a_row < _FAILURES_TO_OPEN and not half_open:
+        if self._consecutive_failures < _FAILURE_THRESHOLD and not half_open:
             return
-        self._open_ms = min(
-            _LAST_OPEN_MS, max(_FIRST_OPEN_MS, self._open_ms * 2)
-        )
+        self._open_ms = min(_MAX_OPEN_MS, max(_MIN_OPEN_MS, self._open_ms * 2))
         self._opened_at = self._clock.now()
         self.breaker = Breaker.OPEN
 
     def failure_share(self) -> float:
-        """Return the part of recent requests that failed, from 0 to 1."""
-        if not self._bad:
+        """Return the share of recent requests that failed, from 0 to 1."""
+        if not self._failures:
             return 0.0
-        self._age()
-        total = self._good + self._bad + _PRIOR
-        return self._bad / total
+        self._decay()
+        total = self._successes + self._failures + _PRIOR_SUCCESSES
+        return self._failures / total
 
-    def _age(self) -> None:
+    def _decay(self) -> None:
         now = self._clock.now()
-        left = math.exp2((self._at - now) / _HALF_LIFE_MS)
-        self._good *= left
-        self._bad *= left
-        self._at = now
+        factor = math.exp2((self._decayed_at - now) / _HALF_LIFE_MS)
+        self._successes *= factor
+        self._failures *= factor
+        self._decayed_at = now
--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -1,4 +1,4 @@
-"""Which of the live upstreams a request goes to."""
+"""Selection of the live upstream that a request is sent to."""
 
 from __future__ import annotations
 
@@ -16,42 +16,45 @@
 
 Views = ty.Sequence[upstream_view.UpstreamView]
 
-_RUNNING_TOKENS = 150
-"""What a request that an engine works on delays a new one, as tokens of a
-prompt: it lengthens each step in which a prompt is read by about 0.1 ms, and
-its own first token takes some of them."""
-
-_FULL_TOKENS = 60_000
-"""What a full batch or memory delays a new request: about a second, in which
-a slot or its memory comes free."""
-
-_FAILING_TOKENS = 200_000
-"""What a share of failures of 1 counts: an upstream that fails a tenth of its
-requests is passed over for one that is 20,000 tokens (0.4 s) behind."""
-
-_SILENCE_MS = 300
-"""How long an upstream with requests of this router may say nothing as a
-matter of course: it may be reading a long prompt."""
-
-_SILENT_TOKENS = 40
-"""What each further ms of silence counts. One that went dark tells nobody;
-after a second, new requests go where 28,000 tokens more wait to be read."""
-
-_DISTANCE_TOKENS = 100
-"""What another failure domain costs: bytes between them are paid for, and
-the way takes a few milliseconds there and back."""
-
-_TOLD_TOKENS = 1000
-"""Prompt whose coming and going is told to the others at once: of the first
-tokens that were late, three in five had waited behind what no beacon had told
-of yet. Without it four days were worth 0.05 less of what was owed in the
-mean; shorter prompts are read before the others could go by it."""
-
-_COMPARED_LATE = 3
-"""Upstreams beside the home that are compared where a router knows late of
-the others' work. Two drawn at random are nearly as good as all with fresh
-knowledge, and better with old (Mitzenmacher, 2000); a third makes up for the
-one that may be slow."""
+_RUNNING_REQUEST_TOKENS = 150
+"""Delay that a running request causes to a new one, in prompt tokens: it
+lengthens each prefill step by about 0.1 ms, and a first token takes several
+of these steps."""
+
+_FULL_UPSTREAM_TOKENS = 60_000
+"""Delay due to a full batch or a full memory, in prompt tokens: about a
+second, within which a slot or enough memory becomes free."""
+
+_FAILURE_TOKENS = 200_000
+"""Penalty of a failure share of 1, in prompt tokens: an upstream that fails a
+tenth of its requests ranks like one with 20,000 more tokens (0.4 s) to
+prefill."""
+
+_SILENCE_GRACE_MS = 300
+"""Silence of an upstream with requests of this router that is not penalised,
+in ms: the upstream may be prefilling a long prompt."""
+
+_SILENCE_TOKENS_PER_MS = 40
+"""Penalty of each further ms of silence, in prompt tokens. An upstream that
+has failed may report nothing; after one second of silence it ranks like one
+with 28,000 more tokens to prefill."""
+
+_OTHER_DOMAIN_TOKENS = 100
+"""Penalty of another failure domain, in prompt tokens: traffic between failure
+domains is charged for, and a round trip takes a few milliseconds."""
+
+_REPORTED_PROMPT_TOKENS = 1000
+"""Minimum length of a prompt, in tokens, whose arrival and completion are sent
+to the other routers at once. Three in five late first tokens had waited behind
+prompts that no beacon had reported yet. Without these immediate updates, the
+mean worth of four experiment days was lower by 0.05 of what was owed. Shorter
+prompts are prefilled before the other routers could use the update."""
+
+_COMPARED_WHEN_STALE = 3
+"""Number of upstreams, besides the home, that are compared while the load data
+of other routers is stale. With fresh data, two random choices are nearly as
+good as comparing all upstreams; with stale data they are better (Mitzenmacher,
+2000). The third makes up for one that may be slow."""
 
 LoadListener = ty.Callable[[upstream_view.UpstreamView], None]
 
@@ -71,25 +74,26 @@
         Parameters
         ----------
         home : UpstreamView, optional
-            The one that is to hold prompts which begin like this one.
+            Upstream assigned to cache the prefix of the prompt.
         """
 
 
 class ScoredPolicy:
-    """Takes the upstream that delays the request least.
+    """Prefers the upstream with the least expected delay of the request.
 
-    Counted in tokens of prompt to be read first: those that are waiting
-    there, those of the request which it does not hold, and what stands for
-    a batch, a memory or a bad spell.
+    The delay is expressed as a number of prompt tokens to prefill: those
+    waiting at the upstream, those of the request that the upstream has not
+    cached, and equivalents for running requests, a full batch or memory,
+    recent failures, silence and distance.
 
     Parameters
     ----------
     failure_domain : str
-        This router's own.
+        Failure domain of this router.
     """
 
     def __init__(self, failure_domain: str) -> None:
-        self._domain = failure_domain
+        self._failure_domain = failure_domain
 
     def order(
         self,
@@ -120,21 +124,23 @@
         score = float(load.unread + prompt.tokens_in)
         if view is home:
             score -= shared
-        score += _RUNNING_TOKENS * load.running
+        score += _RUNNING_REQUEST_TOKENS * load.running
         if load.running >= view.slots:
-            score += _FULL_TOKENS * load.running / view.slots
+            score += _FULL_UPSTREAM_TOKENS * load.running / view.slots
         needed = load.memory + prompt.tokens_in + prompt.tokens_out
         if service.engine and needed > service.memory_tokens:
-            score += _FULL_TOKENS
-        score += _FAILING_TOKENS * view.health.failure_share()
-        score += _SILENT_TOKENS * max(0, view.silent_ms() - _SILENCE_MS)
-        if view.failure_domain != self._domain:
-            score += _DISTANCE_TOKENS
+            score += _FULL_UPSTREAM_TOKENS
+        score += _FAILURE_TOKENS * view.health.failure_share()
+        score += _SILENCE_TOKENS_PER_MS * max(
+            0, view.silent_ms() - _SILENCE_GRACE_MS
+        )
+        if view.failure_domain != self._failure_domain:
+            score += _OTHER_DOMAIN_TOKENS
         return score
 
 
 class LeastLoadedPolicy:
-    """Takes the upstream with the smallest share of its slots in use."""
+    """Prefers the upstream with the smallest share of its slots in use."""
 
     def order(
         self,
@@ -154,10 +160,10 @@
 
 
 class RoundRobinPolicy:
-    """Takes upstreams in turn; the baseline."""
+    """Rotates through the upstreams; the baseline for comparisons."""
 
     def __init__(self) -> None:
-        self._turns = itertools.count()
+        self._next_start = itertools.count()
 
     def order(
         self,
@@ -166,9 +172,9 @@
         views: Views,
         home: ty.Optional[upstream_view.UpstreamView],
     ) -> list[upstream_view.UpstreamView]:
-        """Return `views` in the order of names, begun at the next turn."""
+        """Return `views` by name, starting one further at each call."""
         ordered = sorted(views, key=lambda view: view.name)
-        start = next(self._turns) % max(1, len(ordered))
+        start = next(self._next_start) % max(1, len(ordered))
         return ordered[start:] + ordered[:start]
 
 
@@ -177,31 +183,37 @@
     'least_loaded': lambda domain: LeastLoadedPolicy(),
     'round_robin': lambda domain: RoundRobinPolicy(),
 }
-"""Policies by the name that settings give them."""
+"""Constructors of policies by their name in the settings."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Selection:
-    """What an upstream was chosen by, for the log."""
+    """Why an upstream was selected, for the log."""
 
     compared: int = 1
-    """Upstreams that were compared."""
+    """Number of upstreams that were compared."""
     is_home: bool = False
-    """Whether it is to hold what the prompt begins with."""
+    """Whether the upstream is the home of the prompt's prefix."""
     running: int = 0
-    """Requests there, of all routers, as far as it is known."""
+    """Known requests of all routers at the upstream."""
     unread: int = 0
-    """Tokens of prompts that wait there to be read."""
+    """Prompt tokens waiting for prefill at the upstream."""
 
 
 class Reservation:
-    """A request's work at one upstream; `release` it when done.
+    """The load that a request adds to one upstream until it is released.
 
     Parameters
     ----------
-    tell : callable
-        Told of the upstream where so much was added or taken away there that
-        other routers would choose otherwise.
+    view : UpstreamView
+        The upstream.
+    exchange : Exchange
+        The request.
+    selection : Selection, optional
+        Why the upstream was selected.
+    on_load_change : callable, optional
+        Called with the upstream when its load changes enough to affect the
+        selection of other routers.
     """
 
     def __init__(
@@ -209,53 +221,53 @@
         view: upstream_view.UpstreamView,
         exchange: exchange_.Exchange,
         selection: Selection = Selection(),
-        tell: LoadListener = lambda view: None,
+        on_load_change: LoadListener = lambda view: None,
     ) -> None:
         self.view = view
         """The upstream."""
         self.selection = selection
-        """What it was chosen by."""
+        """Why the upstream was selected."""
         prompt = exchange.prompt
         self._load = upstream_view.Load(
             1, prompt.tokens_in, prompt.tokens_in + prompt.tokens_out
         )
         view.add_load(self._load)
-        self._tell = tell
-        self._is_telling = prompt.tokens_in >= _TOLD_TOKENS
-        if self._is_telling:
-            tell(view)
+        self._on_load_change = on_load_change
+        self._reports_end = prompt.tokens_in >= _REPORTED_PROMPT_TOKENS
+        if self._reports_end:
+            on_load_change(view)
 
     def mark_prompt_read(self) -> None:
-        """Note that the first event has come: its prompt is read."""
+        """Record the first event of the answer: the prefill has ended."""
         self.view.remove_load(upstream_view.Load(unread=self._load.unread))
         self._load.unread = 0
-        self._tell_end()
+        self._report_end()
 
     def release(self) -> None:
-        """Take the work away; doing so twice is the same as once."""
+        """Remove the load from the upstream; idempotent."""
         self.view.remove_load(self._load)
         self._load = upstream_view.Load()
-        self._tell_end()
+        self._report_end()
 
-    def _tell_end(self) -> None:
-        if self._is_telling:
-            self._is_telling = False
-            self._tell(self.view)
+    def _report_end(self) -> None:
+        if self._reports_end:
+            self._reports_end = False
+            self._on_load_change(self.view)
 
 
 class Placement:
-    """Chooses among the live upstreams of a service.
+    """Selects one of the live upstreams of a service for each request.
 
     Parameters
     ----------
     table : upstreams.UpstreamTable
         The upstreams.
     policy : Policy
-        Orders them.
+        Orders the upstreams that are compared.
     router : str
         Name of this router.
     limits : upstream_limits.UpstreamLimits
-        Splits the limits of upstreams between routers.
+        Splits the request rate limits of upstreams between the routers.
     """
 
     def __init__(
@@ -270,12 +282,13 @@
         self._router = router
         self._limits = limits
         self._candidates: dict[str, candidates_.Candidates] = {}
-        self._draws = random.Random(router)
+        self._random = random.Random(router)
         self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
-        """Whether what is known of other routers' work is older than it
-        lasts."""
+        """Returns whether the load data of other routers is stale: it is older
+        than the requests that it describes usually last."""
         self.on_load_change: LoadListener = lambda view: None
-        """Told of upstreams at which this router's work has changed much."""
+        """Called with an upstream when this router's load there has changed
+        enough to affect the selection of other routers."""
 
     def choose(
         self,
@@ -283,23 +296,26 @@
         service: pb.Service,
         avoid: ty.Collection[str] = (),
     ) -> ty.Optional[Reservation]:
-        """Return a place for the request, or None where no upstream is.
+        """Reserve an upstream for a request, or return None if there is none.
 
         Parameters
         ----------
         avoid : collection of str
-            Upstreams that it is not sent to again.
+            Names of upstreams that must not be selected.
         """
-        among = self._among(service.name)
-        home = self._home(among, exchange.prompt, avoid)
-        views = self._compared(self._usable(among.subset, avoid))
+        candidates = self._candidates_of(service.name)
+        home = self._find_home(candidates, exchange.prompt, avoid)
+        views = self._select_compared(
+            self._filter_usable(candidates.subset, avoid)
+        )
         if home is not None and home not in views:
             views.append(home)
         if not views:
-            # An open breaker is a guess; with nothing else it is overruled.
-            views = self._usable(among.views, avoid) or [
+            # An open breaker may be wrong; without an alternative, it is
+            # ignored.
+            views = self._filter_usable(candidates.views, avoid) or [
                 view
-                for view in among.views
+                for view in candidates.views
                 if view.name not in avoid and not self._limits.wait_ms(view)
             ]
         ordered = self._policy.order(exchange, service, views, home)
@@ -313,10 +329,10 @@
         return Reservation(best, exchange, selection, self.on_load_change)
 
     def wait_ms(self, service: str, avoid: ty.Collection[str] = ()) -> int:
-        """Return the time until the limit of some upstream permits a request.
+        """Return the time until the limit of an upstream permits a request.
 
-        In ms; 0 if an upstream without a limit is live, if a limit permits
-        one now, or if there is no upstream.
+        In ms; 0 if a live upstream has no limit, if a limit permits a request
+        now, or if there is no upstream.
         """
         return min(
             (
@@ -327,19 +343,22 @@
             default=0,
         )
 
-    def _compared(
+    def _select_compared(
         self, views: list[upstream_view.UpstreamView]
     ) -> list[upstream_view.UpstreamView]:
-        """Return those that are compared: few, where knowledge is late.
+        """Return the upstreams to compare: a random few if data is stale.
 
-        Else all routers send what comes in a second to the one upstream
-        that looked best to all of them at its beginning.
+        Otherwise, all routers would send their requests to the same upstream,
+        which looks best to all of them until the next update.
         """
-        if len(views) <= _COMPARED_LATE or not self.has_stale_peer_data():
+        if (
+            len(views) <= _COMPARED_WHEN_STALE
+            or not self.has_stale_peer_data()
+        ):
             return views
-        return self._draws.sample(views, _COMPARED_LATE)
+        return self._random.sample(views, _COMPARED_WHEN_STALE)
 
-    def _among(self, service: str) -> candidates_.Candidates:
+    def _candidates_of(self, service: str) -> candidates_.Candidates:
         live = self._table.live(service)
         known = self._candidates.get(service)
         if known is None or known.views is not live:
@@ -347,19 +366,19 @@
             self._candidates[service] = known
         return known
 
-    def _home(
+    def _find_home(
         self,
-        among: candidates_.Candidates,
+        candidates: candidates_.Candidates,
         prompt: exchange_.Prompt,
         avoid: ty.Collection[str],
     ) -> ty.Optional[upstream_view.UpstreamView]:
-        """Return the upstream that is to hold what `prompt` begins with."""
+        """Return the home of the prompt's prefix, if it is usable."""
         if not sum(part.tokens for part in prompt.shared):
             return None
-        homes = among.homes(prompt.shared[-1].id)
-        return next(iter(self._usable(homes, avoid)), None)
+        homes = candidates.homes(prompt.shared[-1].id)
+        return next(iter(self._filter_usable(homes, avoid)), None)
 
-    def _usable(
+    def _filter_usable(
         self, views: Views, avoid: ty.Collection[str]
     ) -> list[upstream_view.UpstreamView]:
         """Return the healthy upstreams whose limits permit a request."""
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -1,4 +1,4 @@
-"""Teams' limits in tokens, kept by all routers together."""
+"""Token limits of teams, enforced jointly by all routers."""
 
 from __future__ import annotations
 
@@ -9,92 +9,97 @@
 from peridotmast import clock as clock_
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_LONGEST_WAIT_MS = 10_000
-"""What a caller is told at most: its team's others may use less by then."""
-
-_LITTLE = 0.5
-_SMALL = 1 / 8
-_PART = 1.5
-"""Below half of the burst, a request that is small against it waits until the
-one before it has come in at one and a half times this router's part of the
-rate. In a large fleet what the others let pass is known a second and a half
-late: without this, all let pass what came as soon as a little was there again,
-and a team that asked for 6 times its limit got up to 1.23 of it in the worst
-8 s, now 1.03 (58 routers, without a network, requests of a fortieth of the
-burst). Larger requests are few, and would be refused to teams that keep
-within small limits."""
+_MAX_WAIT_MS = 10_000
+"""Maximum retry time given to callers: other callers of the team may use less
+by then."""
+
+_LOW_LEVEL = 0.5
+_SMALL_REQUEST = 1 / 8
+_PACE = 1.5
+"""While the level is below half of the burst, requests of up to an eighth of
+the burst are paced: each waits until the tokens of the previous one have been
+regained at 1.5 times this router's part of the rate. In a large fleet, the
+spending of other routers is known 1.5 s late. Without pacing, all routers
+would admit requests as soon as a few tokens were available: a team that asked
+for 6 times its limit received up to 1.23 times its limit in the worst 8 s,
+against 1.03 with pacing (58 routers, without a network, requests of a fortieth
+of the burst). Larger requests are rare, and pacing would refuse them to teams
+that stay within a small limit."""
 
 STARTUP_WAIT_MS = 1000
 LARGE_FLEET_STARTUP_WAIT_MS = 2000
-"""How long a router that starts waits to be told what is left: four rounds of
-beacons, which are half as frequent in a large fleet. If nobody has told it by
-then, nobody was there before it."""
+"""How long a starting router waits for a peer to report the levels: four
+beacon intervals, which are twice as long in a large fleet. If no peer has
+reported them by then, no router was running before."""
 
-_TELL_MS = 500
-"""What a caller is told meanwhile: one round."""
+_STARTUP_RETRY_MS = 500
+"""Retry time given to callers during this wait: one beacon interval."""
 
-_OWN_SHARE = 0.25
-"""Part of its part that a router of a large fleet keeps to itself until it is
-told what is left: enough for the smallest requests. The rest is its head's to
-lend, to those of the group that are asked for more."""
+_UNLENT_SHARE = 0.25
+"""Share of its own part that a router of a large fleet may spend until it
+knows the level: enough for the smallest requests. The rest is lent by the head
+of its group to the members that receive more requests."""
 
-_NEEDED_SHARE = 0.5
-"""Part of a request's tokens that must be there for it to pass. With none, a
-long request leaves a debt that holds up dozens of short ones; with all, short
-ones keep the level below what a long one needs. Measured on days on which a
-team asks for twice its limit: refused 87, 40 and 22 in 1,000 of all requests
-at shares of 0, 0.5 and 1, and the worst-served kind best at 0.5."""
+_ADMISSION_SHARE = 0.5
+"""Share of a request's tokens that must be available for its admission. With
+0, a long request leaves a debt that delays dozens of short ones; with 1, short
+ones keep the level below what a long one needs. On experiment days on which a
+team asks for twice its limit, 87, 40 and 22 of 1,000 requests were refused at
+shares of 0, 0.5 and 1, and the worst-served kind of request was served best
+at 0.5."""
 
 
 @dataclasses.dataclass
 class _Bucket:
-    """One team's tokens, as all routers together have them left."""
+    """Token bucket for the limit of one team on all routers together."""
 
     rate: float
-    """Tokens that come in a second."""
+    """Tokens gained per second."""
     burst: float
-    """Most that gather."""
+    """Maximum number of tokens."""
     level: float
-    """Those left; below 0 where routers let too much pass at once."""
+    """Tokens left; negative after routers have admitted too many requests."""
     at: int
-    """Moment for which `level` holds, in ms."""
-    owed: float
-    """What is left of the last small request that passed here: it is paid
-    back at the pace that is kept to where little is left of the whole."""
-    is_sure: bool
-    """Whether the level is what all routers together have left, as far as
-    it can be: not while this router has started just now, and was not told."""
+    """Time for which `level` holds, in ms."""
+    debt: float
+    """Tokens of the last small request admitted here that have not been
+    regained yet; used for pacing while the level is low."""
+    is_known: bool
+    """Whether the level accounts for the spending of all routers, as far as
+    it is known. False after a start until a peer has reported the level."""
     full_at: int = 0
-    """Last moment at which it was full, in ms."""
+    """Last time at which the bucket was full, in ms."""
     lent: int = 0
-    """Tokens that this router has lent as a head."""
+    """Tokens that this router has lent as the head of a group."""
     borrowed: int = 0
-    """Tokens that it has let pass beside its own part, since lent to it."""
-    is_used_up: bool = False
-    """Whether a head had nothing left to lend."""
+    """Tokens spent by this router that the head has lent to it."""
+    is_lending_exhausted: bool = False
+    """Whether the head of a group had too few tokens left to lend."""
 
     def fill(self, now: int, share: float, routers: int) -> None:
-        """Bring the level up to `now`, at a share of the rate."""
+        """Add the tokens gained up to `now`, at a share of the rate."""
         gained = (now - self.at) / 1000 * self.rate
         self.level = min(self.burst, self.level + gained * share)
         if self.level >= self.burst:
             self.full_at = now
-        self.owed = max(0.0, self.owed - gained * _PART / routers)
+        self.debt = max(0.0, self.debt - gained * _PACE / routers)
         self.at = now
 
 
 class Quota:
-    """A bucket a team, from which every router's requests are taken.
-
-    Each router keeps the whole team's bucket: it takes its own requests out
-    at once and those of the others as it hears of them. What was let pass
-    meanwhile is made good by a level below zero, so the sum over time is
-    exact and only its edge is late by a beacon. A router that hears only
-    some of the others fills its buckets by their share: what it does not
-    hear of may be spent as well. One that starts keeps to its part until it
-    is told what is left, and goes on from the rest of its part where nobody
-    tells it: with full buckets of their own, a third of 58 routers that
-    started at once let a team pass a fifth more than its limit in 8 s.
+    """Token buckets of the teams, each for the requests of all routers.
+
+    Each router keeps a bucket for the whole limit of each team. It subtracts
+    its own requests at once, and those of other routers when it receives
+    their beacons. Requests admitted in between make the level negative, so
+    that the total over time is exact and only delayed by one beacon. A router
+    that hears only a share of the fleet fills its buckets at that share of the
+    rate, as the routers that it does not hear may spend the rest.
+
+    A starting router spends no more than its own part until a peer reports the
+    levels; if none does, it continues with the remainder of its part. With
+    full buckets instead, a third of 58 routers that were started at once
+    admitted a fifth more than a team's limit in 8 s.
 
     Parameters
     ----------
@@ -106,23 +111,23 @@
         self._clock = clock
         self._buckets: dict[str, _Bucket] = {}
         self._spent: dict[str, int] = {}
-        self._is_begun = False
-        self._began = 0
+        self._is_started = False
+        self._started_at = 0
         self.known_share = 1.0
-        """Part of the fleet that this router hears, itself among it."""
+        """Share of the fleet that this router hears, including itself."""
         self.count_routers: ty.Callable[[], int] = lambda: 1
-        """Returns how many routers there are, as far as this one knows."""
+        """Returns the number of routers known to this one."""
         self.startup_wait_ms = STARTUP_WAIT_MS
-        """How long this router waits to be told what is left."""
+        """How long this router waits for peers to report levels, in ms."""
         self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
-        """Says whether it knows of the others' spends so late that each keeps
-        to its part where little is left, and heads lend."""
+        """Returns whether the spending of peers is known so late that routers
+        pace requests while the level is low, and heads of groups lend."""
 
     def configure(self, teams: ty.Iterable[pb.Team]) -> None:
-        """Put the teams' limits into force."""
+        """Apply the limits of the teams."""
         now = self._clock.now()
-        if not self._is_begun:
-            self._is_begun, self._began = True, now
+        if not self._is_started:
+            self._is_started, self._started_at = True, now
         buckets: dict[str, _Bucket] = {}
         for team in teams:
             if not team.rate:
@@ -135,7 +140,7 @@
                     team.burst,
                     now,
                     0.0,
-                    not self._is_new(),
+                    not self._is_starting(),
                 )
             known.fill(now, self.known_share, self.count_routers())
             known.rate, known.burst = team.rate, team.burst
@@ -144,10 +149,10 @@
         self._buckets = buckets
 
     def take(self, team: str, tokens: int) -> int:
-        """Let a request pass, or say how long to wait, in ms (0: passed).
+        """Admit a request and return 0, or return how long to wait, in ms.
 
-        A request may take the level below zero, so that one which is larger
-        than the burst can pass at all.
+        A request may make the level negative, so that one that is larger than
+        the burst can be admitted.
         """
         bucket = self._buckets.get(team)
         if bucket is not None:
@@ -156,43 +161,48 @@
                 return wait_ms
             bucket.level -= tokens
             if _is_small(bucket, tokens):
-                bucket.owed = tokens
+                bucket.debt = tokens
         self._spent[team] = self._spent.get(team, 0) + tokens
         return 0
 
     def is_level_known(self, team: str) -> bool:
-        """Return whether what is left of a team's limit is known here."""
+        """Return whether the level of a team's bucket is known."""
         bucket = self._buckets.get(team)
-        return bucket is None or bucket.is_sure
+        return bucket is None or bucket.is_known
 
     def lend(self, team: str, tokens: int, members: int) -> bool:
-        """Let a member of this head's group pass a request, if it may.
+        """Lend tokens to a member of this head's group, if enough are left.
 
-        All that the heads lend and the members let pass of their own parts
-        is together what the team may use.
+        The tokens that the heads lend and the shares that the members keep add
+        up to the limit of the team.
 
         Parameters
         ----------
         members : int
-            Routers in the group, this one too.
+            Number of routers in the group, including this one.
+
+        Returns
+        -------
+        bool
+            Whether the member may admit the request.
         """
         bucket = self._buckets.get(team)
         if bucket is None:
             return False
-        if bucket.is_sure:
+        if bucket.is_known:
             bucket.fill(
                 self._clock.now(), self.known_share, self.count_routers()
             )
-            return bucket.level >= _needed(bucket, tokens)
-        parts = members * (1 - _OWN_SHARE) * self._part(bucket)
-        if parts - bucket.lent < _needed(bucket, tokens):
-            bucket.is_used_up = True
+            return bucket.level >= _tokens_needed(bucket, tokens)
+        lendable = members * (1 - _UNLENT_SHARE) * self._own_part(bucket)
+        if lendable - bucket.lent < _tokens_needed(bucket, tokens):
+            bucket.is_lending_exhausted = True
             return False
         bucket.lent += tokens
         return True
 
     def take_borrowed(self, team: str, tokens: int) -> None:
-        """Let a request pass for which tokens were lent."""
+        """Admit a request with tokens that the head has lent."""
         bucket = self._buckets.get(team)
         if bucket is not None:
             bucket.level -= tokens
@@ -200,36 +210,36 @@
         self._spent[team] = self._spent.get(team, 0) + tokens
 
     def note_lender_empty(self, team: str) -> None:
-        """Take note that the head had nothing to lend of a team's limit."""
+        """Record that the head had too few tokens to lend for a team."""
         bucket = self._buckets.get(team)
         if bucket is not None:
-            bucket.is_used_up = True
+            bucket.is_lending_exhausted = True
 
     def describe(self, team: str) -> str:
-        """Return what a decision on a team's request goes by, in words."""
+        """Return a description of a team's bucket, for error messages."""
         bucket = self._buckets.get(team)
         if bucket is None:
-            return f'{team} without a limit'
+            return f'{team}: no limit'
         return (
-            f'{team} level {bucket.level:.0f} rate {bucket.rate:g}'
-            f' burst {bucket.burst:g} share {self.known_share:.2f}'
-            f'{"" if bucket.is_sure else " untold"}'
+            f'{team}: level {bucket.level:.0f}, rate {bucket.rate:g},'
+            f' burst {bucket.burst:g}, known share {self.known_share:.2f}'
+            f'{"" if bucket.is_known else ", level unconfirmed"}'
         )
 
     def refund(self, team: str, tokens: int) -> None:
-        """Return the tokens of a request that did not run."""
+        """Refund the tokens of a request that did not run."""
         self._spent[team] = self._spent.get(team, 0) - tokens
         bucket = self._buckets.get(team)
         if bucket is not None:
             bucket.level = min(bucket.burst, bucket.level + tokens)
-            bucket.owed = 0
+            bucket.debt = 0
 
     def spent(self) -> dict[str, int]:
-        """Return what this router has let pass so far, by team."""
+        """Return the total tokens spent by this router, by team."""
         return dict(self._spent)
 
     def subtract_peer_spends(self, spends: dict[str, int]) -> None:
-        """Take what other routers have let pass out of the buckets."""
+        """Subtract tokens spent by other routers from the buckets."""
         now = self._clock.now()
         for team, tokens in spends.items():
             bucket = self._buckets.get(team)
@@ -238,10 +248,17 @@
                 bucket.level = min(bucket.burst, bucket.level - tokens)
 
     def max_spends(self, share: float, since: int) -> dict[str, int]:
-        """Return what part of the routers may have spent since a moment.
+        """Return the tokens that a share of the routers may have spent.
+
+        This is their share of the tokens gained since a time. A full bucket
+        gains no tokens.
 
-        That is their part of what came in and was not lost at full buckets:
-        nothing was gained while they were full.
+        Parameters
+        ----------
+        share : float
+            Share of the fleet, from 0 to 1.
+        since : int
+            Start of the time span, in ms.
         """
         now = self._clock.now()
         found = {}
@@ -252,99 +269,103 @@
         return found
 
     def tick(self) -> None:
-        """Wait no longer to be told, once the time for it is over."""
-        if not self._is_new():
+        """End the wait for the levels of peers once its time is over."""
+        if not self._is_starting():
             for team, bucket in self._buckets.items():
-                self._settle(team, bucket)
+                self._estimate_level(team, bucket)
 
     def needs_levels(self) -> bool:
-        """Return whether a peer is to tell this router what is left."""
-        unsure = not all(b.is_sure for b in self._buckets.values())
-        return unsure or not self._is_begun
+        """Return whether peers should report the levels to this router."""
+        is_any_unknown = not all(b.is_known for b in self._buckets.values())
+        return is_any_unknown or not self._is_started
 
     def levels(self) -> dict[str, int]:
-        """Return what is left of each team's limit, where that is known."""
+        """Return the levels of the teams, where they are known."""
         now = self._clock.now()
-        sure = {t: b for t, b in self._buckets.items() if b.is_sure}
-        for bucket in sure.values():
+        known_buckets = {t: b for t, b in self._buckets.items() if b.is_known}
+        for bucket in known_buckets.values():
             bucket.fill(now, self.known_share, self.count_routers())
-        return {team: round(b.level) for team, b in sure.items()}
+        return {team: round(b.level) for team, b in known_buckets.items()}
 
     def adopt_levels(self, levels: dict[str, int]) -> None:
-        """Take over from a peer what is left.
+        """Set unknown levels to those that a peer reports.
 
-        What this router has let pass before may be taken off there already,
-        or not; that is its part at most, and is not taken off again.
+        The peer may or may not have subtracted the tokens already spent by
+        this router. These are its own part at most, and are not subtracted
+        again.
         """
         now = self._clock.now()
         for team, tokens in levels.items():
             bucket = self._buckets.get(team)
-            if bucket is not None and not bucket.is_sure:
+            if bucket is not None and not bucket.is_known:
                 bucket.level, bucket.at = min(bucket.burst, tokens), now
-                bucket.is_sure = True
+                bucket.is_known = True
 
-    def _is_new(self) -> bool:
-        """Return whether limits have come into force here just now."""
-        return self._clock.now() - self._began < self.startup_wait_ms
+    def _is_starting(self) -> bool:
+        """Return whether the time to wait for the levels is not over yet."""
+        return self._clock.now() - self._started_at < self.startup_wait_ms
 
-    def _settle(self, team: str, bucket: _Bucket) -> None:
-        """Go on from what is left by the own part: nobody was there before."""
-        if bucket.is_sure:
+    def _estimate_level(self, team: str, bucket: _Bucket) -> None:
+        """Estimate the level from this router's own spending.
+
+        Without a report from a peer, no router was running before.
+        """
+        if bucket.is_known:
             return
-        bucket.is_sure = True
-        if bucket.is_used_up:
+        bucket.is_known = True
+        if bucket.is_lending_exhausted:
             bucket.level = min(bucket.level, 0.0)
         elif not self.has_stale_peer_data():
-            # The others have let pass as much as this one, as far as it can
-            # tell: most of what they count is on its way.
-            part = self._part(bucket) - self._spent.get(team, 0)
-            left = max(-bucket.burst, part * self.count_routers())
-            bucket.level = min(bucket.level, left)
-
-    def _part(self, bucket: _Bucket) -> float:
-        """Return what this router may let pass before it is told."""
-        ms = min(self.startup_wait_ms, self._clock.now() - self._began)
+            # Most of the spending of other routers is not known yet; it is
+            # assumed to equal that of this router.
+            own_part = self._own_part(bucket) - self._spent.get(team, 0)
+            remaining = max(-bucket.burst, own_part * self.count_routers())
+            bucket.level = min(bucket.level, remaining)
+
+    def _own_part(self, bucket: _Bucket) -> float:
+        """Return the tokens that this router may spend while it waits."""
+        ms = min(self.startup_wait_ms, self._clock.now() - self._started_at)
         return (bucket.burst + bucket.rate * ms / 1000) / self.count_routers()
 
     def _wait_ms(self, team: str, bucket: _Bucket, tokens: int) -> int:
-        """Return how long a request has to wait, in ms; 0 if not at all."""
+        """Return how long a request has to wait, in ms; 0 if it need not."""
         self.tick()
         bucket.fill(self._clock.now(), self.known_share, self.count_routers())
-        needed = _needed(bucket, tokens)
+        needed = _tokens_needed(bucket, tokens)
         if bucket.level < needed:
-            return self._gathering_ms(bucket, needed)
-        if bucket.is_sure:
-            return self._pause_ms(bucket, tokens)
-        share = _OWN_SHARE if self.has_stale_peer_data() else 1.0
+            return self._refill_ms(bucket, needed)
+        if bucket.is_known:
+            return self._pacing_ms(bucket, tokens)
+        share = _UNLENT_SHARE if self.has_stale_peer_data() else 1.0
         own = self._spent.get(team, 0) - bucket.borrowed
-        left = share * self._part(bucket) - own
-        return 0 if left >= needed else _TELL_MS
+        remaining = share * self._own_part(bucket) - own
+        return 0 if remaining >= needed else _STARTUP_RETRY_MS
 
-    def _pause_ms(self, bucket: _Bucket, tokens: int) -> int:
-        """Return how long to wait for the own part where little is left."""
-        little = bucket.level < _LITTLE * bucket.burst
+    def _pacing_ms(self, bucket: _Bucket, tokens: int) -> int:
+        """Return how long pacing delays a request, in ms."""
+        is_low = bucket.level < _LOW_LEVEL * bucket.burst
         if not (
-            self.has_stale_peer_data() and little and _is_small(bucket, tokens)
+            self.has_stale_peer_data() and is_low and _is_small(bucket, tokens)
         ):
             return 0
-        part = bucket.rate * _PART / self.count_routers()
-        wait = math.ceil(bucket.owed / part * 1000)
-        return min(_LONGEST_WAIT_MS, wait)
+        pace = bucket.rate * _PACE / self.count_routers()
+        wait = math.ceil(bucket.debt / pace * 1000)
+        return min(_MAX_WAIT_MS, wait)
 
-    def _gathering_ms(self, bucket: _Bucket, needed: float) -> int:
-        """Return how long the tokens that are needed take to gather."""
+    def _refill_ms(self, bucket: _Bucket, needed: float) -> int:
+        """Return the time until the bucket holds enough tokens, in ms."""
         rate = bucket.rate * self.known_share
         if rate <= 0:
-            return _LONGEST_WAIT_MS
+            return _MAX_WAIT_MS
         wait = math.ceil((needed - bucket.level) / rate * 1000)
-        return max(1, min(_LONGEST_WAIT_MS, wait))
+        return max(1, min(_MAX_WAIT_MS, wait))
 
 
-def _needed(bucket: _Bucket, tokens: int) -> float:
-    """Return how many tokens must be there for a request to pass."""
-    return max(1, _NEEDED_SHARE * min(tokens, bucket.burst))
+def _tokens_needed(bucket: _Bucket, tokens: int) -> float:
+    """Return the number of tokens that a request needs for admission."""
+    return max(1, _ADMISSION_SHARE * min(tokens, bucket.burst))
 
 
 def _is_small(bucket: _Bucket, tokens: int) -> bool:
-    """Return whether a request is small against its team's limit."""
-    return tokens <= _SMALL * bucket.burst
+    """Return whether a request is small compared to the team's burst."""
+    return tokens <= _SMALL_REQUEST * bucket.burst
--- a/src/peridotmast/serving/upstream_view.py
+++ b/src/peridotmast/serving/upstream_view.py
@@ -1,4 +1,4 @@
-"""One upstream as a router sees it: its entry, its work, its health."""
+"""State of one upstream on a router: its entry, its load and its health."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """Work of some routers at one upstream."""
+    """Load that one or more routers put on an upstream."""
 
     running: int = 0
-    """Requests."""
+    """Number of requests."""
     unread: int = 0
-    """Tokens of prompts whose first event has not come."""
+    """Prompt tokens of requests that have not produced their first event."""
     memory: int = 0
-    """Tokens that the requests hold, or will hold, in its memory."""
+    """Tokens that the requests occupy, or will occupy, in its memory."""
 
     def add(self, other: Load, sign: int = 1) -> None:
-        """Add `other`, or take it away where `sign` is -1."""
+        """Add `other`, or subtract it if `sign` is -1."""
         self.running += sign * other.running
         self.unread += sign * other.unread
         self.memory += sign * other.memory
@@ -40,19 +40,20 @@
 
 
 class UpstreamView:
-    """One run of an upstream as this router sees it.
+    """State of one run of an upstream on this router.
 
-    A later run under the same name is another view: what this one held, ran
-    or promised is nothing to that one.
+    A later run under the same name has its own view, as it shares neither the
+    cache nor the requests nor the health of this one.
 
     Parameters
     ----------
     record : pb.UpstreamRecord
-        What the platform says of it.
+        The record of the upstream from the platform.
     clock : clock.Clock
-        Times its health.
+        Times the health and the silence of the upstream.
     busy : set of UpstreamView
-        Those that this router has work at; kept up to date by each.
+        The views at which this router has requests; each view adds and
+        removes itself.
     """
 
     def __init__(
@@ -62,86 +63,93 @@
         busy: set[UpstreamView],
     ) -> None:
         self.born = 0
-        """When this run began, ms since 1970; 0 where that is not told."""
+        """Start time of this run, in ms since 1970; 0 if unknown."""
         self.local_load = Load()
-        """This router's own work there."""
+        """Load of this router on the upstream."""
         self.health = health_.Health(clock)
-        """How it has answered lately."""
+        """Outcomes of recent requests."""
         self.not_live_since = 0
-        """Moment at which it was heard to leave, or its entry to be missing,
-        in ms; 0 before."""
+        """Time since which the upstream is known to leave, or its entry to be
+        missing, in ms; 0 while it is live."""
         self._clock = clock
         self._busy = busy
-        self._heard_at = 0
-        self._others: dict[str, Load] = {}
-        self._total = Load()
+        self._active_at = 0
+        self._peer_loads: dict[str, Load] = {}
+        self._total_load = Load()
         self.update(record)
 
     def update(self, record: pb.UpstreamRecord) -> None:
-        """Take in a newer statement on it."""
+        """Replace the record by a newer one."""
         upstream = record.upstream
         self.record = record
-        """The newest statement on it."""
-        # Read for each of many upstreams when a request is placed.
+        """The newest record of the upstream."""
+        # Copied from the record, as placement reads these attributes of many
+        # upstreams for each request.
         self.name = ids.UpstreamName(upstream.name)
-        """Its id, which a later run may have again."""
+        """Id of the upstream, which a later run may reuse."""
         self.born = upstream.born or self.born
         self.address = upstream.address
-        """Its address, which others may get after it."""
+        """Address, which may later be reused by another upstream."""
         self.service = upstream.service
-        """Service that it belongs to."""
+        """Service that the upstream belongs to."""
         self.failure_domain = upstream.failure_domain
         """Failure domain of its VM."""
         self.slots = upstream.slots or 1
-        """Requests that it works on at once."""
+        """Maximum number of concurrent requests."""
 
     @property
     def run(self) -> str:
-        """Name of this run, which no other one has."""
+        """Unique name of this run."""
         return run_of(self.name, self.born)
 
     @property
     def is_available(self) -> bool:
-        """Whether nobody said that it leaves."""
+        """Whether the upstream is not known to leave or to be gone."""
         return self.record.state in (LIVE, LAPSED)
 
-    def is_confirmed(self, limit: int) -> bool:
-        """Return whether its entry is there, or missing since `limit`."""
-        return self.record.state == LIVE or self.not_live_since > limit
+    def was_live_at(self, cutoff: int) -> bool:
+        """Return whether the entry exists, or still existed at `cutoff`.
+
+        Parameters
+        ----------
+        cutoff : int
+            Time, in ms.
+        """
+        return self.record.state == LIVE or self.not_live_since > cutoff
 
     def add_load(self, load: Load) -> None:
-        """Add a request's work of this router."""
+        """Add the load of a request of this router."""
         if not self.local_load.running:
-            # It had nothing to say until now.
+            # Without a request, its silence was not a sign of a failure.
             self.note_activity()
         self.local_load.add(load)
-        self._total.add(load)
+        self._total_load.add(load)
         self._busy.add(self)
 
     def remove_load(self, load: Load) -> None:
-        """Take a request's work of this router, or a part of it, away."""
+        """Remove all or part of the load of a request of this router."""
         self.local_load.add(load, -1)
-        self._total.add(load, -1)
+        self._total_load.add(load, -1)
         if not self.local_load.running:
             self._busy.discard(self)
 
     def set_peer_load(self, router: str, load: Load) -> None:
-        """Take in all work that another router has there."""
-        self._total.add(self._others.pop(router, Load()), -1)
+        """Replace the load of another router."""
+        self._total_load.add(self._peer_loads.pop(router, Load()), -1)
         if load.running:
-            self._others[router] = load
-            self._total.add(load)
+            self._peer_loads[router] = load
+            self._total_load.add(load)
 
     def note_activity(self) -> None:
-        """Note that something came from it."""
-        self._heard_at = self._clock.now()
+        """Record that data was received from the upstream."""
+        self._active_at = self._clock.now()
 
     def silent_ms(self) -> int:
-        """Return for how long nothing came while this router waited, in ms."""
+        """Return for how long a request has waited without any data, in ms."""
         if not self.local_load.running:
             return 0
-        return self._clock.now() - self._heard_at
+        return self._clock.now() - self._active_at
 
     def total_load(self) -> Load:
-        """Return the work of all routers there, as far as it is known."""
-        return self._total
+        """Return the known load of all routers."""
+        return self._total_load
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that requests may go to, and what is known of each."""
+"""Table of the upstreams that a router knows."""
 
 from __future__ import annotations
 
@@ -15,46 +15,47 @@
 LAPSED = upstream_view.LAPSED
 UNREADABLE = upstream_view.UNREADABLE
 
-_FORGET_MS = 60_000
-"""How long a gone upstream is remembered, so that a peer that is behind does
-not bring it back."""
+_GONE_RETENTION_MS = 60_000
+"""How long a gone upstream is kept, so that an outdated record of a peer does
+not restore it."""
 
-_DOUBT_SHARE = 0.6
-"""Part of the time in which a leaving upstream may get work for which one
-whose entry is missing does: news has a way to go, and work too."""
+_GRACE_SHARE = 0.6
+"""Share of the drain time for which an upstream gets new requests after its
+entry went missing. The rest allows for the time that updates take between
+routers and requests take to the upstream."""
 
 _NEVER = 1 << 62
-"""Moment that does not come, in ms."""
+"""Time that is never reached, in ms."""
 
 _LAPSE_SLACK_MS = 300
-"""Allowed beside the platform's own figure for entries to come back."""
+"""Time added to the platform's own figure for the return of entries."""
 
 
 Listener = ty.Callable[[upstream_view.UpstreamView], None]
 
 
 class UpstreamTable:
-    """Upstreams by name; of two statements the one with more revision holds.
+    """Upstreams by name; for each, the record with the highest revision wins.
 
-    A statement on a later run under the same name begins a view of its own,
-    and one on an earlier run changes nothing any more, whatever revision it
-    has: a write of a run that has ended may still come to the store.
+    A record of a later run under the same name starts a new view. A record of
+    an earlier run is ignored whatever its revision, as a write of a run that
+    has ended may still reach the store.
 
-    An upstream whose entry is missing since an outage may only have been
-    unable to renew it. It gets new work for a part of the time in which a
-    leaving one may, and counts as gone when it is not back in the time that
-    the platform states. Each router counts that by itself, from when the
-    first one that tells of it heard, so that none depends on another one's
-    saying so.
+    An upstream whose entry is missing after an outage of the store may only
+    have been unable to renew it. Such a lapsed upstream gets new requests for
+    a share of the drain time, and counts as gone if its entry does not return
+    within the time that the platform states. Each router measures both times
+    itself, starting when the first router that reports the missing entry
+    noticed it, and so does not rely on a peer to declare the upstream gone.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times health, lapses and forgetting.
+        Times the health, the lapses and the retention of upstreams.
     drain_ms : int
-        Time after which a leaving upstream may get no new work.
+        Time after which a leaving upstream may get no new requests.
     lapse_ms : int
-        Time in which entries come back after an outage.
+        Time within which entries return after an outage.
     """
 
     def __init__(
@@ -64,73 +65,72 @@
         lapse_ms: int = 2000,
     ) -> None:
         self._clock = clock
-        self._doubt_ms = int(drain_ms * _DOUBT_SHARE)
+        self._grace_ms = int(drain_ms * _GRACE_SHARE)
         self._lapse_ms = lapse_ms + _LAPSE_SLACK_MS
         self._views: dict[str, upstream_view.UpstreamView] = {}
         self._busy: set[upstream_view.UpstreamView] = set()
-        self._off: dict[str, upstream_view.UpstreamView] = {}
-        self._told: dict[str, set[str]] = {}
-        self._by_service: ty.Optional[
+        self._not_live: dict[str, upstream_view.UpstreamView] = {}
+        self._upstreams_of: dict[str, set[str]] = {}
+        self._live_by_service: ty.Optional[
             dict[str, list[upstream_view.UpstreamView]]
         ] = None
-        self._sure_until = 0
+        self._valid_until = 0
         self._listeners: list[Listener] = []
-        self._end_listeners: list[Listener] = []
+        self._replacement_listeners: list[Listener] = []
         self.revision = 0
-        """The newest revision among the statements taken in."""
+        """The highest revision of all merged records."""
 
     def listen(self, listener: Listener) -> None:
-        """Call `listener` with each upstream whose state changed."""
+        """Call `listener` with each view whose record has changed."""
         self._listeners.append(listener)
 
     def listen_replacements(self, listener: Listener) -> None:
-        """Call `listener` with each view whose run has ended.
+        """Call `listener` with each view that is replaced by a later run.
 
-        Another run has begun under its name: the work that was sent to it
-        is lost.
+        The requests that were sent to the replaced run are lost.
         """
-        self._end_listeners.append(listener)
+        self._replacement_listeners.append(listener)
 
     def merge(self, record: pb.UpstreamRecord) -> bool:
-        """Take a statement in; say whether it was news."""
+        """Merge a record, and return whether it changed the table."""
         self.revision = max(self.revision, record.revision)
-        record = _checked(record)
+        record = _validate(record)
         view = self._views.get(record.upstream.name)
         if view is None:
-            return self._begin(record)
+            return self._add(record)
         born = record.upstream.born
         if born and view.born and born != view.born:
-            return born > view.born and self._begin_anew(view, record)
+            return born > view.born and self._replace(view, record)
         if record.revision <= view.record.revision:
             return False
-        if record.state in _NAME_ONLY:
+        if record.state in _NAME_ONLY_STATES:
             state = record.state
             if state != UNREADABLE and view.record.state in (LEAVING, GONE):
                 state = GONE
-            record = _changed(
+            record = _with_state(
                 view.record, state, record.revision, record.doubted_ms
             )
-        self._put(view, record)
+        self._set_record(view, record)
         return True
 
     def tick(self) -> list[upstream_view.UpstreamView]:
-        """Give up those whose entry did not come back; return them."""
-        limit = self._clock.now() - self._lapse_ms
-        late = [
-            view for view in self._lapsed() if view.not_live_since <= limit
+        """Mark upstreams as gone whose entry did not return; return them."""
+        cutoff = self._clock.now() - self._lapse_ms
+        expired = [
+            view for view in self._lapsed() if view.not_live_since <= cutoff
         ]
-        for view in late:
-            gone = _changed(view.record, GONE, view.record.revision)
-            self._put(view, gone)
-        return late
+        for view in expired:
+            gone = _with_state(view.record, GONE, view.record.revision)
+            self._set_record(view, gone)
+        return expired
 
     def merge_all(self, records: ty.Iterable[pb.UpstreamRecord]) -> None:
-        """Take many statements in."""
+        """Merge several records."""
         for record in records:
             self.merge(record)
 
     def records_since(self, revision: int) -> list[pb.UpstreamRecord]:
-        """Return what is said of upstreams after a revision, for a peer."""
+        """Return the records that changed after a revision, for a peer."""
         now = self._clock.now()
         found = []
         for view in self._views.values():
@@ -147,27 +147,30 @@
         return self._views.get(name)
 
     def all(self) -> list[upstream_view.UpstreamView]:
-        """Return every upstream, gone ones too."""
+        """Return all upstreams, including gone ones."""
         return list(self._views.values())
 
     def live(self, service: str) -> ty.Sequence[upstream_view.UpstreamView]:
-        """Return the upstreams of `service` that may get new work.
+        """Return the upstreams of `service` that may get new requests.
 
-        Those in doubt for long are used only where there is no other one:
-        that all of a service's leave in an outage is less likely than that
-        none could renew its entry.
+        Upstreams whose entry has been missing for longer are returned only if
+        the service has no others: during an outage, it is more likely that
+        none of them could renew its entry than that all of them have left.
 
         Returns
         -------
         sequence of upstream_view.UpstreamView
-            The same object until an upstream comes or goes.
+            The same object until the set of live upstreams may have changed.
         """
-        if self._by_service is None or self._clock.now() >= self._sure_until:
-            self._by_service = self._live_by_service()
-        return self._by_service.get(service, ())
+        if (
+            self._live_by_service is None
+            or self._clock.now() >= self._valid_until
+        ):
+            self._live_by_service = self._group_live()
+        return self._live_by_service.get(service, ())
 
     def local_loads(self) -> list[pb.UpstreamLoad]:
-        """Return this router's work at each upstream that has some."""
+        """Return this router's load on each upstream with requests of it."""
         return [
             self.local_load(view)
             for view in self._busy
@@ -175,7 +178,7 @@
         ]
 
     def local_load(self, view: upstream_view.UpstreamView) -> pb.UpstreamLoad:
-        """Return this router's work at one upstream."""
+        """Return this router's load on one upstream."""
         return pb.UpstreamLoad(
             upstream=view.name,
             running=view.local_load.running,
@@ -185,141 +188,148 @@
         )
 
     def set_peer_load(self, router: str, load: pb.UpstreamLoad) -> None:
-        """Take in another router's work at one upstream."""
-        if not self._is_of_this_run(load):
+        """Set the load of another router on one upstream."""
+        if not self._is_of_current_run(load):
             return
         self._views[load.upstream].set_peer_load(
             router,
             upstream_view.Load(load.running, load.unread, load.memory),
         )
-        self._told.setdefault(router, set()).add(load.upstream)
+        self._upstreams_of.setdefault(router, set()).add(load.upstream)
 
     def set_peer_loads(
         self, router: str, loads: ty.Iterable[pb.UpstreamLoad]
     ) -> None:
-        """Take in another router's work, all of it at once.
+        """Replace all loads of another router.
 
-        Costs what that router has work at, however many upstreams there are.
+        The cost depends on the number of upstreams that the router uses, not
+        on the number of all upstreams.
         """
-        theirs = {
-            load.upstream: load for load in loads if self._is_of_this_run(load)
+        loads_by_name = {
+            load.upstream: load
+            for load in loads
+            if self._is_of_current_run(load)
         }
-        for name in self._told.pop(router, set()) - theirs.keys():
+        for name in (
+            self._upstreams_of.pop(router, set()) - loads_by_name.keys()
+        ):
             if name in self._views:
                 self._views[name].set_peer_load(router, upstream_view.Load())
-        for name, load in theirs.items():
+        for name, load in loads_by_name.items():
             if name in self._views:
                 self._views[name].set_peer_load(
                     router,
                     upstream_view.Load(load.running, load.unread, load.memory),
                 )
-        if theirs:
-            self._told[router] = set(theirs)
+        if loads_by_name:
+            self._upstreams_of[router] = set(loads_by_name)
 
-    def _is_of_this_run(self, load: pb.UpstreamLoad) -> bool:
+    def _is_of_current_run(self, load: pb.UpstreamLoad) -> bool:
         view = self._views.get(load.upstream)
         if view is None:
             return False
         return not (load.born and view.born) or load.born == view.born
 
     def retain_peer_loads(self, routers: ty.Collection[str]) -> None:
-        """Drop the work of all routers but these: they are silent."""
-        for router in [r for r in self._told if r not in routers]:
+        """Remove the loads of all routers that are not in `routers`."""
+        for router in [r for r in self._upstreams_of if r not in routers]:
             self.set_peer_loads(router, ())
 
     def remove_gone(self) -> None:
-        """Drop upstreams that are gone for long."""
-        limit = self._clock.now() - _FORGET_MS
+        """Remove upstreams that have been gone for the retention period."""
+        cutoff = self._clock.now() - _GONE_RETENTION_MS
         old = [
             name
-            for name, view in self._off.items()
+            for name, view in self._not_live.items()
             if view.record.state in (GONE, UNREADABLE)
-            and view.not_live_since < limit
+            and view.not_live_since < cutoff
         ]
         for name in old:
             del self._views[name]
-            del self._off[name]
+            del self._not_live[name]
 
-    def _begin(self, record: pb.UpstreamRecord) -> bool:
-        """Take in the first statement on an upstream."""
+    def _add(self, record: pb.UpstreamRecord) -> bool:
+        """Add an upstream by its first record."""
         if record.state in (GONE, UNREADABLE) or not _is_usable(record):
             return False
         view = upstream_view.UpstreamView(record, self._clock, self._busy)
         self._views[view.name] = view
-        self._put(view, record)
+        self._set_record(view, record)
         return True
 
-    def _begin_anew(
-        self, ended: upstream_view.UpstreamView, record: pb.UpstreamRecord
+    def _replace(
+        self, replaced: upstream_view.UpstreamView, record: pb.UpstreamRecord
     ) -> bool:
-        """Take in the first statement on a later run of an upstream."""
-        self._off.pop(ended.name, None)
-        ended.update(_changed(ended.record, GONE, ended.record.revision))
-        for routers in self._told.values():
-            routers.discard(ended.name)
-        begun = self._begin(record)
-        for listener in self._end_listeners:
-            listener(ended)
-        return begun
-
-    def _put(
+        """Replace a view by one for a later run of the same upstream."""
+        self._not_live.pop(replaced.name, None)
+        replaced.update(
+            _with_state(replaced.record, GONE, replaced.record.revision)
+        )
+        for names in self._upstreams_of.values():
+            names.discard(replaced.name)
+        is_added = self._add(record)
+        for listener in self._replacement_listeners:
+            listener(replaced)
+        return is_added
+
+    def _set_record(
         self, view: upstream_view.UpstreamView, record: pb.UpstreamRecord
     ) -> None:
         view.update(record)
         if record.state == LIVE:
             view.not_live_since = 0
-            self._off.pop(view.name, None)
+            self._not_live.pop(view.name, None)
         else:
-            heard = self._clock.now() - max(0, record.doubted_ms)
-            view.not_live_since = view.not_live_since or heard
-            self._off[view.name] = view
-        self._by_service = None
+            noticed_at = self._clock.now() - max(0, record.doubted_ms)
+            view.not_live_since = view.not_live_since or noticed_at
+            self._not_live[view.name] = view
+        self._live_by_service = None
         for listener in self._listeners:
             listener(view)
 
     def _lapsed(self) -> list[upstream_view.UpstreamView]:
-        return [v for v in self._off.values() if v.record.state == LAPSED]
+        return [v for v in self._not_live.values() if v.record.state == LAPSED]
 
-    def _live_by_service(self) -> dict[str, list[upstream_view.UpstreamView]]:
-        """Sort the live upstreams, and note until when that holds."""
-        limit = self._clock.now() - self._doubt_ms
-        sure: dict[str, list[upstream_view.UpstreamView]] = {}
-        unsure: dict[str, list[upstream_view.UpstreamView]] = {}
+    def _group_live(self) -> dict[str, list[upstream_view.UpstreamView]]:
+        """Group the live upstreams, and set until when the result is valid."""
+        cutoff = self._clock.now() - self._grace_ms
+        confirmed: dict[str, list[upstream_view.UpstreamView]] = {}
+        fallback: dict[str, list[upstream_view.UpstreamView]] = {}
         for view in self._views.values():
             if view.is_available:
-                kind = sure if view.is_confirmed(limit) else unsure
-                kind.setdefault(view.service, []).append(view)
-        in_doubt = (
-            v.not_live_since for v in self._lapsed() if v.is_confirmed(limit)
+                group = confirmed if view.was_live_at(cutoff) else fallback
+                group.setdefault(view.service, []).append(view)
+        lapsed_at = (
+            v.not_live_since for v in self._lapsed() if v.was_live_at(cutoff)
         )
-        self._sure_until = min(in_doubt, default=_NEVER) + self._doubt_ms
-        return {**unsure, **sure}
+        self._valid_until = min(lapsed_at, default=_NEVER) + self._grace_ms
+        return {**fallback, **confirmed}
 
 
-_NAME_ONLY = frozenset((GONE, LAPSED, UNREADABLE))
-"""States of which a statement says nothing but the name."""
+_NAME_ONLY_STATES = frozenset((GONE, LAPSED, UNREADABLE))
+"""States whose records contain only the name of the upstream."""
 
 
-def _checked(record: pb.UpstreamRecord) -> pb.UpstreamRecord:
-    """Return the statement, as unreadable where it names nothing usable."""
-    if record.state in _NAME_ONLY or _is_usable(record):
+def _validate(record: pb.UpstreamRecord) -> pb.UpstreamRecord:
+    """Return the record, marked as unreadable if its entry is unusable."""
+    if record.state in _NAME_ONLY_STATES or _is_usable(record):
         return record
-    return _changed(record, UNREADABLE, record.revision)
+    return _with_state(record, UNREADABLE, record.revision)
 
 
 def _is_usable(record: pb.UpstreamRecord) -> bool:
     upstream = record.upstream
-    there = upstream.service and upstream.slots > 0
-    return bool(there) and addresses.is_usable(upstream.address)
+    is_complete = upstream.service and upstream.slots > 0
+    return bool(is_complete) and addresses.is_usable(upstream.address)
 
 
-def _changed(
+def _with_state(
     record: pb.UpstreamRecord,
     state: pb.UpstreamState,
     revision: int,
     doubted_ms: int = 0,
 ) -> pb.UpstreamRecord:
-    """Return `record` with another state, said at `revision`."""
+    """Return a copy of `record` with another state and revision."""
     changed = pb.UpstreamRecord()
     changed.CopyFrom(record)
     changed.state, changed.revision = state, revision
