--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -53,8 +53,9 @@
 
 _UPDATE_MS = 5000
 _MAX_UPDATES = 32
-"""How long a change is included in beacons, and for how many requests at most:
-less than 1.5 kB compressed, in as many rounds as may be lost in a row."""
+"""How long a change is included in beacons, and for how many requests at most.
+The time covers as many beacons as may be lost in a row; the updates take less
+than 1.5 kB compressed."""
 
 _CRASH_REASONS = frozenset(('broke_off', 'cut_short', 'upstream_restarted'))
 """Failure reasons that indicate a crash regardless of the upstream's state."""
