--- a/features/limits.feature
+++ b/features/limits.feature
@@ -1,118 +1,117 @@
-Feature: Teams' limits and repeats are kept by all routers together
-
-  Scenario: A team may use its burst and then its rate
-    Given 3 routers that share a limit of 1000 a second and a burst of 2000
-    When each is asked for 200 every 100 ms over 10 s
-    Then between 11500 and 13500 passed in all
-
-  Scenario: What the usual traffic asks is never refused
-    Given 6 routers that share a limit of 1000 a second and a burst of 2000
-    When each is asked for 10 every 100 ms over 20 s
-    Then nothing was refused
-
-  Scenario: A router that hears nobody keeps to its share
-    Given 3 routers that share a limit of 1000 a second and a burst of 2000
-    And router 1 is cut off from the others
-    When each is asked for 200 every 100 ms over 10 s
-    Then router 1 let at most 5600 pass
-
-  Scenario: A long request leaves no debt that holds up short ones
-    Given 1 routers that share a limit of 100 a second and a burst of 2000
-    When 1900 are spent
-    Then a request of 1000 is told to wait 4000 ms
-    And one of 150 passes
-    And one of 9000 passes after 11000 ms
-
-  Scenario: A lowered limit is in force at once
-    Given 1 routers that share a limit of 1000 a second and a burst of 2000
-    When the limit is lowered to 100 a second and a burst of 100
-    And each is asked for 200 every 100 ms over 10 s
-    Then between 900 and 1400 passed in all
-
-  Scenario: A router that was started again spends nothing twice
-    Given 2 routers that share a limit of 1000 a second and a burst of 2000
-    When router 1 spends 1500 and is started again
-    Then router 2 has taken 1500 off, once
-
-  Scenario: A request that did not run is given back
-    Given 1 routers that share a limit of 0.001 a second and a burst of 500
-    When a request of 400 passes and does not run
-    Then another one of 400 passes
-
-  Scenario: A caller over its limit is told when to come back
+Feature: Token limits of teams, retry budgets, health and placement
+
+  Scenario: A team may spend its burst and then its rate
+    Given 3 routers that share a limit of 1000 tokens a second and a burst of 2000
+    When each receives a request of 200 tokens every 100 ms for 10 s
+    Then between 11500 and 13500 tokens are admitted in total
+
+  Scenario: Traffic below the limit is never refused
+    Given 6 routers that share a limit of 1000 tokens a second and a burst of 2000
+    When each receives a request of 10 tokens every 100 ms for 20 s
+    Then no request is refused
+
+  Scenario: An isolated router spends no more than its share
+    Given 3 routers that share a limit of 1000 tokens a second and a burst of 2000
+    And router 1 is isolated from the others
+    When each receives a request of 200 tokens every 100 ms for 10 s
+    Then router 1 admits at most 5600 tokens
+
+  Scenario: A long request leaves no debt that delays short ones
+    Given 1 routers that share a limit of 100 tokens a second and a burst of 2000
+    When 1900 tokens are spent
+    Then a request of 1000 tokens is refused with a wait of 4000 ms
+    And a request of 150 tokens is admitted
+    And a request of 9000 tokens is refused, and admitted after 11000 ms
+
+  Scenario: A lowered limit takes effect at once
+    Given 1 routers that share a limit of 1000 tokens a second and a burst of 2000
+    When the limit is lowered to 100 tokens a second and a burst of 100
+    And each receives a request of 200 tokens every 100 ms for 10 s
+    Then between 900 and 1400 tokens are admitted in total
+
+  Scenario: The spending of a restarted router is not counted twice
+    Given 2 routers that share a limit of 1000 tokens a second and a burst of 2000
+    When router 1 spends 1500 tokens and is restarted
+    Then router 2 has subtracted 1500 tokens once
+
+  Scenario: The tokens of a request that did not run are refunded
+    Given 1 routers that share a limit of 0.001 tokens a second and a burst of 500
+    When a request of 400 tokens is admitted but does not run
+    Then another request of 400 tokens is admitted
+
+  Scenario: A caller over its limit receives a retry time
     Given a fleet of 2 routers with a limit of 30 tokens a second for "noor"
-    When a caller uses it up at one router
-    Then the other router refuses within 1000 ms with 429 and a time to come back
-
-  Scenario: Repeats stay within their share of the requests
-    Given a budget of 0.2 repeats a request and 5 beside in 10 s, for 2 routers
-    When 50 requests come to a service in 10 s and every one wants 3 repeats
-    Then at most 12 repeats are allowed
-    And at most 12 more in the 10 s after 50 more requests
-
-  # Seen: an upstream that had failed twice got no work from a router for good. How:
-  # the caller of the one request that was to find out whether it works again left
-  # before its end. Cause: only an outcome ended the trial. Proof: none comes here.
-  Scenario: A trial whose caller has left does not shut an upstream out
-    Given an upstream's health
+    When a caller spends the whole limit at one router
+    Then the other router refuses requests within 1000 ms with 429 and a retry time
+
+  Scenario: Retries stay within their share of the requests
+    Given a budget of 0.2 retries per request and 5 more in 10 s, for 2 routers
+    When a service receives 50 requests in 10 s that need 3 retries each
+    Then at most 12 retries are allowed
+    And at most 12 more are allowed in the next 10 s, with 50 more requests
+
+  # Guards against an upstream that never gets requests from a router again: the caller of
+  # its probe leaves, so that the probe has no outcome, and only an outcome ended a probe.
+  Scenario: A probe whose caller has left does not exclude an upstream for good
+    Given the health of an upstream
     When it fails 2 times in a row
-    Then it gets no work for 250 ms, and then one request
-    When that one ends without an outcome
-    Then it gets no work for 4000 ms, and then one request
-    When that one succeeds
-    Then it gets work again
-
-  Scenario: An upstream that does not answer is passed over for a while
-    Given an upstream's health
+    Then it gets no request for 250 ms, and then only one
+    When the request ends without an outcome
+    Then it gets no request for 4000 ms, and then only one
+    When the request succeeds
+    Then it gets any number of requests again
+
+  Scenario: An upstream that does not answer gets no requests for a while
+    Given the health of an upstream
     When it fails 2 times in a row
-    Then it gets no work for 250 ms, and then one request
-    When that one fails too
-    Then it gets no work for 500 ms, and then one request
-    When that one succeeds
-    Then it gets work again
+    Then it gets no request for 250 ms, and then only one
+    When the request fails
+    Then it gets no request for 500 ms, and then only one
+    When the request succeeds
+    Then it gets any number of requests again
 
-  Scenario: An upstream that fails part of its requests gets less
+  Scenario: An upstream that fails some of its requests gets fewer
     Given two upstreams of which one fails half of its requests
-    Then the other one is chosen while both are idle
-
-  Scenario: An upstream that has said nothing for long is passed over
-    Given two idle upstreams of which one has a request and is silent
-    Then a new request goes there after 100 ms and elsewhere after 1000 ms
-    And after a byte from there it is as good as the other
-
-  Scenario: Prompts that begin alike go to one home at every router
-    Given 5 idle engines as seen by 3 routers
-    Then requests that share a beginning go to the same engine from all of them
-    And 200 beginnings are spread over all 5
-
-  Scenario: Of thousands of engines a router looks at few for a request
-    Given 3000 idle engines as seen by 3 routers
-    Then each looks at 129 of them for a request
-    And requests that share a beginning go to the same engine from all of them
-    When the home of the first beginning leaves
-    Then only the beginnings that were at home there go elsewhere
-
-  Scenario: A router whose own engines all fail looks at the others
-    Given 300 idle engines as seen by 1 routers
-    When all that it looks at fail
-    Then a request without a beginning goes to another one
-
-  Scenario: Other routers' work counts until they say less or fall silent
-    Given 3 idle engines as seen by 1 routers
-    When routers "r1" and "r2" say that they have 2 requests at each
-    Then 4 requests count at each
-    When router "r1" says that it has none any more
-    Then 2 requests count at each
-    When only "r1" is heard
-    Then 0 requests count at each
-
-  Scenario: A home that is too busy is passed over
-    Given 5 idle engines as seen by 3 routers
-    When the home of a beginning has 40000 unread tokens
-    Then requests with that beginning go elsewhere
-
-  Scenario Outline: How urgent a request is, by rank and by its slack
-    Then a prompt of <tokens> tokens with a target of <target> ms and rank <rank> is at level <level>
+    Then the other upstream is selected while both are idle
+
+  Scenario: An upstream that has been silent for long is avoided
+    Given two upstreams of which one has a request and is silent
+    Then a new request goes to the silent one after 100 ms, and to the other after 1000 ms
+    And after it has sent a byte, the silent one is selected again
+
+  Scenario: Prompts with a common prefix have the same home on every router
+    Given 5 idle engines and 3 routers
+    Then all routers send requests with a common prefix to the same engine
+    And 200 prefixes are spread over all 5 engines
+
+  Scenario: A router compares only a few of thousands of engines for a request
+    Given 3000 idle engines and 3 routers
+    Then each router compares up to 129 engines for a request
+    And all routers send requests with a common prefix to the same engine
+    When the home of the first prefix leaves
+    Then only the prefixes of this home move to other engines
+
+  Scenario: A router uses other engines if all engines in its subset fail
+    Given 300 idle engines and 1 routers
+    When all engines in its subset fail
+    Then a request without a prefix goes to another engine
+
+  Scenario: Loads of other routers count until they report less or fall silent
+    Given 3 idle engines and 1 routers
+    When routers "r1" and "r2" report 2 requests on each engine
+    Then 4 requests are counted on each engine
+    When router "r1" reports no requests
+    Then 2 requests are counted on each engine
+    When only router "r1" is still heard
+    Then 0 requests are counted on each engine
+
+  Scenario: A home with too much load is avoided
+    Given 5 idle engines and 3 routers
+    When the home of a prefix has 40000 tokens waiting for prefill
+    Then requests with this prefix go to other engines
+
+  Scenario Outline: Urgency of a request by its rank and by the slack of its target
+    Then a prompt of <tokens> tokens with a target of <target> ms and rank <rank> has urgency level <level>
 
     Examples:
       | tokens | target | rank | level |
@@ -123,30 +122,30 @@
       | 500    | 600    | 0    | 0     |
       | 39000  | 800    | 4    | 9     |
 
-  Scenario: Engines that read faster leave more slack
-    Then a prompt of 17000 tokens is more urgent where 100 tokens a ms are read than where 20 are
+  Scenario: Faster engines leave more slack
+    Then a prompt of 17000 tokens is more urgent at a prefill rate of 100 tokens per ms than at 20
 
-  Scenario: A long prompt is told to the others as it is sent and as it is read
-    Given a fleet of 3 routers whose beacons come every 10000 ms
+  Scenario: The start and the prefill of a long prompt are reported at once
+    Given a fleet of 3 routers that send beacons every 10000 ms
     When one router sends a prompt of 5000 tokens to an engine
-    Then the others know of 5000 unread tokens there
-    When its prompt is read
-    Then the others know of 0 unread tokens there
-
-  Scenario: Where knowledge is late, routers do not all choose the same engine
-    Given 20 idle engines as seen by 40 routers
-    When each of them places 3 prompts without hearing of the others
-    Then no engine has more than 20 of the 120
-    And where each has heard all, the engines have 6 each, one more or less
-
-  # Not run means that nothing was spent, neither of the team's limit nor of
-  # this router's part of what is left.
-  Scenario: What a request that did not run owed is given back as well
-    Given one of 58 routers, where little is left of a team's limit
-    When a small request is let pass there and does not run
-    Then the next one waits for nothing
-
-  Scenario: A router alone paces nothing that its team's limit allows
-    Given one of 1 routers, where little is left of a team's limit
-    When a small request is let pass there
-    Then the next one waits for nothing
+    Then the other routers know of 5000 tokens waiting for prefill there
+    When the prefill of the prompt ends
+    Then the other routers know of 0 tokens waiting for prefill there
+
+  Scenario: Routers with stale data do not all select the same engine
+    Given 20 idle engines and 40 routers
+    When each router places 3 prompts without data from the others
+    Then no engine receives more than 20 of the 120 prompts
+    And with current data, each engine receives 6 prompts, one more or less
+
+  # A request that did not run has spent neither the team's limit nor this router's
+  # part of it.
+  Scenario: A refund also clears the debt used for pacing
+    Given one of 58 routers, and a team whose bucket has a low level
+    When it admits a small request that does not run
+    Then the next request is admitted at once
+
+  Scenario: A single router does not pace requests within the limit
+    Given one of 1 routers, and a team whose bucket has a low level
+    When it admits a small request
+    Then the next request is admitted at once
--- a/features/spread.feature
+++ b/features/spread.feature
@@ -1,125 +1,124 @@
-# Seen: 58 routers on links of 5 Mbit/s got a configuration of 1,600 routes one after
-# the other, the last 12 s after the first. All the while those without it answered
-# "no such route", which callers take as final, to proper requests.
-# How: everybody asked the first peer that had it, for the whole text of 0.46 MB; the
-# call's time ran out before it was there, and it was begun anew at another peer.
-# Cause: copies of any size, given to any number at a time, each bounded as a whole.
-# Proof: below, on links that share what they carry, without a network.
-
-Feature: A large configuration spreads over thin links in time
-
-  Scenario: It is in force everywhere while each copy takes a good part of a link
-    Given 58 routers on links of 625 bytes a millisecond
-    When 6 of them have 1600 routes more within 600 ms
-    Then all have them within 2500 ms more
-    And no router's link has carried more than 500000 bytes for it
-
-  Scenario: Peers that are gone do not hold it up
-    Given 58 routers on links of 625 bytes a millisecond
-    When 6 of them have 1600 routes more within 600 ms
-    And 3 of those 6 fall silent at once
-    Then all have them within 1000 ms more
-
-  Scenario: Who told first is gone
-    Given 58 routers on links of 625 bytes a millisecond
-    When 1 of them have 1600 routes more within 10 ms
-    And 1 of those 1 fall silent at once
-    And another one has them 100 ms later
-    Then all have them within 1900 ms more
-
-  Scenario: One that has it is enough
-    Given 58 routers on links of 625 bytes a millisecond
-    When 1 of them have 1600 routes more within 100 ms
-    Then all have them within 2500 ms more
-    And no router's link has carried more than 500000 bytes for it
-
-  Scenario: Two follow each other
-    Given 58 routers on links of 625 bytes a millisecond
-    When 6 of them have 1600 routes more within 600 ms
-    And 100 ms later they have 3200 routes more still
-    Then all have them within 2500 ms more
-
-  Scenario: Who told of it is gone, and the store is out
-    Given 8 routers on links of 625 bytes a millisecond
-    When no router reaches the store
-    And 1 of them have 1600 routes more within 10 ms
-    And 1 of those 1 fall silent at once
+# Guards against a change that takes too long to reach all routers: 58 routers on links
+# of 5 Mbit/s received 1,600 routes one after the other, the last one 12 s after the
+# first, and meanwhile answered valid requests with "no such route", which is final.
+# Each router requested the whole text of 0.46 MB from the first peer that had it; the
+# call timed out and was restarted at another peer, as copies of any size were served
+# to any number of peers at a time. The links below are simulated and share bandwidth.
+
+Feature: Distribution of a large configuration over slow links
+
+  Scenario: A configuration reaches all routers although each copy takes much of a link
+    Given 58 routers on links of 625 bytes per ms
+    When 6 of them read a configuration with 1600 more routes within 600 ms
+    Then all routers have the configuration within 2500 more ms
+    And no router's link has carried more than 500000 bytes
+
+  Scenario: Unreachable peers do not delay a configuration
+    Given 58 routers on links of 625 bytes per ms
+    When 6 of them read a configuration with 1600 more routes within 600 ms
+    And 3 of those 6 become unreachable at once
+    Then all routers have the configuration within 1000 more ms
+
+  Scenario: The first router that reported a configuration becomes unreachable
+    Given 58 routers on links of 625 bytes per ms
+    When 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 become unreachable at once
+    And another router reads it 100 ms later
+    Then all routers have the configuration within 1900 more ms
+
+  Scenario: One router with a configuration is enough
+    Given 58 routers on links of 625 bytes per ms
+    When 1 of them read a configuration with 1600 more routes within 100 ms
+    Then all routers have the configuration within 2500 more ms
+    And no router's link has carried more than 500000 bytes
+
+  Scenario: A second change follows shortly after the first
+    Given 58 routers on links of 625 bytes per ms
+    When 6 of them read a configuration with 1600 more routes within 600 ms
+    And 100 ms later, they read another one with 3200 more routes
+    Then all routers have the configuration within 2500 more ms
+
+  Scenario: The router that reported a configuration and the store become unreachable
+    Given 8 routers on links of 625 bytes per ms
+    When no router can reach the store
+    And 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 become unreachable at once
     And 30000 ms pass on the links
-    Then the others know that they are behind
-    When they reach the store again
-    Then all have them within 5000 ms more
-
-  Scenario: While a router stands still its link is free as well
-    Given 8 routers on links of 625 bytes a millisecond
-    When 1 of them have 16000 routes more within 10 ms
-    And one gives copies until it puts a peer off
-    And it stands still for 4000 ms
-    Then it gives the next copy at once
-
-  Scenario: What the store denies is not believed
-    Given 8 routers on links of 625 bytes a millisecond
-    When one says again and again that it has what the store has not
-    Then at most 25 in 100 times the others think that they are behind
-    And the store was asked at most 3 times by each
-
-  Scenario: What another one has is believed beside it
-    Given 8 routers on links of 625 bytes a millisecond
-    When one says again and again that it has what the store has not
+    Then the other routers know that their configuration is outdated
+    When the routers can reach the store again
+    Then all routers have the configuration within 5000 more ms
+
+  Scenario: The link of a router is also free while the router is paused
+    Given 8 routers on links of 625 bytes per ms
+    When 1 of them read a configuration with 16000 more routes within 10 ms
+    And that router serves copies until it defers a peer
+    And it is paused for 4000 ms
+    Then it serves the next copy at once
+
+  Scenario: A version that the store does not have is not believed
+    Given 8 routers on links of 625 bytes per ms
+    When one router repeatedly reports a version that the store does not have
+    Then the other routers consider their configuration outdated in at most 25 of 100 checks
+    And the store was read at most 3 times per router
+
+  Scenario: A version of another router is believed despite a wrong report
+    Given 8 routers on links of 625 bytes per ms
+    When one router repeatedly reports a version that the store does not have
     And 4000 ms pass on the links
-    And another one has 49 routes of the store's, and tells of it
-    Then all but the first have them within 1500 ms more
+    And another router reads and reports a newer configuration with 49 routes
+    Then all routers but the first have the configuration within 1500 more ms
 
-  Scenario: One that was wrong is believed again after a while
-    Given 8 routers on links of 625 bytes a millisecond
-    When one says again and again that it has what the store has not
+  Scenario: A router that reported a wrong version is believed again after a while
+    Given 8 routers on links of 625 bytes per ms
+    When one router repeatedly reports a version that the store does not have
     And 4000 ms pass on the links
-    And that one has 49 routes of the store's, and tells of it
-    Then all have them within 13000 ms more
+    And that router reads and reports a newer configuration with 49 routes
+    Then all routers have the configuration within 13000 more ms
 
-  Scenario: What a router can't read it does not ask for again and again
-    Given 8 routers on links of 625 bytes a millisecond
-    And 1 of them can read no newer one
-    When 1 of them have 1600 routes more within 10 ms
+  Scenario: A router does not repeatedly request a configuration that it cannot parse
+    Given 8 routers on links of 625 bytes per ms
+    And 1 of them cannot parse newer configurations
+    When 1 of them read a configuration with 1600 more routes within 10 ms
     And 8000 ms pass on the links
-    Then no link of those has carried more than 100000 bytes
+    Then the link of the router that cannot parse it has carried at most 100000 bytes
 
-  Scenario: What a router could not read it asks for again after a while
-    Given 8 routers on links of 625 bytes a millisecond
-    And 1 of them can read no newer one
-    When 1 of them have 1600 routes more within 10 ms
+  Scenario: A router requests a configuration that it could not parse again later
+    Given 8 routers on links of 625 bytes per ms
+    And 1 of them cannot parse newer configurations
+    When 1 of them read a configuration with 1600 more routes within 10 ms
     And 2000 ms pass on the links
-    And that one can read what it could not
-    Then all have them within 11000 ms more
-
-  Scenario: A long reading of the store is not begun anew beside itself
-    Given 8 routers on links of 62 bytes a millisecond
-    When 1 of them have 1600 routes more within 10 ms
-    And 1 of those 1 fall silent at once
-    Then all have them within 12000 ms more
-    And the store was asked at most 1 times by each
-
-  # By reading: what the store has and this router can't read counted as denied by
-  # the store, so that "there is none" was final again.
-  Scenario: What the store has and a router can't read is not denied
-    Given 8 routers on links of 625 bytes a millisecond
-    And 1 of them can read no newer one
-    When 1 of them have 1600 routes more within 10 ms
-    And 1 of those 1 fall silent at once
+    And that router can parse newer configurations
+    Then all routers have the configuration within 11000 more ms
+
+  Scenario: Only one slow read of the store runs at a time
+    Given 8 routers on links of 62 bytes per ms
+    When 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 become unreachable at once
+    Then all routers have the configuration within 12000 more ms
+    And the store was read at most 1 times per router
+
+  # Guards against a final "no such route" from a router that cannot parse what the store
+  # has: such a version counted as one that the store does not have. Found by reading.
+  Scenario: A version that the store has but a router cannot parse is still believed
+    Given 8 routers on links of 625 bytes per ms
+    And 1 of them cannot parse newer configurations
+    When 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 become unreachable at once
     And 8000 ms pass on the links
-    Then the one that can't read it knows that it is behind
-    And the store was asked at most 1 times by each
+    Then the router that cannot parse it knows that its configuration is outdated
+    And the store was read at most 1 times per router
 
-  Scenario: Who has heard of a newer configuration does not say that a route isn't there
+  Scenario: A router with an outdated configuration does not answer that a route is unknown
     Given a fleet of 1 routers
-    When the router hears of a configuration that is newer than its own
-    Then a caller of an unknown route is told to come back, and that nothing ran
-    And a caller with an unknown key is told to come back, and that nothing ran
-    When nothing more is heard of it
-    Then a caller of an unknown route is told that there is none
+    When the router receives a beacon with a newer configuration version
+    Then a request to an unknown route is refused with 503 and a retry time
+    And a request with an unknown key is refused with 503 and a retry time
+    When no more beacons with that version arrive
+    Then a request to an unknown route is answered with 404
 
-  Scenario: Nor that a model or a service is unknown
+  Scenario: A router with an outdated configuration refuses unknown models and services with 503
     Given a fleet of 1 routers
-    When the router hears of a configuration that is newer than its own
+    When the router receives a beacon with a newer configuration version
     And this is posted to "/v1/chat/completions"
       """
       {"model": "x", "messages": []}
@@ -131,9 +130,9 @@
       """
     Then the status is 503 and the reason holds "no_route"
 
-  Scenario: Nor that anything is larger than it may be
+  Scenario: A router with an outdated configuration refuses oversized requests with 503
     Given a fleet of 1 routers
-    When the router hears of a configuration that is newer than its own
+    When the router receives a beacon with a newer configuration version
     And a caller sends a body of 5000000 bytes
     Then the status is 503 with a time to come back
     When a caller sends a header of 40000 bytes
@@ -144,26 +143,27 @@
       """
     Then the status is 503 and the reason holds "max_tokens"
 
-  # By reading: whoever starts asks the seeds in the order in which they are told, all
-  # the same one first. Its answer tells of every router, 8 kB at 80 of them, and a call
-  # has 800 ms: 79 answers take 1.0 s of a thin link, and each is given up.
-  Scenario: Routers that start together do not all ask one seed first
-    Given 80 routers on links of 625 bytes a millisecond
-    When all but 3 that know everybody join by these at once
+  # Guards against routers that all call the seeds in the given order, and so the same one
+  # first. Its answer lists every router, 8 kB for 80 of them, and a call times out after
+  # 800 ms: 79 answers take 1.0 s of a slow link, and all calls fail. Found by reading.
+  Scenario: Routers that start together do not all call the same seed first
+    Given 80 routers on links of 625 bytes per ms
+    When all but 3 routers, which know the whole fleet, join through these at once
     And 2000 ms pass on the links
-    Then no call of theirs has failed, and all know everybody
-
-  # Seen: 195 routers that started together got 18.9 kB each of three seeds, 5.9 MB
-  # in half a second; 48 calls failed. Proof: three links of 10 Mbit/s.
-  Scenario: Many more that start together are told of each other by three
-    Given 195 routers on links of 1250 bytes a millisecond
-    When all but 3 that know everybody join by these at once
+    Then no call has failed, and each router knows all others
+
+  # Guards against failed calls when 195 routers start together: they received 18.9 kB
+  # each from three seeds, 5.9 MB in half a second, and 48 calls failed. The links here
+  # have 10 Mbit/s.
+  Scenario: Many routers that start together learn of each other from three seeds
+    Given 195 routers on links of 1250 bytes per ms
+    When all but 3 routers, which know the whole fleet, join through these at once
     And 2000 ms pass on the links
-    Then no call of theirs has failed, and all know everybody
+    Then no call has failed, and each router knows all others
 
-  Scenario: Routers that the store has told of the others ask no seed
-    Given 80 routers on links of 625 bytes a millisecond
-    When all but 3 that know everybody join by these at once
-    And the store has told each of platform and fleet
+  Scenario: Routers that have read the fleet from the store call no seed
+    Given 80 routers on links of 625 bytes per ms
+    When all but 3 routers, which know the whole fleet, join through these at once
+    And each router has read the platform and the fleet from the store
     And 2000 ms pass on the links
-    Then none of them has asked a seed
+    Then no router has called a seed
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps of limits, budgets, health and placement, by patterns of load."""
+"""Steps for token limits, retry budgets, health and placement."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 @given(
-    '{count:d} routers that share a limit of {rate:g} a second and a burst'
-    ' of {burst:d}'
+    '{count:d} routers that share a limit of {rate:g} tokens a second and a'
+    ' burst of {burst:d}'
 )
-def share_limit(context, count, rate, burst):
+def routers_share_limit(context, count, rate, burst):
     context.clock = clock_.ManualClock()
     context.quotas = [quota_.Quota(context.clock) for _ in range(count)]
-    context.cut = None
-    context.passed = collections.Counter()
+    context.isolated = None
+    context.admitted = collections.Counter()
     context.refused = 0
     set_limit(context, rate, burst)
     exchange(context)
@@ -51,15 +51,15 @@
 
 
 def exchange(context):
-    """Let each router hear the others, but over a cut."""
+    """Send the spending of each router to all others, except isolated ones."""
     for number in range(len(context.quotas)):
         for other, sender in enumerate(context.quotas):
-            if number != other and context.cut not in (number, other):
-                heard(context, number, f'r{other}', 1, sender)
+            if number != other and context.isolated not in (number, other):
+                receive_spending(context, number, f'r{other}', 1, sender)
 
 
-def heard(context, number, router, run, sender):
-    """Let one router hear what another has let pass."""
+def receive_spending(context, number, router, run, sender):
+    """Send the spending of one router to another one."""
     quota = context.quotas[number]
     if 'tallies' not in context:
         context.tallies = {}
@@ -69,94 +69,101 @@
     known.hear(router, run, sender.spent(), True)
 
 
-@given('router 1 is cut off from the others')
-def cut_off(context):
-    context.cut = 0
+@given('router 1 is isolated from the others')
+def isolate_router(context):
+    context.isolated = 0
     count = len(context.quotas)
     for number, quota in enumerate(context.quotas):
-        heard = 1 if number == 0 else count - 1
-        quota.known_share = heard / count
+        known = 1 if number == 0 else count - 1
+        quota.known_share = known / count
 
 
-@when('{tokens:d} are spent')
-def are_spent(context, tokens):
+@when('{tokens:d} tokens are spent')
+def tokens_spent(context, tokens):
     assert not context.quotas[0].take('noor', tokens)
 
 
-@then('a request of {tokens:d} is told to wait {ms:d} ms')
-def told_to_wait(context, tokens, ms):
+@then('a request of {tokens:d} tokens is refused with a wait of {ms:d} ms')
+def refused_with_wait(context, tokens, ms):
     assert context.quotas[0].take('noor', tokens) == ms
 
 
-@then('one of {tokens:d} passes')
-def one_passes(context, tokens):
+@then('a request of {tokens:d} tokens is admitted')
+def request_admitted(context, tokens):
     assert not context.quotas[0].take('noor', tokens)
 
 
-@then('one of {tokens:d} passes after {ms:d} ms')
-def one_passes_after(context, tokens, ms):
+@then(
+    'a request of {tokens:d} tokens is refused, and admitted after {ms:d} ms'
+)
+def refused_then_admitted(context, tokens, ms):
     assert context.quotas[0].take('noor', tokens)
     context.clock.advance(ms)
     assert not context.quotas[0].take('noor', tokens)
 
 
-@when('the limit is lowered to {rate:d} a second and a burst of {burst:d}')
-def lowered(context, rate, burst):
+@when(
+    'the limit is lowered to {rate:d} tokens a second and a burst of {burst:d}'
+)
+def limit_lowered(context, rate, burst):
     set_limit(context, rate, burst)
 
 
-@when('each is asked for {tokens:d} every {ms:d} ms over {seconds:d} s')
-def asked_for(context, tokens, ms, seconds):
+@when(
+    'each receives a request of {tokens:d} tokens every {ms:d} ms for'
+    ' {seconds:d} s'
+)
+def each_receives_requests(context, tokens, ms, seconds):
     for step in range(seconds * 1000 // STEP_MS):
         if step % (ms // STEP_MS) == 0:
             for number, quota in enumerate(context.quotas):
                 if quota.take('noor', tokens):
                     context.refused += 1
                 else:
-                    context.passed[number] += tokens
+                    context.admitted[number] += tokens
         context.clock.advance(STEP_MS)
         if step % (BEACON_MS // STEP_MS) == 0:
             exchange(context)
 
 
-@then('between {least:d} and {most:d} passed in all')
-def between(context, least, most):
-    total = sum(context.passed.values())
+@then('between {least:d} and {most:d} tokens are admitted in total')
+def admitted_between(context, least, most):
+    total = sum(context.admitted.values())
     assert least <= total <= most, total
 
 
-@then('nothing was refused')
-def nothing_refused(context):
+@then('no request is refused')
+def no_request_refused(context):
     assert not context.refused, context.refused
 
 
-@then('router 1 let at most {most:d} pass')
-def at_most(context, most):
-    assert context.passed[0] <= most, context.passed
+@then('router 1 admits at most {most:d} tokens')
+def router_admits_at_most(context, most):
+    assert context.admitted[0] <= most, context.admitted
 
 
-@when('router 1 spends {tokens:d} and is started again')
-def spends_and_starts(context, tokens):
+@when('router 1 spends {tokens:d} tokens and is restarted')
+def spends_and_restarts(context, tokens):
     first, _ = context.quotas
     assert not first.take('noor', tokens)
     for _ in range(3):
-        heard(context, 1, 'r0', 1, first)
-    again = quota_.Quota(context.clock)
+        receive_spending(context, 1, 'r0', 1, first)
+    restarted = quota_.Quota(context.clock)
     for _ in range(3):
-        heard(context, 1, 'r0', 2, again)
-    # A beacon of the run before that comes late.
-    heard(context, 1, 'r0', 1, first)
-    heard(context, 1, 'r0', 2, again)
+        receive_spending(context, 1, 'r0', 2, restarted)
+    # A late beacon of the previous run.
+    receive_spending(context, 1, 'r0', 1, first)
+    receive_spending(context, 1, 'r0', 2, restarted)
 
 
-@then('router 2 has taken {tokens:d} off, once')
-def taken_off(context, tokens):
+@then('router 2 has subtracted {tokens:d} tokens once')
+def subtracted_once(context, tokens):
     left = context.quotas[1]._buckets['noor'].level
     assert left == 2000 - tokens, left
 
 
-@when('a request of {tokens:d} passes and does not run')
-def passes_not_run(context, tokens):
+@when('a request of {tokens:d} tokens is admitted but does not run')
+def admitted_but_not_run(context, tokens):
     (quota,) = context.quotas
     assert not quota.take('noor', tokens)
     assert not quota.take('noor', 200)
@@ -164,20 +171,20 @@
     quota.refund('noor', tokens)
 
 
-@then('another one of {tokens:d} passes')
-def another_passes(context, tokens):
+@then('another request of {tokens:d} tokens is admitted')
+def another_admitted(context, tokens):
     assert not context.quotas[0].take('noor', tokens)
 
 
-@when('a caller uses it up at one router')
-def uses_up(context):
+@when('a caller spends the whole limit at one router')
+def spends_whole_limit(context):
     for _ in range(12):
         fleet_steps.stream(context.fleet.routers[0].address, '/chat/x', 20)
 
 
 @then(
-    'the other router refuses within {ms:d} ms with {status:d} and a time'
-    ' to come back'
+    'the other router refuses requests within {ms:d} ms with {status:d} and a'
+    ' retry time'
 )
 def other_refuses(context, ms, status):
     def refused():
@@ -191,10 +198,10 @@
 
 
 @given(
-    'a budget of {ratio:g} repeats a request and {slack:d} beside in'
+    'a budget of {ratio:g} retries per request and {slack:d} more in'
     ' {seconds:d} s, for {routers:d} routers'
 )
-def a_budget(context, ratio, slack, seconds, routers):
+def retry_budget_for_routers(context, ratio, slack, seconds, routers):
     context.clock = clock_.ManualClock()
     context.budget = retry_budget.RetryBudget(
         context.clock, ratio, seconds * 1000, slack
@@ -203,36 +210,37 @@
 
 
 @when(
-    '{count:d} requests come to a service in {seconds:d} s and every one'
-    ' wants {repeats:d} repeats'
+    'a service receives {count:d} requests in {seconds:d} s that need'
+    ' {retries:d} retries each'
 )
-def requests_come(context, count, seconds, repeats):
-    context.allowed = repeat_all(context, count, seconds, repeats)
+def requests_need_retries(context, count, seconds, retries):
+    context.allowed = count_allowed_retries(context, count, seconds, retries)
 
 
-def repeat_all(context, count, seconds, repeats):
+def count_allowed_retries(context, count, seconds, retries):
     allowed = 0
     for _ in range(count):
         context.budget.count_request('pool')
-        allowed += sum(context.budget.take('pool') for _ in range(repeats))
+        allowed += sum(context.budget.take('pool') for _ in range(retries))
         context.clock.advance(seconds * 1000 // count)
     return allowed
 
 
-@then('at most {most:d} repeats are allowed')
-def at_most_repeats(context, most):
+@then('at most {most:d} retries are allowed')
+def at_most_retries(context, most):
     assert 0 < context.allowed <= most, context.allowed
 
 
 @then(
-    'at most {most:d} more in the {seconds:d} s after {count:d} more requests'
+    'at most {most:d} more are allowed in the next {seconds:d} s, with'
+    ' {count:d} more requests'
 )
-def at_most_more(context, most, seconds, count):
-    allowed = repeat_all(context, count, seconds, 3)
+def at_most_more_retries(context, most, seconds, count):
+    allowed = count_allowed_retries(context, count, seconds, 3)
     assert 0 < allowed <= most, allowed
 
 
-@given("an upstream's health")
+@given('the health of an upstream')
 def upstream_health(context):
     context.clock = clock_.ManualClock()
     context.health = health_.Health(context.clock)
@@ -244,8 +252,8 @@
         context.health.record_failure()
 
 
-@then('it gets no work for {ms:d} ms, and then one request')
-def no_work_for(context, ms):
+@then('it gets no request for {ms:d} ms, and then only one')
+def no_request_for(context, ms):
     health = context.health
     context.clock.advance(ms - 1)
     assert not health.allows_request()
@@ -255,29 +263,29 @@
     assert not health.allows_request()
 
 
-@when('that one ends without an outcome')
-def without_outcome(context):
-    """Nothing is told of it."""
+@when('the request ends without an outcome')
+def probe_without_outcome(context):
+    """Record nothing, as for a probe whose caller has left."""
 
 
-@when('that one fails too')
-def fails_too(context):
+@when('the request fails')
+def probe_fails(context):
     context.health.record_failure()
 
 
-@when('that one succeeds')
-def succeeds(context):
+@when('the request succeeds')
+def probe_succeeds(context):
     context.health.record_success()
 
 
-@then('it gets work again')
-def work_again(context):
+@then('it gets any number of requests again')
+def any_requests_again(context):
     assert context.health.allows_request()
     context.health.record_sent()
     assert context.health.allows_request()
 
 
-def table_of(clock, count):
+def make_table(clock, count):
     table = upstreams_.UpstreamTable(clock)
     for number in range(count):
         table.merge(
@@ -299,10 +307,10 @@
 SERVICE = pb.Service(name='pool', engine=True, slots=64, memory_tokens=600_000)
 
 
-def exchange_with(beginning, own='own'):
+def make_exchange(prefix, own='own'):
     parts = (
         exchange_.PromptPart('everyone', 500),
-        exchange_.PromptPart(beginning, 5000),
+        exchange_.PromptPart(prefix, 5000),
         exchange_.PromptPart(own, 1500),
     )
     return exchange_.Exchange(
@@ -327,115 +335,116 @@
     return placement.Placement(table, policy, name, limits)
 
 
-def places_of(table, router=0):
+def make_scored_placement(table, router=0):
     policy = placement.ScoredPolicy(f'fd-{router}')
     return make_placement(table, policy, f'router-{router}')
 
 
-def choose(places, exchange):
-    place = places.choose(exchange, SERVICE)
-    place.release()
-    return place.view.name
+def choose(selector, exchange):
+    reservation = selector.choose(exchange, SERVICE)
+    reservation.release()
+    return reservation.view.name
 
 
 @given('two upstreams of which one fails half of its requests')
 def one_fails_half(context):
     context.clock = clock_.ManualClock()
-    table = table_of(context.clock, 2)
+    table = make_table(context.clock, 2)
     for _ in range(6):
         table.get('engine-0').health.record_error()
         table.get('engine-0').health.record_success()
         table.get('engine-1').health.record_success()
-    context.places = places_of(table)
+    context.selector = make_scored_placement(table)
 
 
-@then('the other one is chosen while both are idle')
-def other_chosen(context):
+@then('the other upstream is selected while both are idle')
+def other_selected(context):
     for number in range(20):
-        exchange = exchange_with(f'b{number}')
-        assert choose(context.places, exchange) == 'engine-1'
+        exchange = make_exchange(f'b{number}')
+        assert choose(context.selector, exchange) == 'engine-1'
 
 
-@given('two idle upstreams of which one has a request and is silent')
-def one_silent(context):
+@given('two upstreams of which one has a request and is silent')
+def one_is_silent(context):
     context.clock = clock_.ManualClock()
-    table = table_of(context.clock, 2)
-    context.places = places_of(table)
-    context.waits = context.places.choose(exchange_with('b0'), SERVICE)
-    context.waits.mark_prompt_read()
+    table = make_table(context.clock, 2)
+    context.selector = make_scored_placement(table)
+    context.reservation = context.selector.choose(make_exchange('b0'), SERVICE)
+    context.reservation.mark_prompt_read()
 
 
 @then(
-    'a new request goes there after {soon:d} ms and elsewhere after'
-    ' {late:d} ms'
+    'a new request goes to the silent one after {soon:d} ms, and to the other'
+    ' after {late:d} ms'
 )
-def elsewhere_after(context, soon, late):
-    silent = context.waits.view.name
+def avoided_after(context, soon, late):
+    silent = context.reservation.view.name
     context.clock.advance(soon)
-    assert choose(context.places, exchange_with('b0')) == silent
+    assert choose(context.selector, make_exchange('b0')) == silent
     context.clock.advance(late - soon)
-    assert choose(context.places, exchange_with('b0')) != silent
+    assert choose(context.selector, make_exchange('b0')) != silent
 
 
-@then('after a byte from there it is as good as the other')
-def good_again(context):
-    context.waits.view.note_activity()
-    found = choose(context.places, exchange_with('b0'))
-    assert found == context.waits.view.name
+@then('after it has sent a byte, the silent one is selected again')
+def selected_after_byte(context):
+    context.reservation.view.note_activity()
+    found = choose(context.selector, make_exchange('b0'))
+    assert found == context.reservation.view.name
 
 
-@given('{count:d} idle engines as seen by {routers:d} routers')
-def idle_engines(context, count, routers):
+@given('{count:d} idle engines and {routers:d} routers')
+def idle_engines_and_routers(context, count, routers):
     context.clock = clock_.ManualClock()
-    context.tables = [table_of(context.clock, count) for _ in range(routers)]
-    context.views = [
-        places_of(table, number) for number, table in enumerate(context.tables)
+    context.tables = [make_table(context.clock, count) for _ in range(routers)]
+    context.placements = [
+        make_scored_placement(table, number)
+        for number, table in enumerate(context.tables)
     ]
 
 
-@then('requests that share a beginning go to the same engine from all of them')
-def same_engine(context):
+@then('all routers send requests with a common prefix to the same engine')
+def same_home_on_all_routers(context):
     context.homes = []
     for number in range(200):
         chosen = {
-            choose(places, exchange_with(f'b{number}', f'own{router}'))
-            for router, places in enumerate(context.views)
+            choose(selector, make_exchange(f'b{number}', f'own{router}'))
+            for router, selector in enumerate(context.placements)
         }
         assert len(chosen) == 1, chosen
         context.homes += chosen
 
 
-@then('{count:d} beginnings are spread over all {engines:d}')
-def spread_over(context, count, engines):
+@then('{count:d} prefixes are spread over all {engines:d} engines')
+def homes_are_spread(context, count, engines):
     found = collections.Counter(context.homes)
     assert len(found) == engines, found
     assert min(found.values()) > count / engines / 2, found
 
 
-class Watched(placement.ScoredPolicy):
-    """Notes how many upstreams it was to order."""
+class RecordingPolicy(placement.ScoredPolicy):
+    """Records the number of upstreams that it orders."""
 
-    seen = 0
+    compared = 0
 
     def order(self, exchange, service, views, home):
-        self.seen = len(views)
+        self.compared = len(views)
         return super().order(exchange, service, views, home)
 
 
-@then('each looks at {count:d} of them for a request')
-def looks_at(context, count):
+@then('each router compares up to {count:d} engines for a request')
+def compares_up_to(context, count):
     for number, table in enumerate(context.tables):
-        policy = Watched(f'fd-{number}')
-        places = make_placement(table, policy, f'router-{number}')
-        # Most homes are not among the engines that are near.
-        seen = set()
-        for beginning in range(20):
-            choose(places, exchange_with(f'b{beginning}'))
-            seen.add(policy.seen)
-        assert max(seen) == count, seen
+        policy = RecordingPolicy(f'fd-{number}')
+        selector = make_placement(table, policy, f'router-{number}')
+        # Most homes are outside the subset of the router.
+        compared = set()
+        for prefix in range(20):
+            choose(selector, make_exchange(f'b{prefix}'))
+            compared.add(policy.compared)
+        assert max(compared) == count, compared
 
 
-@when('the home of the first beginning leaves')
+@when('the home of the first prefix leaves')
 def home_leaves(context):
     context.left = context.homes[0]
     for table in context.tables:
@@ -445,39 +454,39 @@
         table.merge(record)
 
 
-@then('only the beginnings that were at home there go elsewhere')
-def only_those(context):
+@then('only the prefixes of this home move to other engines')
+def only_its_prefixes_move(context):
     for number, home in enumerate(context.homes):
-        found = choose(context.views[0], exchange_with(f'b{number}'))
+        found = choose(context.placements[0], make_exchange(f'b{number}'))
         assert (found != home) == (home == context.left), (number, found)
 
 
-def without_beginning():
-    exchange = exchange_with('none')
+def make_exchange_without_prefix():
+    exchange = make_exchange('none')
     exchange.prompt = exchange_.Prompt('m', 100, 20, ())
     return exchange
 
 
-@when('all that it looks at fail')
-def all_near_fail(context):
+@when('all engines in its subset fail')
+def whole_subset_fails(context):
     context.failing = set()
     for _ in range(candidates.SUBSET_SIZE):
-        name = choose(context.views[0], without_beginning())
+        name = choose(context.placements[0], make_exchange_without_prefix())
         context.failing.add(name)
         health = context.tables[0].get(name).health
         health.record_failure()
         health.record_failure()
 
 
-@then('a request without a beginning goes to another one')
-def goes_to_another(context):
+@then('a request without a prefix goes to another engine')
+def goes_to_another_engine(context):
     assert len(context.failing) == candidates.SUBSET_SIZE
-    found = choose(context.views[0], without_beginning())
+    found = choose(context.placements[0], make_exchange_without_prefix())
     assert found not in context.failing
 
 
-@when('routers "{a}" and "{b}" say that they have {count:d} requests at each')
-def say_they_have(context, a, b, count):
+@when('routers "{a}" and "{b}" report {count:d} requests on each engine')
+def report_loads(context, a, b, count):
     (table,) = context.tables
     for router in (a, b):
         table.set_peer_loads(
@@ -489,34 +498,34 @@
         )
 
 
-@when('router "{router}" says that it has none any more')
-def says_none(context, router):
+@when('router "{router}" reports no requests')
+def report_no_load(context, router):
     context.tables[0].set_peer_loads(router, [])
 
 
-@when('only "{router}" is heard')
-def only_heard(context, router):
+@when('only router "{router}" is still heard')
+def only_one_heard(context, router):
     context.tables[0].retain_peer_loads({router})
 
 
-@then('{count:d} requests count at each')
-def count_at_each(context, count):
+@then('{count:d} requests are counted on each engine')
+def counted_on_each_engine(context, count):
     counts = {view.total_load().running for view in context.tables[0].all()}
     assert counts == {count}, counts
 
 
-@when('the home of a beginning has {tokens:d} unread tokens')
-def busy_home(context, tokens):
-    context.home = choose(context.views[0], exchange_with('b0'))
+@when('the home of a prefix has {tokens:d} tokens waiting for prefill')
+def home_is_loaded(context, tokens):
+    context.home = choose(context.placements[0], make_exchange('b0'))
     for table in context.tables:
         load = upstream_view.Load(5, tokens, tokens)
         table.get(context.home).set_peer_load('r9', load)
 
 
-@then('requests with that beginning go elsewhere')
-def go_elsewhere(context):
-    for places in context.views:
-        assert choose(places, exchange_with('b0')) != context.home
+@then('requests with this prefix go to other engines')
+def go_to_other_engines(context):
+    for selector in context.placements:
+        assert choose(selector, make_exchange('b0')) != context.home
 
 
 @then('green time passes')
@@ -526,73 +535,79 @@
 
 @then(
     'a prompt of {tokens:d} tokens with a target of {target:d} ms and rank'
-    ' {rank:d} is at level {level:d}'
+    ' {rank:d} has urgency level {level:d}'
 )
-def at_level(context, tokens, target, rank, level):
+def has_urgency_level(context, tokens, target, rank, level):
     found = urgency.level(rank, tokens, target, None)
     assert found == level, found
 
 
 @then(
-    'a prompt of {tokens:d} tokens is more urgent where {fast:d} tokens a ms'
-    ' are read than where {slow:d} are'
+    'a prompt of {tokens:d} tokens is more urgent at a prefill rate of'
+    ' {fast:d} tokens per ms than at {slow:d}'
 )
 def more_urgent(context, tokens, fast, slow):
     levels = [urgency.level(1, tokens, 800, speed) for speed in (fast, slow)]
     assert levels[0] < levels[1], levels
 
 
-@given('a fleet of {count:d} routers whose beacons come every {ms:d} ms')
-def seldom_beacons(context, count, ms):
+@given('a fleet of {count:d} routers that send beacons every {ms:d} ms')
+def fleet_without_due_beacons(context, count, ms):
     helpers.start_fleet(context, routers=count)
     for router in context.fleet.routers:
-        # The tasks that send them have been started; they find nothing due.
+        # The tasks that send beacons are running, but find none due.
         router.beacons._due = lambda: []
 
 
 @when('one router sends a prompt of {tokens:d} tokens to an engine')
 def sends_prompt(context, tokens):
     service = pb.Service(name=shape_.ENGINES, slots=64)
-    exchange = exchange_with('a')
+    exchange = make_exchange('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
-    places = context.fleet.routers[0].serving.places
-    context.place = places.choose(exchange, service)
+    selector = context.fleet.routers[0].serving.places
+    context.reservation = selector.choose(exchange, service)
 
 
-@when('its prompt is read')
-def prompt_read(context):
-    context.place.mark_prompt_read()
+@when('the prefill of the prompt ends')
+def prefill_ends(context):
+    context.reservation.mark_prompt_read()
 
 
-@then('the others know of {tokens:d} unread tokens there')
-def others_know(context, tokens):
-    name = context.place.view.name
+@then('the other routers know of {tokens:d} tokens waiting for prefill there')
+def other_routers_know(context, tokens):
+    name = context.reservation.view.name
     helpers.wait_until(
         lambda: all(
             router.table.get(name).total_load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
-        'the others know',
+        'the other routers know',
     )
 
 
-def place_all(context, hears):
-    """Let routers place prompts by turns; return how many went where."""
+def place_all(context, is_reported):
+    """Place prompts on routers in turn; return the number per engine.
+
+    Parameters
+    ----------
+    is_reported : bool
+        Whether each router receives the loads of the others at once.
+    """
     counts = collections.Counter()
-    tables = [table_of(context.clock, 20) for _ in range(40)]
+    tables = [make_table(context.clock, 20) for _ in range(40)]
     routers = [
         make_placement(table, placement.LeastLoadedPolicy(), f'r-{n}')
         for n, table in enumerate(tables)
     ]
     for router in routers:
-        router.has_stale_peer_data = lambda: not hears
+        router.has_stale_peer_data = lambda: not is_reported
     for turn in range(3):
         for number, router in enumerate(routers):
-            exchange = exchange_with('', own=f'{turn}-{number}')
+            exchange = make_exchange('', own=f'{turn}-{number}')
             exchange.prompt = exchange_.Prompt(tokens_in=2000, tokens_out=10)
-            place = router.choose(exchange, SERVICE)
-            counts[place.view.name] += 1
-            if hears:
+            reservation = router.choose(exchange, SERVICE)
+            counts[reservation.view.name] += 1
+            if is_reported:
                 for other, table in enumerate(tables):
                     if other != number:
                         table.set_peer_loads(
@@ -601,29 +616,29 @@
     return counts
 
 
-@when('each of them places {count:d} prompts without hearing of the others')
-def places_unheard(context, count):
-    context.placed = place_all(context, hears=False)
+@when('each router places {count:d} prompts without data from the others')
+def place_without_reports(context, count):
+    context.placed = place_all(context, is_reported=False)
 
 
-@then('no engine has more than {most:d} of the {all_:d}')
-def none_has_more(context, most, all_):
+@then('no engine receives more than {most:d} of the {all_:d} prompts')
+def no_engine_receives_more(context, most, all_):
     assert sum(context.placed.values()) == all_
     assert max(context.placed.values()) <= most, context.placed
 
 
 @then(
-    'where each has heard all, the engines have {each:d} each, one more or'
+    'with current data, each engine receives {each:d} prompts, one more or'
     ' less'
 )
-def evenly(context, each):
-    placed = place_all(context, hears=True)
+def each_engine_receives(context, each):
+    placed = place_all(context, is_reported=True)
     assert len(placed) == 20
     assert all(abs(n - each) <= 1 for n in placed.values()), placed
 
 
-@given("one of {n:d} routers, where little is left of a team's limit")
-def little_left(context, n):
+@given('one of {n:d} routers, and a team whose bucket has a low level')
+def level_is_low(context, n):
     context.clock = clock_.ManualClock()
     context.quota = quota_.Quota(context.clock)
     context.quota.count_routers = lambda: n
@@ -637,18 +652,18 @@
     assert context.quota.levels() == {'a': 3000}, context.quota.levels()
 
 
-@when('a small request is let pass there')
-def small_passes(context):
+@when('it admits a small request')
+def admit_small_request(context):
     assert context.quota.take('a', 500) == 0
 
 
-@when('a small request is let pass there and does not run')
-def small_not_run(context):
-    small_passes(context)
+@when('it admits a small request that does not run')
+def admit_small_request_not_run(context):
+    admit_small_request(context)
     context.quota.refund('a', 500)
 
 
-@then('the next one waits for nothing')
-def next_waits_not(context):
+@then('the next request is admitted at once')
+def next_admitted_at_once(context):
     wait_ms = context.quota.take('a', 500)
     assert wait_ms == 0, wait_ms
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a large configuration on thin links, in a time of their own."""
+"""Steps for the distribution of configurations over simulated links."""
 
 from __future__ import annotations
 
@@ -30,29 +30,31 @@
 from peridotmast.serving import upstreams as upstreams_
 
 STEP_MS = 10
-HEAD_MS = 500
-"""Time between two beacons that a router hears from its head."""
-STORE_MS = 1500
-"""Bound on a call of a store that is silent."""
-LONG_MS = 60_000
-AWAKE_MS = 500
-OLD, NEW = 4, 5
-TOKEN = '0123456789abcdefghijklmnopqrstuvwxyz'
+HEAD_BEACON_MS = 500
+"""Interval of the beacons that a router receives from its head."""
+STORE_TIMEOUT_MS = 1500
+"""Timeout of a call to a store that does not answer."""
+STORE_READ_MS = 60_000
+"""Timeout of a read that transfers the configuration from the store."""
+MAX_CLOCK_STEP_MS = 500
+"""Longest step of the clock that does not count as a pause of the process."""
+OLD_VERSION, NEW_VERSION = 4, 5
+ALPHABET = '0123456789abcdefghijklmnopqrstuvwxyz'
 
 
-def document(version, routes, seed=1):
-    """Return a document with so many routes, named as operators do."""
-    draws = random.Random(seed)
+def make_document(version, routes, seed=1):
+    """Return a configuration document with routes that have random names."""
+    random_ = random.Random(seed)
 
-    def word(length):
-        return ''.join(draws.choices(TOKEN, k=length))
+    def random_name(length):
+        return ''.join(random_.choices(ALPHABET, k=length))
 
     config = pb.Config(
         routes=[
             pb.Route(
-                name=f'r-{word(7)}',
-                host=f'{word(6)}.example',
-                prefix=f'/{word(8)}/',
+                name=f'r-{random_name(7)}',
+                host=f'{random_name(6)}.example',
+                prefix=f'/{random_name(8)}/',
                 kind=pb.IDEMPOTENT,
                 timeout_ms=1628,
                 target_ms=217,
@@ -68,34 +70,41 @@
 
 
 class Transfer:
-    """Bytes on their way from one router to another."""
+    """Bytes being transferred between two routers."""
 
-    def __init__(self, ends, size, until):
-        self.ends = ends
-        self.left = size
+    def __init__(self, addresses, size, until):
+        self.addresses = addresses
+        self.remaining = size
         self.until = until
         self.done = green.Event()
 
 
-class World:
-    """Routers, the links between them, and one time for all.
+class Simulation:
+    """Routers with simulated links and a simulated clock.
 
-    Each router's link carries so much in all; what is on its way at once
-    shares it. Waits in tasks are waits in this time.
+    Concurrent transfers share the bandwidth of each router's link. Sleeps in
+    tasks use the simulated clock.
+
+    Parameters
+    ----------
+    count : int
+        Number of routers.
+    bandwidth : int
+        Bandwidth of each link, in bytes per ms.
     """
 
-    def __init__(self, count, link):
+    def __init__(self, count, bandwidth):
         self.clock = clock_.ManualClock()
         self.clock.advance(1_000_000)
-        self.link = link
+        self.bandwidth = bandwidth
         self.transfers = []
-        self.carried = {}
+        self.transferred = {}
         self.tasks = []
-        self.silent = set()
+        self.unreachable = set()
         self.stored = None
-        self.store_out = False
+        self.is_store_down = False
         self.reads = 0
-        self.failed = []
+        self.failed_calls = []
         self._sleepers = []
         self._order = itertools.count()
         self.nodes = [Node(self, number) for number in range(count)]
@@ -107,11 +116,11 @@
         heapq.heappush(self._sleepers, (at, next(self._order), event))
         event.wait()
 
-    def carry(self, ends, size, timeout_ms):
-        """Wait until so many bytes are over; say whether they were."""
-        move = Transfer(ends, size, self.clock.now() + timeout_ms)
-        self.transfers.append(move)
-        return move.done.wait()
+    def transfer(self, addresses, size, timeout_ms):
+        """Transfer bytes, and return whether they arrived in time."""
+        transfer = Transfer(addresses, size, self.clock.now() + timeout_ms)
+        self.transfers.append(transfer)
+        return transfer.done.wait()
 
     def run(self, ms):
         for _ in range(ms // STEP_MS):
@@ -122,55 +131,63 @@
         now = self.clock.now()
         while self._sleepers and self._sleepers[0][0] <= now:
             heapq.heappop(self._sleepers)[2].send(None)
-        self._move(now)
+        self._advance_transfers(now)
         for node in self.nodes:
-            node.hear_head(now)
-        # Lets all tasks go on until each of them waits again.
+            node.receive_head_beacon(now)
+        # Run all tasks until each of them waits again.
         for _ in range(20):
             green.eventlet.sleep(0)
 
-    def _move(self, now):
+    def _advance_transfers(self, now):
         busy = {}
-        for move in self.transfers:
-            for end in move.ends:
-                busy[end] = busy.get(end, 0) + 1
-        for move in list(self.transfers):
-            share = self.link * STEP_MS / max(busy[end] for end in move.ends)
-            silent = self.silent.intersection(move.ends)
-            sent = 0 if silent else min(share, move.left)
-            move.left -= sent
-            for end in move.ends:
-                self.carried[end] = self.carried.get(end, 0) + sent
-            if move.left <= 0 or now >= move.until:
-                self.transfers.remove(move)
-                move.done.send(move.left <= 0)
+        for transfer in self.transfers:
+            for address in transfer.addresses:
+                busy[address] = busy.get(address, 0) + 1
+        for transfer in list(self.transfers):
+            share = (
+                self.bandwidth
+                * STEP_MS
+                / max(busy[address] for address in transfer.addresses)
+            )
+            unreachable = self.unreachable.intersection(transfer.addresses)
+            sent = 0 if unreachable else min(share, transfer.remaining)
+            transfer.remaining -= sent
+            for address in transfer.addresses:
+                self.transferred[address] = (
+                    self.transferred.get(address, 0) + sent
+                )
+            if transfer.remaining <= 0 or now >= transfer.until:
+                self.transfers.remove(transfer)
+                transfer.done.send(transfer.remaining <= 0)
 
 
 class Store:
-    """The platform's store, as one router reads it over its link."""
+    """The platform's store, read by one router over its link."""
 
-    def __init__(self, world, address):
-        self._world = world
+    def __init__(self, simulation, address):
+        self._simulation = simulation
         self._address = address
 
     def read(self, kind, name):
-        world = self._world
-        if world.store_out:
-            world.sleep_ms(STORE_MS)
+        simulation = self._simulation
+        if simulation.is_store_down:
+            simulation.sleep_ms(STORE_TIMEOUT_MS)
             return failures.unavailable('silent')
         if kind != names.CONFIG_KIND:
             return objects.Stored(name, 0)
-        world.reads += 1
-        spec = world.stored
-        world.carry((self._address,), len(json.dumps(spec)), LONG_MS)
+        simulation.reads += 1
+        spec = simulation.stored
+        simulation.transfer(
+            (self._address,), len(json.dumps(spec)), STORE_READ_MS
+        )
         return objects.Stored(name, spec['version'], spec)
 
 
 class Node:
-    """One router, as far as it knows, gives and asks for configurations."""
+    """The parts of a router that request and serve configurations."""
 
-    def __init__(self, world, number):
-        self._world = world
+    def __init__(self, simulation, number):
+        self._simulation = simulation
         self.number = number
         self.head = None
         self.address = f'10.0.0.{number + 1}:7'
@@ -187,20 +204,20 @@
             revision=3,
         )
         self.members = members = members_.Members(
-            me, clock_.AwakeClock(world.clock, AWAKE_MS), 1250
+            me, clock_.AwakeClock(simulation.clock, MAX_CLOCK_STEP_MS), 1250
         )
         checks = invariants.Invariants(
             prometheus_client.CollectorRegistry(), fatal=True
         )
         self.config = config_feed.ConfigFeed(
-            Store(world, self.address),
+            Store(simulation, self.address),
             names.CONFIG_KIND,
             names.CONFIG_NAME,
             config_codec,
             checks,
         )
-        table = upstreams_.UpstreamTable(world.clock)
-        self.asked = 0
+        table = upstreams_.UpstreamTable(simulation.clock)
+        self.calls = 0
         self.knowledge = knowledge = types.SimpleNamespace(
             is_from_store=False,
             members=members,
@@ -210,10 +227,15 @@
             overtaken=lambda *what: None,
         )
         self.catch_up = catch_up_.CatchUp(
-            world.clock, knowledge, self, self._spawn
+            simulation.clock, knowledge, self, self._spawn
         )
         self.service = peer_service.PeerService(
-            world.clock, members, self.config, table, None, pb.TlsSettings()
+            simulation.clock,
+            members,
+            self.config,
+            table,
+            None,
+            pb.TlsSettings(),
         )
 
     @property
@@ -221,15 +243,15 @@
         return self.config.routes.version
 
     def call(self, address, method, request, timeout_ms):
-        """Call a peer over both links."""
-        self.asked += 1
-        peer = self._world.by_address[address]
+        """Call a peer over the links of both routers."""
+        self.calls += 1
+        peer = self._simulation.by_address[address]
         reply = getattr(peer.service, method)(request, rpc.Caller())
-        ends = (self.address, address)
+        addresses = (self.address, address)
         size = request.ByteSize() + reply.ByteSize()
-        if self._world.carry(ends, size, timeout_ms):
+        if self._simulation.transfer(addresses, size, timeout_ms):
             return reply
-        self._world.failed.append((self.address, address, method))
+        self._simulation.failed_calls.append((self.address, address, method))
         return failures.unavailable('deadline_exceeded')
 
     def beacon(self):
@@ -239,203 +261,236 @@
             news_only=True,
         )
 
-    def take(self, spec):
-        """Take it in from the store, and tell the others."""
-        # One that a peer has told already has it, and tells as well.
+    def apply_from_store(self, spec):
+        """Apply a configuration from the store, and report it to all peers."""
+        # If a peer has served it before, it is in force already and is
+        # reported as well.
         self.config.offer_routes(spec, 'store')
         assert self.version == spec['version']
-        for node in self._world.nodes:
+        for node in self._simulation.nodes:
             if node is not self:
-                node.hear(self)
+                node.receive_beacon(self)
 
-    def hear_head(self, now):
-        """Hear the head's beacon, each router at another moment."""
-        if (now + 70 * self.number) % HEAD_MS < STEP_MS:
-            self.hear(self.head or self._world.nodes[self.number % 8])
+    def receive_head_beacon(self, now):
+        """Receive the head's beacon, at a different time on each router."""
+        if (now + 70 * self.number) % HEAD_BEACON_MS < STEP_MS:
+            self.receive_beacon(
+                self.head or self._simulation.nodes[self.number % 8]
+            )
 
-    def hear(self, node):
-        if node is not self and node.address not in self._world.silent:
+    def receive_beacon(self, node):
+        if (
+            node is not self
+            and node.address not in self._simulation.unreachable
+        ):
             self.catch_up.compare(node.beacon())
 
     def join(self, seeds):
         self._spawn('join', self.catch_up.join, seeds)
 
     def _spawn(self, name, func, *args):
-        self._world.tasks.append(green.spawn(func, *args))
+        self._simulation.tasks.append(green.spawn(func, *args))
 
 
-@given('{count:d} routers on links of {rate:d} bytes a millisecond')
+@given('{count:d} routers on links of {rate:d} bytes per ms')
 def routers_on_links(context, count, rate):
-    context.world = world = World(count, rate)
+    context.simulation = simulation = Simulation(count, rate)
     real = green.sleep_ms
-    green.sleep_ms = world.sleep_ms
+    green.sleep_ms = simulation.sleep_ms
 
     def restore():
         green.sleep_ms = real
-        for task in world.tasks:
+        for task in simulation.tasks:
             task.kill()
 
     context.closing.append(restore)
-    world.stored = before = document(OLD, 49)
-    for node in world.nodes:
+    simulation.stored = before = make_document(OLD_VERSION, 49)
+    for node in simulation.nodes:
         node.config.offer_routes(before, 'store')
 
 
-@when('{count:d} of them have {routes:d} routes more within {ms:d} ms')
-def some_have(context, count, routes, ms):
-    world = context.world
-    world.stored = spec = document(NEW, 49 + routes)
-    context.first = world.nodes[-count:]
+@when(
+    '{count:d} of them read a configuration with {routes:d} more routes within'
+    ' {ms:d} ms'
+)
+def some_read(context, count, routes, ms):
+    simulation = context.simulation
+    simulation.stored = spec = make_document(NEW_VERSION, 49 + routes)
+    context.first = simulation.nodes[-count:]
     for node in context.first:
-        node.take(spec)
-        world.run(ms // count)
+        node.apply_from_store(spec)
+        simulation.run(ms // count)
 
 
-@when('{count:d} of those {first:d} fall silent at once')
-def fall_silent(context, count, first):
-    gone = context.first[:count]
-    context.world.silent.update(node.address for node in gone)
+@when('{count:d} of those {first:d} become unreachable at once')
+def become_unreachable(context, count, first):
+    routers = context.first[:count]
+    context.simulation.unreachable.update(node.address for node in routers)
 
 
-@then('all have them within {ms:d} ms more')
-def all_have(context, ms):
-    context.world.run(ms)
-    newest = context.world.stored['version']
-    late = [n.number for n in context.world.nodes if n.version != newest]
+@then('all routers have the configuration within {ms:d} more ms')
+def all_routers_have(context, ms):
+    context.simulation.run(ms)
+    newest = context.simulation.stored['version']
+    late = [n.number for n in context.simulation.nodes if n.version != newest]
     assert not late, f'{len(late)} routers do not have it: {late}'
 
 
-@then("no router's link has carried more than {most:d} bytes for it")
-def carried(context, most):
-    found = max(context.world.carried.values())
+@then("no router's link has carried more than {most:d} bytes")
+def links_transferred_at_most(context, most):
+    found = max(context.simulation.transferred.values())
     assert found <= most, found
 
 
-@when('another one has them {ms:d} ms later')
-def another_has(context, ms):
-    context.world.run(ms)
-    context.world.nodes[0].take(context.world.stored)
+@when('another router reads it {ms:d} ms later')
+def another_reads(context, ms):
+    context.simulation.run(ms)
+    context.simulation.nodes[0].apply_from_store(context.simulation.stored)
 
 
-@when('{ms:d} ms later they have {routes:d} routes more still')
-def have_more(context, ms, routes):
-    world = context.world
-    world.run(ms)
-    world.stored = spec = document(NEW + 1, 49 + routes, seed=2)
+@when('{ms:d} ms later, they read another one with {routes:d} more routes')
+def read_second(context, ms, routes):
+    simulation = context.simulation
+    simulation.run(ms)
+    simulation.stored = spec = make_document(
+        NEW_VERSION + 1, 49 + routes, seed=2
+    )
     for node in context.first:
-        node.take(spec)
+        node.apply_from_store(spec)
 
 
-@when('no router reaches the store')
-def store_out(context):
-    context.world.store_out = True
+@when('no router can reach the store')
+def store_unreachable(context):
+    context.simulation.is_store_down = True
 
 
-@when('they reach the store again')
-def store_back(context):
-    context.world.store_out = False
+@when('the routers can reach the store again')
+def store_reachable(context):
+    context.simulation.is_store_down = False
 
 
 @when('{ms:d} ms pass on the links')
-def pass_on_links(context, ms):
-    context.world.run(ms)
+def time_passes_on_links(context, ms):
+    context.simulation.run(ms)
 
 
-@then('the others know that they are behind')
-def know_behind(context):
-    others = [n for n in context.world.nodes if n not in context.first]
+@then('the other routers know that their configuration is outdated')
+def know_outdated(context):
+    others = [n for n in context.simulation.nodes if n not in context.first]
     assert others
     assert all(node.catch_up.config.is_behind() for node in others)
 
 
-@when('one says again and again that it has what the store has not')
-def liar(context):
-    world = context.world
-    liar = world.nodes[-1]
-    context.first = [liar]
-    beacon = liar.beacon
-    liar.beacon = lambda: pb.Beacon(
-        member=beacon().member, config_version=NEW + 90, news_only=True
+@when('one router repeatedly reports a version that the store does not have')
+def one_misreports(context):
+    simulation = context.simulation
+    misreporter = simulation.nodes[-1]
+    context.first = [misreporter]
+    beacon = misreporter.beacon
+    misreporter.beacon = lambda: pb.Beacon(
+        member=beacon().member, config_version=NEW_VERSION + 90, news_only=True
     )
-    for node in world.nodes[:-1]:
-        node.head = liar
+    for node in simulation.nodes[:-1]:
+        node.head = misreporter
 
 
-@then('at most {share:d} in 100 times the others think that they are behind')
-def think_behind(context, share):
-    world = context.world
-    others = world.nodes[:-1]
+@then(
+    'the other routers consider their configuration outdated in at most'
+    ' {share:d} of 100 checks'
+)
+def consider_outdated(context, share):
+    simulation = context.simulation
+    others = simulation.nodes[:-1]
     found = []
     for _ in range(200):
-        world.run(100)
+        simulation.run(100)
         found += [node.catch_up.config.is_behind() for node in others]
     assert sum(found) * 100 <= share * len(found), sum(found) / len(found)
 
 
-@when("another one has {routes:d} routes of the store's, and tells of it")
-def another_tells(context, routes):
-    world = context.world
-    world.stored = document(NEW, routes, seed=3)
-    world.nodes[0].take(world.stored)
-
-
-@when("that one has {routes:d} routes of the store's, and tells of it")
-def liar_tells(context, routes):
-    world = context.world
-    [liar] = context.first
-    # From now on it says what it has.
-    del liar.beacon
-    world.stored = document(NEW, routes, seed=3)
-    liar.take(world.stored)
+@when(
+    'another router reads and reports a newer configuration with {routes:d}'
+    ' routes'
+)
+def another_reads_and_reports(context, routes):
+    simulation = context.simulation
+    simulation.stored = make_document(NEW_VERSION, routes, seed=3)
+    simulation.nodes[0].apply_from_store(simulation.stored)
 
 
-@then('all but the first have them within {ms:d} ms more')
-def all_but_first(context, ms):
-    context.world.run(ms)
-    late = [n.number for n in context.world.nodes[:-1] if n.version != NEW]
+@when(
+    'that router reads and reports a newer configuration with {routes:d}'
+    ' routes'
+)
+def misreporting_reads_and_reports(context, routes):
+    simulation = context.simulation
+    [misreporter] = context.first
+    # From now on, its beacons contain its own version again.
+    del misreporter.beacon
+    simulation.stored = make_document(NEW_VERSION, routes, seed=3)
+    misreporter.apply_from_store(simulation.stored)
+
+
+@then('all routers but the first have the configuration within {ms:d} more ms')
+def all_but_first_have(context, ms):
+    context.simulation.run(ms)
+    late = [
+        n.number
+        for n in context.simulation.nodes[:-1]
+        if n.version != NEW_VERSION
+    ]
     assert not late, late
 
 
-@then('the store was asked at most {most:d} times by each')
-def asked_at_most(context, most):
-    assert context.world.reads <= most * (len(context.world.nodes) - 1)
+@then('the store was read at most {most:d} times per router')
+def store_reads_at_most(context, most):
+    assert context.simulation.reads <= most * (
+        len(context.simulation.nodes) - 1
+    )
 
 
-@given('{count:d} of them can read no newer one')
-def cannot_read(context, count):
+@given('{count:d} of them cannot parse newer configurations')
+def cannot_parse(context, count):
     def refuse(spec):
-        raise ValueError('written for others')
+        raise ValueError('unsupported configuration')
 
-    for node in context.world.nodes[:count]:
+    for node in context.simulation.nodes[:count]:
         node.config._reader = types.SimpleNamespace(
             read_version=config_codec.read_version, read_config=refuse
         )
 
 
-@when('that one can read what it could not')
-def can_read(context):
-    node = context.world.nodes[0]
+@when('that router can parse newer configurations')
+def can_parse(context):
+    node = context.simulation.nodes[0]
     node.config._reader = config_codec
-    # Beacons go on, and bring the word again.
+    # Later beacons report the newer version again.
     node.head = context.first[0]
 
 
-@then("the one that can't read it knows that it is behind")
-def unreadable_behind(context):
-    node = context.world.nodes[0]
-    assert node.version == OLD
+@then(
+    'the router that cannot parse it knows that its configuration is outdated'
+)
+def unparsable_outdated(context):
+    node = context.simulation.nodes[0]
+    assert node.version == OLD_VERSION
     assert node.catch_up.config.is_behind()
 
 
-@then('no link of those has carried more than {most:d} bytes')
-def those_carried(context, most):
-    carried = context.world.carried
-    found = [carried.get(n.address, 0) for n in context.world.nodes[:1]]
+@then(
+    'the link of the router that cannot parse it has carried at most {most:d}'
+    ' bytes'
+)
+def link_transferred_at_most(context, most):
+    transferred = context.simulation.transferred
+    found = [
+        transferred.get(n.address, 0) for n in context.simulation.nodes[:1]
+    ]
     assert max(found) <= most, found
 
 
-@when('the router hears of a configuration that is newer than its own')
-def hears_of_newer(context):
+@when('the router receives a beacon with a newer configuration version')
+def receives_newer_version(context):
     router = context.fleet.routers[0]
     member = pb.Member(
         name='router-9',
@@ -450,27 +505,25 @@
     router._peering.take(beacon)
 
 
-@then(
-    'a caller of an unknown route is told to come back, and that nothing ran'
-)
-def told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
+@then('a request to an unknown route is refused with 503 and a retry time')
+def unknown_route_refused(context):
+    check_refusal(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
 
 
-@then(
-    'a caller with an unknown key is told to come back, and that nothing ran'
-)
-def key_told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, key='Bearer new'))
+@then('a request with an unknown key is refused with 503 and a retry time')
+def unknown_key_refused(context):
+    check_refusal(
+        helpers.ask(context.fleet.routers[0].address, key='Bearer new')
+    )
 
 
-def is_promise(answer):
+def check_refusal(answer):
     assert answer.status == 503, answer
     assert float(answer.header(names.RETRY_AFTER)) > 0, answer
 
 
-@when('nothing more is heard of it')
-def nothing_more(context):
+@when('no more beacons with that version arrive')
+def no_more_beacons(context):
     answer = None
 
     def is_final():
@@ -478,65 +531,71 @@
         answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
         return answer.status == 404
 
-    helpers.wait_until(is_final, 'the word is forgotten')
+    helpers.wait_until(is_final, 'the reported version is forgotten')
 
 
-@then('a caller of an unknown route is told that there is none')
-def told_none(context):
+@then('a request to an unknown route is answered with 404')
+def unknown_route_not_found(context):
     answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
     assert answer.status == 404, answer
 
 
-@when('all but {count:d} that know everybody join by these at once')
-def all_join(context, count):
-    world = context.world
-    seeds, others = world.nodes[:count], world.nodes[count:]
+@when(
+    'all but {count:d} routers, which know the whole fleet, join through these'
+    ' at once'
+)
+def join_through_seeds(context, count):
+    simulation = context.simulation
+    seeds, others = simulation.nodes[:count], simulation.nodes[count:]
     for seed in seeds:
-        for node in world.nodes:
+        for node in simulation.nodes:
             seed.members.learn(node.members.me)
     for node in others:
         node.join([seed.address for seed in seeds])
 
 
-@when('the store has told each of platform and fleet')
-def store_has_told(context):
-    for node in context.world.nodes:
+@when('each router has read the platform and the fleet from the store')
+def fleet_read_from_store(context):
+    for node in context.simulation.nodes:
         node.knowledge.is_from_store = True
 
 
-@then('none of them has asked a seed')
-def none_asked(context):
-    asked = [node.number for node in context.world.nodes if node.asked]
-    assert not asked, asked
+@then('no router has called a seed')
+def no_seed_called(context):
+    calls = [node.number for node in context.simulation.nodes if node.calls]
+    assert not calls, calls
 
 
-@then('no call of theirs has failed, and all know everybody')
-def all_joined(context):
-    world = context.world
-    assert not world.failed, (len(world.failed), world.failed[0])
-    for node in world.nodes:
+@then('no call has failed, and each router knows all others')
+def all_know_each_other(context):
+    simulation = context.simulation
+    assert not simulation.failed_calls, (
+        len(simulation.failed_calls),
+        simulation.failed_calls[0],
+    )
+    for node in simulation.nodes:
         known = len(node.members.peers())
-        assert known == len(world.nodes) - 1, (node.number, known)
+        assert known == len(simulation.nodes) - 1, (node.number, known)
 
 
-@when('one gives copies until it puts a peer off')
-def gives_until_put_off(context):
-    [context.giver] = context.first
-    while not ask_for_copy(context).retry_after_ms:
+@when('that router serves copies until it defers a peer')
+def serves_until_deferred(context):
+    [context.server] = context.first
+    while not request_copy(context).retry_after_ms:
         pass
 
 
-def ask_for_copy(context):
-    request = pb.ConfigRequest(known_version=OLD, takes_packed=True)
-    return context.giver.service.FetchConfig(request, rpc.Caller())
+def request_copy(context):
+    request = pb.ConfigRequest(known_version=OLD_VERSION, takes_packed=True)
+    return context.server.service.FetchConfig(request, rpc.Caller())
 
 
-@when('it stands still for {ms:d} ms')
-def copies_stand_still(context, ms):
-    context.world.clock.advance(ms)
+@when('it is paused for {ms:d} ms')
+def pause_router(context, ms):
+    context.simulation.clock.advance(ms)
 
 
-@then('it gives the next copy at once')
-def gives_at_once(context):
-    reply = ask_for_copy(context)
+@then('it serves the next copy at once')
+def serves_at_once(context):
+    reply = request_copy(context)
     assert reply.packed_config, reply.retry_after_ms
--- a/features/upstreams.feature
+++ b/features/upstreams.feature
@@ -1,24 +1,24 @@
-Feature: Upstreams whose entries are missing, and what may be missing
+Feature: Upstreams with missing entries, outages of the store and silent watches
 
-  Scenario: An entry that is removed while the store answers is gone at once
+  Scenario: An upstream is gone at once if its entry is removed while the store answers
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is removed
     Then "b, c" may get new work
 
-  Scenario: One that is missing after an outage is in doubt
+  Scenario: An upstream whose entry is missing after an outage still gets requests
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     Then "a, b, c" may get new work
     And "a" is not given up yet
 
-  Scenario: One in doubt gets no work for as long as a leaving one might
+  Scenario: A lapsed upstream gets requests for less time than a leaving one
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And 1300 ms pass
     Then "b, c" may get new work
     And "a" is not given up yet
 
-  Scenario: One that comes back gets work again
+  Scenario: A lapsed upstream whose entry returns gets requests again
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And 1900 ms pass
@@ -26,14 +26,14 @@
     And 1900 ms pass
     Then "a, b, c" may get new work
 
-  Scenario: One that does not come back is given up
+  Scenario: A lapsed upstream whose entry does not return is gone
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And 2300 ms pass
     Then "b, c" may get new work
     And "a" is given up
 
-  Scenario: Where all are in doubt they get work until they are given up
+  Scenario: If all upstreams have lapsed, they get requests until they are gone
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And the entry of "b" is missing after an outage
@@ -48,7 +48,7 @@
     Then "b, c" may get new work
     And "a" is given up
 
-  Scenario: An older statement that comes late changes nothing
+  Scenario: A late record with an older revision is ignored
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" says that it leaves
     And what it said before comes once more
@@ -57,7 +57,7 @@
     And what it said before comes once more
     Then "b, c" may get new work
 
-  Scenario: A router that hears of the doubt counts the time by itself
+  Scenario: A router that learns of a lapse from a peer times it itself
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And 1000 ms pass
@@ -66,11 +66,10 @@
     Then there "b, c" may get new work
     And after 2300 ms there "a" is given up
 
-  # Seen: requests reached upstreams up to 0.14 s after the 3 s in which those that
-  # leave may get work. How: a router heard of a doubt from a peer, a second after the
-  # store had told, and gave work for as long again as the peer. Cause: what one router
-  # knows reached the others without its age. Proof: the peer's doubt is 1 s old.
-  Scenario: A doubt is told with its age
+  # Guards against requests that reach a leaving upstream too late, by up to 0.14 s after
+  # the permitted 3 s: a router learned of the lapse from a peer 1 s after the store had
+  # reported it, without its age, and sent requests for as long again as the peer.
+  Scenario: A peer reports a lapse with its age
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" is missing after an outage
     And 1000 ms pass
@@ -80,7 +79,7 @@
     Then there "b, c" may get new work
     And after 1000 ms there "a" is given up
 
-  Scenario: What fails says that the store is out, and for how long it is felt
+  Scenario: A failed call starts an outage, which lasts until some time after an answer
     Given a store that answers
     When a call of it fails
     And 5000 ms pass
@@ -91,28 +90,28 @@
     When 100 ms pass
     Then the outage is not felt
 
-  Scenario: A store that has failed is asked until it answers
+  Scenario: A store that has failed is probed until it answers
     Given a store that answers
     When a call of it fails
     Then it is asked at 3 of 3 looks
     When a call of it is answered
     Then it is asked at 0 of 3 looks
 
-  Scenario: A store whose call has failed just now is asked at the second look
+  Scenario: A store whose call has just failed is probed at the second check
     Given a store that answers
     When a call of it was made, and failed after that
     Then it is asked at 2 of 3 looks
 
-  Scenario: A store that has failed and is asked anyway is not asked beside
+  Scenario: A store that has failed is not probed while other calls are made
     Given a store that answers
     When a call of it fails
     And other calls of it are made, one before each look
     Then it is asked at 0 of 3 looks
 
-  # Seen: routers took the store to be out for 3 s after it had come back. How: calls
-  # that were made before ran out of time after others had been answered. Cause: a
-  # call's failure was dated by its end. Proof: one that was made before the answer.
-  Scenario: A call that was made before another one's answer dates the outage by that
+  # Guards against an outage that seems to last 3 s longer than it does: calls made before
+  # the store recovered time out after later calls are answered, and a failure was dated
+  # by the end of its call.
+  Scenario: A failed call that was made before an answer does not extend the outage
     Given a store that answers
     When a call of it is answered
     And 1000 ms pass
@@ -125,10 +124,9 @@
     When one that was made 1500 ms ago fails
     Then the outage is felt
 
-  # Seen: one failed call of a router that asked the store no more made the whole
-  # fleet take entries that were removed for lapsed ones, for good. Cause: only an
-  # answer ended the doubt. Proof: no answer comes here.
-  Scenario: A router that asks the store no more does not doubt for good
+  # Guards against a fleet that treats removed entries as lapsed for good, after a single
+  # failed call of a router that makes no further calls: only an answer ended the outage.
+  Scenario: The outage of a router that makes no further calls ends without an answer
     Given a store that answers
     When a call of it fails
     And 26500 ms pass
@@ -136,7 +134,7 @@
     When 2000 ms pass
     Then the outage is not felt
 
-  Scenario: A watch that stays silent is given up for a peer's news
+  Scenario: A silent watch is restarted if a peer has newer data
     Given a watch on a connection that stays silent
     When a peer has news 500 ms after it began
     Then the watch waits on
