--- a/features/duties.feature
+++ b/features/duties.feature
@@ -60,7 +60,7 @@
     Given a fleet of 1 routers with one scripted engine
     And the upstream answers with "<what>"
     When a caller posts "letter" to "<path>"
-    Then <count> requests of "noor" count as begun
+    Then <count> requests of "noor" are counted as started
 
     Examples:
       | what                            | path    | count |
@@ -74,15 +74,15 @@
   Scenario: An answer that is lost counts when its request was sent
     Given a fleet of 1 routers with one scripted engine
     And the upstream answers with "a reset a window later"
-    When a caller posts "letter" to "/once/x" early in a usage window
-    Then 1 requests of "noor" count as begun in that window only
+    When a caller posts "letter" to "/once/x" at the start of a usage window
+    Then 1 requests of "noor" are counted as started, only in that window
 
   Scenario Outline: A request that ran twice counts once
     Given a fleet of 1 routers
     And every upstream of "<service>" fails everything
     When a caller posts "letter" to "<path>"
-    Then it was run 2 times or more
-    And 1 requests of "noor" count as begun
+    Then the request was run at least 2 times
+    And 1 requests of "noor" are counted as started
 
     Examples:
       | service    | path     |
--- a/features/odd_upstreams.feature
+++ b/features/odd_upstreams.feature
@@ -6,7 +6,7 @@
   Scenario Outline: What a request that may run once gets for odd answers
     Given the upstream answers with "<what>"
     When a caller posts "seat 12" to "/holds/seat"
-    Then the status is <status> and the upstream ran it at most once
+    Then the status is <status>, and the upstream ran the request at most once
 
     Examples:
       | what                            | status |
@@ -26,12 +26,12 @@
     Given the upstream answers with "its answer and another one"
     When a caller posts "seat 12" to "/holds/seat"
     And a caller posts "seat 13" to "/holds/seat"
-    Then each got the answer to its own request
+    Then each caller receives the answer to its own request
 
   Scenario: A late answer to another request comes before its own
     Given the upstream answers with "an old answer and then its own"
     When a caller posts "seat 12" to "/holds/seat"
-    Then each got the answer to its own request
+    Then each caller receives the answer to its own request
 
   Scenario: A refusal without a run is passed on as a promise
     Given the upstream answers with "a refusal that says not run"
@@ -44,28 +44,28 @@
     Then the status is 503 with a time to come back
 
   Scenario: An answer that comes before all of a long body was sent
-    Given the upstream answers before it has read the body
+    Given the upstream answers before it reads the body
     When a caller posts 3000000 bytes to "/holds/seat"
     Then the status is 200
-    And what the upstream reads on is the rest of that body or nothing
+    And the upstream then receives only the rest of that body, or nothing
 
   Scenario: A connection that did not take all of a body is not used again
-    Given the upstream answers before it has read the body
-    When 20000000 bytes are sent over a connection to it
-    Then the answer is there and the connection is not kept
+    Given the upstream answers before it reads the body
+    When a request of 20000000 bytes is sent over a connection to the upstream
+    Then the answer is received, and the connection must not be reused
 
   Scenario: Bytes that come along with an answer spoil no other request
     Given the upstream answers with "its answer and another one at once"
     When 5 requests are sent one after the other
-    Then all of them got the answer to their own request
-    And each came on a connection of its own
+    Then each request is answered with its own answer
+    And each request was sent over a new connection
 
   Scenario: Each request names the upstream that is meant
     Given the upstream answers with "a 404 of its own"
     When a caller posts "seat 12" to "/holds/seat"
-    Then the upstream's own name was in it
+    Then the request contained the name of the upstream
 
   Scenario: The upstream closes kept connections without a word
-    Given the upstream answers once on each connection and closes it late
+    Given the upstream answers once on each connection, and closes it after a delay
     When 5 requests are sent one after the other
-    Then all of them got the answer to their own request
+    Then each request is answered with its own answer
--- a/features/once.feature
+++ b/features/once.feature
@@ -33,10 +33,10 @@
 
   Scenario: An idempotent request that ran before it was refused is told so
     Given a fleet of 1 routers with 2 services
-    And of two upstreams of "booking" one loses its answers and one refuses
+    And one of two upstreams of "booking" loses its answers, and the other refuses requests
     When 10 requests are sent to "/pages/seat"
-    Then those that ran have the status 502 and the others 503
-    And all of them are told when to come back
+    Then the requests that ran have the status 502, and the others 503
+    And all of them have a retry time
 
   Scenario: Random upstreams, and the promises to every request
-    Then in 40 random histories every status is true
+    Then in 40 random histories, every status is consistent with how often the request ran
