--- a/features/steps/crash_model.py
+++ b/features/steps/crash_model.py
@@ -23,7 +23,7 @@
 DURATIONS_MS = strategies.sampled_from([20, 300, 1000, 4000, 700_000])
 
 MAX_SENDS = 3
-"""Times that a request may be sent after its block is known."""
+"""Maximum number of times that a request is sent after its block is known."""
 
 SEED = int(
     '73d68681752704d7ab8479361166a7bcab55cd31bda4aab3fd140a924ad0a9eb'
@@ -56,7 +56,7 @@
         self.clock = clock_.ManualClock(5_000_000)
         self.holder = 'a'
         self.isolated = ''
-        self.left = []
+        self.stored_blocks = []
         self.runs = 0
         self.sends_after_block = 0
         self.blocked = False
@@ -66,14 +66,14 @@
     def make_tracker(self, name):
         tracker = crash_tracker_.CrashTracker(self.clock, name)
         tracker.may_retry = lambda: name == self.holder
-        tracker.notify_peers = lambda: self.tell(name)
+        tracker.notify_peers = lambda: self.send_updates(name)
         tracker.on_block = self.on_block
         return tracker
 
     def on_block(self, fingerprint):
         assert fingerprint != STREAMING, 'blocked for crashes of another'
 
-    def tell(self, name):
+    def send_updates(self, name):
         if name == self.isolated:
             return
         updates = self.trackers[name].updates()
@@ -123,7 +123,7 @@
     def all_restart(self):
         """Kill all routers; the next holder reads the blocks in the lease."""
         self.trackers = {name: self.make_tracker(name) for name in 'abc'}
-        self.trackers[self.holder].merge_updates(self.left)
+        self.trackers[self.holder].merge_updates(self.stored_blocks)
         self.exchange()
 
     @stateful.rule(router=ROUTERS)
@@ -145,8 +145,8 @@
         self.isolated = ''
         for _ in range(2):
             for name in self.trackers:
-                self.tell(name)
-        self.left = self.trackers[self.holder].blocked()
+                self.send_updates(name)
+        self.stored_blocks = self.trackers[self.holder].blocked()
         self.check_block()
 
     def check_block(self):
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on request rate limits that upstreams set for all routers."""
+"""Steps for request rate limits that upstreams set for all routers."""
 
 from __future__ import annotations
 
@@ -65,7 +65,10 @@
 
 
 def max_in_window(context, guest):
-    """Return the maximum of requests in a window once all know the limit."""
+    """Return the maximum number of requests in a window.
+
+    Requests are counted once all routers know the limit.
+    """
     arrivals = [
         at
         for at, _ in guest.upstream.app.arrivals
@@ -126,7 +129,7 @@
 
 
 def know_rate(context, rate):
-    """Yield for each router whether it knows this rate, or none for 0."""
+    """Yield for each router whether it knows this rate; 0 means no rate."""
     for router in context.fleet.serving():
         updates = router.serving.limits.updates()
         known = [x.rate for x in updates if x.HasField('rate')]
@@ -157,7 +160,7 @@
 def keeps_limit(context, rate):
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: ask(context, router).status == 200, 'one is answered'
+        lambda: ask(context, router).status == 200, 'a request is answered'
     )
     assert all(know_rate(context, rate))
 
