--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -47,8 +47,9 @@
 """Minimum length of a prompt, in tokens, whose arrival and completion are sent
 to the other routers at once. Three in five late first tokens had waited behind
 prompts that no beacon had reported yet. Without these immediate updates, the
-mean worth of four experiment days was lower by 0.05 of what was owed. Shorter
-prompts are prefilled before the other routers could use the update."""
+mean worth of four experiment days (see `tools/days_table.py`) was lower by
+0.05 of what was owed. Shorter prompts are prefilled before the other routers
+could use the update."""
 
 _COMPARED_WHEN_STALE = 3
 """Number of upstreams, besides the home, that are compared while the load data
--- a/src/peridotmast/serving/upstream_view.py
+++ b/src/peridotmast/serving/upstream_view.py
@@ -42,8 +42,8 @@
 class UpstreamView:
     """State of one run of an upstream on this router.
 
-    A later run under the same name has its own view, as it shares neither the
-    cache nor the requests nor the health of this one.
+    A later run under the same name has its own view, as nothing that this run
+    held, executed or promised applies to it.
 
     Parameters
     ----------
@@ -120,7 +120,7 @@
     def add_load(self, load: Load) -> None:
         """Add the load of a request of this router."""
         if not self.local_load.running:
-            # Without a request, its silence was not a sign of a failure.
+            # Silence before the first request is not a sign of a failure.
             self.note_activity()
         self.local_load.add(load)
         self._total_load.add(load)
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -170,7 +170,7 @@
         return self._live_by_service.get(service, ())
 
     def local_loads(self) -> list[pb.UpstreamLoad]:
-        """Return this router's load on each upstream with requests of it."""
+        """Return this router's load on each upstream that it uses."""
         return [
             self.local_load(view)
             for view in self._busy
