--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -39,8 +39,8 @@
     context.fingerprints = []
     for index, (path, body) in enumerate(requests):
         router = context.fleet.routers[index % 2]
-        answer = helpers.ask(router.address, path, body=body)
-        steps = router.serving.decisions.of(answer.request_id)
+        answer = helpers.send_request(router.address, path, body=body)
+        steps = router.serving.decisions.history(answer.request_id)
         [attempt] = [text for _, text in steps if text.startswith('attempt ')]
         [fingerprint] = [
             part.partition('=')[2]
@@ -108,7 +108,9 @@
         conn = connection_.Connection(address, clock_.SystemClock())
         assert conn.connect(1000) is None
         with green.Timeout(ms / 1000, False):
-            helpers.ask(address, context.path, body=context.body, conn=conn)
+            helpers.send_request(
+                address, context.path, body=context.body, conn=conn
+            )
         conn.close()
         green.sleep_ms(context.crash_delay_ms + PROPAGATION_MS)
 
@@ -118,7 +120,9 @@
     for number in range(count):
         routers = context.fleet.serving()
         router = routers[number % len(routers)]
-        answer = helpers.ask(router.address, context.path, body=context.body)
+        answer = helpers.send_request(
+            router.address, context.path, body=context.body
+        )
         context.answers.append(answer)
         green.sleep_ms(PROPAGATION_MS)
 
@@ -140,7 +144,7 @@
     for guest in helpers.guests(context):
         guest.upstream.app.crash_body = b''
     router = context.fleet.serving()[0]
-    answer = helpers.ask(router.address, path, body=context.body)
+    answer = helpers.send_request(router.address, path, body=context.body)
     assert answer.status == 200 and answer.complete, answer
 
 
@@ -168,7 +172,7 @@
         lambda: any(
             left
             for router in context.fleet.serving()
-            if router.lease.held()
+            if router.lease.is_held()
             for left in [(router.lease._current().get('left') or {})]
             if left.get('crashSuspects')
         ),
@@ -217,12 +221,15 @@
         context.fleet.announce_leaving(other)
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: len(router.table.live(shape_.ENGINES)) == 1,
+        lambda: len(router.upstream_table.live(shape_.ENGINES)) == 1,
         'one engine is live',
     )
     context.queued = [
         green.spawn(
-            helpers.ask, router.address, context.path, body=context.body
+            helpers.send_request,
+            router.address,
+            context.path,
+            body=context.body,
         )
         for _ in range(count)
     ]
@@ -236,7 +243,7 @@
         set_crash_body(context, added)
     helpers.wait_until(
         lambda: all(
-            len(router.table.live(shape_.ENGINES)) == len(others)
+            len(router.upstream_table.live(shape_.ENGINES)) == len(others)
             for router in context.fleet.routers
         ),
         'the replacements are live',
@@ -267,7 +274,7 @@
     router = context.fleet.routers[0]
     [view] = [
         view
-        for view in router.table.all()
+        for view in router.upstream_table.all()
         if view.name == context.queued_at.name
     ]
     assert view.health.failure_share() == 0, view.health.failure_share()
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -5,10 +5,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import fleet_steps
 import helpers
 import raw_upstream
+import store_outage_steps
 import stream_steps
 
 from peridotmast import clock as clock_
@@ -31,7 +31,7 @@
         upstream=pb.Upstream(
             name='a',
             address='10.0.0.1:1',
-            service=doubt_steps.SERVICE,
+            service=store_outage_steps.SERVICE,
             slots=4,
             failure_domain='fd-1',
             born=born,
@@ -113,7 +113,7 @@
 
 @then('"a" may get new work and was born at {born:d}')
 def may_get_work(context, born):
-    (view,) = context.upstreams.live(doubt_steps.SERVICE)
+    (view,) = context.upstreams.live(store_outage_steps.SERVICE)
     assert view.born == born, view.born
 
 
@@ -199,7 +199,10 @@
 )
 def once_again(context, path):
     task = green.spawn(
-        helpers.ask, fleet_steps.front(context), path, request_id='seat-1'
+        helpers.send_request,
+        fleet_steps.router_address(context),
+        path,
+        request_id='seat-1',
     )
 
     def running():
@@ -231,7 +234,7 @@
         context.fleet.begin_again(guest)
         for guest in helpers.guests(context, service)
     ]
-    table = context.fleet.routers[0].table
+    table = context.fleet.routers[0].upstream_table
     helpers.wait_until(
         lambda: all(
             table.get(guest.name).born == guest.record.upstream.born
@@ -244,7 +247,9 @@
 @then('{count:d} requests to "{path}" are answered by the later runs')
 def answered_by_later(context, count, path):
     for _ in range(count):
-        answer = helpers.ask(fleet_steps.front(context), path)
+        answer = helpers.send_request(
+            fleet_steps.router_address(context), path
+        )
         assert answer.status == 200, answer
     runs = sum(
         sum(guest.upstream.app.runs.values()) for guest in context.later
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -11,8 +11,8 @@
 import helpers
 
 from peridotmast import clock as clock_
+from peridotmast.coordination import fleet_counts
 from peridotmast.coordination import groups
-from peridotmast.coordination import tally
 from peridotmast.embedded import shape as shape_
 from peridotmast import green
 from peridotmast.schema import peridotmast_pb2 as pb
@@ -64,9 +64,10 @@
     if 'tallies' not in context:
         context.tallies = {}
     known = context.tallies.setdefault(
-        id(quota), tally.Tally(quota.spent, quota.subtract_peer_spends)
+        id(quota),
+        fleet_counts.FleetCounts(quota.spent, quota.subtract_peer_spends),
     )
-    known.hear(router, run, sender.spent(), True)
+    known.receive(router, run, sender.spent(), True)
 
 
 @given('router 1 is isolated from the others')
@@ -323,8 +324,8 @@
         team='t',
         priority=1,
         urgency=4,
-        entered=0,
-        ends_at=0,
+        arrived_at=0,
+        deadline=0,
         caller=None,
         prompt=exchange_.Prompt('m', 7000, 300, parts),
     )
@@ -564,7 +565,7 @@
     service = pb.Service(name=shape_.ENGINES, slots=64)
     exchange = make_exchange('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
-    selector = context.fleet.routers[0].serving.places
+    selector = context.fleet.routers[0].serving.placement
     context.reservation = selector.choose(exchange, service)
 
 
@@ -578,7 +579,7 @@
     name = context.reservation.view.name
     helpers.wait_until(
         lambda: all(
-            router.table.get(name).total_load().unread == tokens
+            router.upstream_table.get(name).total_load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
         'the other routers know',
@@ -642,7 +643,7 @@
     context.clock = clock_.ManualClock()
     context.quota = quota_.Quota(context.clock)
     context.quota.count_routers = lambda: n
-    context.quota.has_stale_peer_data = lambda: n > groups.WHOLE
+    context.quota.has_stale_peer_data = lambda: n > groups.FULL_MESH_LIMIT
     team = pb.Team(name='a', rate=1000, burst=8000)
     context.quota.configure([team])
     context.clock.advance(5000)
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -174,13 +174,13 @@
             simulation.sleep_ms(STORE_TIMEOUT_MS)
             return failures.unavailable('silent')
         if kind != names.CONFIG_KIND:
-            return objects.Stored(name, 0)
+            return objects.StoredObject(name, 0)
         simulation.reads += 1
         spec = simulation.stored
         simulation.transfer(
             (self._address,), len(json.dumps(spec)), STORE_READ_MS
         )
-        return objects.Stored(name, spec['version'], spec)
+        return objects.StoredObject(name, spec['version'], spec)
 
 
 class Node:
@@ -204,7 +204,9 @@
             revision=3,
         )
         self.members = members = members_.Members(
-            me, clock_.AwakeClock(simulation.clock, MAX_CLOCK_STEP_MS), 1250
+            me,
+            clock_.StallTolerantClock(simulation.clock, MAX_CLOCK_STEP_MS),
+            1250,
         )
         checks = invariants.Invariants(
             prometheus_client.CollectorRegistry(), fatal=True
@@ -219,12 +221,12 @@
         table = upstreams_.UpstreamTable(simulation.clock)
         self.calls = 0
         self.knowledge = knowledge = types.SimpleNamespace(
-            is_from_store=False,
+            is_synced_with_store=False,
             members=members,
             config=self.config,
-            table=table,
+            upstream_table=table,
             is_watching=lambda what: False,
-            overtaken=lambda *what: None,
+            refresh=lambda *what: None,
         )
         self.catch_up = catch_up_.CatchUp(
             simulation.clock, knowledge, self, self._spawn
@@ -378,7 +380,7 @@
 def know_outdated(context):
     others = [n for n in context.simulation.nodes if n not in context.first]
     assert others
-    assert all(node.catch_up.config.is_behind() for node in others)
+    assert all(node.catch_up.config_fetcher.is_behind() for node in others)
 
 
 @when('one router repeatedly reports a version that the store does not have')
@@ -404,7 +406,7 @@
     found = []
     for _ in range(200):
         simulation.run(100)
-        found += [node.catch_up.config.is_behind() for node in others]
+        found += [node.catch_up.config_fetcher.is_behind() for node in others]
     assert sum(found) * 100 <= share * len(found), sum(found) / len(found)
 
 
@@ -474,7 +476,7 @@
 def unparsable_outdated(context):
     node = context.simulation.nodes[0]
     assert node.version == OLD_VERSION
-    assert node.catch_up.config.is_behind()
+    assert node.catch_up.config_fetcher.is_behind()
 
 
 @then(
@@ -502,18 +504,22 @@
     )
     newer = router.config.routes.version + 1
     beacon = pb.Beacon(member=member, config_version=newer, news_only=True)
-    router._peering.take(beacon)
+    router._peering.receive(beacon)
 
 
 @then('a request to an unknown route is refused with 503 and a retry time')
 def unknown_route_refused(context):
-    check_refusal(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
+    check_refusal(
+        helpers.send_request(context.fleet.routers[0].address, '/nowhere/x')
+    )
 
 
 @then('a request with an unknown key is refused with 503 and a retry time')
 def unknown_key_refused(context):
     check_refusal(
-        helpers.ask(context.fleet.routers[0].address, key='Bearer new')
+        helpers.send_request(
+            context.fleet.routers[0].address, key='Bearer new'
+        )
     )
 
 
@@ -528,7 +534,9 @@
 
     def is_final():
         nonlocal answer
-        answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+        answer = helpers.send_request(
+            context.fleet.routers[0].address, '/nowhere/x'
+        )
         return answer.status == 404
 
     helpers.wait_until(is_final, 'the reported version is forgotten')
@@ -536,7 +544,9 @@
 
 @then('a request to an unknown route is answered with 404')
 def unknown_route_not_found(context):
-    answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+    answer = helpers.send_request(
+        context.fleet.routers[0].address, '/nowhere/x'
+    )
     assert answer.status == 404, answer
 
 
@@ -557,7 +567,7 @@
 @when('each router has read the platform and the fleet from the store')
 def fleet_read_from_store(context):
     for node in context.simulation.nodes:
-        node.knowledge.is_from_store = True
+        node.knowledge.is_synced_with_store = True
 
 
 @then('no router has called a seed')
