--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -150,12 +150,12 @@
             self._members,
             (self.duty,),
             clock,
-            self._tell,
+            self._notify,
             clock.wall,
         )
 
-    def _tell(self, heirs):
-        names = {member.name for member in heirs}
+    def _notify(self, successors):
+        names = {member.name for member in successors}
         for one in self._runs:
             if one.name in names:
                 one.lease.hear(self.lease.hint())
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -292,9 +292,9 @@
 @then('the pauses before the next were {a:d}, {b:d} and {c:d} ms')
 def the_pauses(context, a, b, c):
     assert context.pauses == [a, b, c], context.pauses
-    assert context.book.is_refused(KEY)
+    assert context.book.has_backoff(KEY)
     context.book.record_accepted(KEY, 0, 1, 0)
-    assert not context.book.is_refused(KEY)
+    assert not context.book.has_backoff(KEY)
 
 
 @when('{count:d} upstreams are ordered that boot in {ms:d} ms')
@@ -438,11 +438,11 @@
 def rate_of(count):
     """Return a rate that `count` upstreams carry and one less does not."""
     root = (
-        math.sqrt(required_capacity._SCATTER**2 + 4 * count)
-        - required_capacity._SCATTER
+        math.sqrt(required_capacity._LOAD_MARGIN**2 + 4 * count)
+        - required_capacity._LOAD_MARGIN
     ) / 2
-    speed = PER_ENGINE * required_capacity._PRIOR_SPEED
-    return 0.999 * root**2 * speed / required_capacity._READ_SHARE
+    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR
+    return 0.999 * root**2 * speed / required_capacity._PREFILL_SHARE
 
 
 class _Demand:
@@ -512,9 +512,9 @@
 
 @given('an upstream can carry {count:d} requests per second')
 def set_request_size(context, count):
-    speed = PER_ENGINE * required_capacity._PRIOR_SPEED
+    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR
     context.demand.request_tokens = (
-        speed / required_capacity._READ_SHARE / count
+        speed / required_capacity._PREFILL_SHARE / count
     )
 
 
@@ -546,7 +546,7 @@
     context.live = count
     for number in range(count):
         enter(context, f'u-{number}', 'fd-1', False)
-    context.scaler.estimator.track_startup(is_first=True)
+    context.scaler.estimator.track_startup(is_first_holder=True)
     assert not context.scaler.estimator.startup_complete
     context.clock.advance(ms)
     context.scaler.run(1)
@@ -559,18 +559,18 @@
 def reclaimable_come(context, count, more, ms):
     for number in range(count):
         enter(context, f'u-{number}', 'fd-1', False)
-    context.scaler.estimator.track_startup(is_first=True)
+    context.scaler.estimator.track_startup(is_first_holder=True)
     context.clock.advance(ms)
     for number in range(more):
         enter(context, f'r-{number}', 'fd-1', True)
-    context.scaler.estimator.track_startup(is_first=True)
+    context.scaler.estimator.track_startup(is_first_holder=True)
     assert not context.scaler.estimator.startup_complete
 
 
 @then('the start is over {ms:d} ms after that')
 def start_is_over(context, ms):
     context.clock.advance(ms)
-    context.scaler.estimator.track_startup(is_first=True)
+    context.scaler.estimator.track_startup(is_first_holder=True)
     assert context.scaler.estimator.startup_complete
 
 
@@ -899,7 +899,7 @@
 
 @when('its engines are seen to read {times:g} times as fast as is said')
 def seen_to_read(context, times):
-    speed = PER_ENGINE * required_capacity._PRIOR_SPEED / 1000
+    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR / 1000
     context.demand.speed = speed * times
 
 
--- a/src/peridotmast/duties/__init__.py
+++ b/src/peridotmast/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one router does for all, while it holds the lease on it."""
+"""Fleet-wide duties, which only the current lease holder carries out."""
--- a/src/peridotmast/duties/capacity_plan.py
+++ b/src/peridotmast/duties/capacity_plan.py
@@ -1,4 +1,8 @@
-"""How many upstreams of which kind, in which failure domain, at least cost."""
+"""Cheapest number of upstreams by failure domain and by kind.
+
+An upstream is either reclaimable, that is, its VM may be reclaimed by the
+platform, or firm.
+"""
 
 from __future__ import annotations
 
@@ -8,39 +12,40 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 Counts = dict[str, int]
-"""Upstreams by failure domain."""
+"""Number of upstreams by failure domain."""
 
-_PLANS_KEPT = 64
-"""Plans that are kept: a few for each service and state of its orders."""
+_MAX_CACHED_PLANS = 64
+"""Capacity of the plan cache: a few plans for each service and state of its
+orders."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Mix:
-    """Upstreams of one service by failure domain."""
+    """Number of upstreams of one service by kind and failure domain."""
 
     reclaimable: Counts
-    """Those that may be reclaimed, all of a failure domain at once."""
+    """Reclaimable upstreams; a whole failure domain may be lost at once."""
     firm: Counts
-    """Those that may not."""
+    """Firm upstreams, which are not reclaimed."""
 
     @property
     def total(self) -> int:
-        """Upstreams in all."""
+        """Total number of upstreams."""
         return sum(self.reclaimable.values()) + sum(self.firm.values())
 
     @property
     def left_after_loss(self) -> int:
-        """Upstreams left after losing one domain's reclaimable ones."""
+        """Upstreams left after any one failure domain was reclaimed."""
         return self.total - max(self.reclaimable.values(), default=0)
 
     def without_one(self, domain: str, reclaimable: bool) -> Mix:
-        """Return the mix with one upstream less in `domain`."""
+        """Return a copy with one upstream less in `domain`."""
         kinds = [dict(self.firm), dict(self.reclaimable)]
         kinds[reclaimable][domain] -= 1
         return Mix(kinds[True], kinds[False])
 
     def describe(self) -> str:
-        """Return what the mix is made for, in words."""
+        """Return one line of text on the redundancy of the mix."""
         spread = sum(count > 0 for count in self.reclaimable.values())
         return (
             f'{self.left_after_loss} of {self.total} are left without any one '
@@ -51,20 +56,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Market:
-    """What is to be had of a service's upstreams."""
+    """Prices and limits of the upstreams of one service."""
 
     prices: dict[str, float]
     """Price of a firm upstream by failure domain."""
     reclaimable_price: float
-    """Price of a reclaimable one as a part of that."""
+    """Price of a reclaimable upstream, relative to a firm one."""
     min_per_domain: int
-    """Fewest upstreams in one failure domain."""
+    """Minimum number of upstreams in one failure domain."""
     max_per_domain: int
-    """Most upstreams in one failure domain."""
+    """Maximum number of upstreams in one failure domain."""
     reclaimable_limits: Counts = dataclasses.field(default_factory=dict)
-    """Most reclaimable ones where fewer are to be had at the moment."""
+    """Lower maximum of reclaimable upstreams in domains with a shortage."""
     firm_limits: Counts = dataclasses.field(default_factory=dict)
-    """Most firm ones where fewer are to be had at the moment."""
+    """Lower maximum of firm upstreams in domains with a shortage."""
 
     def price(self, mix: Mix) -> float:
         """Return the price of a mix, in upstreams of price 1."""
@@ -78,7 +83,7 @@
         )
 
     def limit(self, domain: str, reclaimable: bool) -> int:
-        """Return the most upstreams of a kind in a failure domain."""
+        """Return the maximum number of upstreams of a kind in a domain."""
         limits = self.reclaimable_limits if reclaimable else self.firm_limits
         return min(
             self.max_per_domain, limits.get(domain, self.max_per_domain)
@@ -86,7 +91,7 @@
 
 
 def market_of(service: pb.Service) -> Market:
-    """Return the market that a service's configuration describes."""
+    """Return the prices and limits in a service's configuration."""
     return Market(
         dict(zip(service.domains, service.prices)),
         service.reclaimable_price,
@@ -96,64 +101,67 @@
 
 
 class PlanCache:
-    """Keeps the last plans: what they follow from seldom changes.
+    """Caches plans, since their inputs seldom change.
 
-    The holder of the duties asks four times a tick; at 512 upstreams a
-    failure domain each plan takes 13 ms (`peridotmast-load slopes`).
+    The lease holder needs four plans at each tick, and one plan takes 13 ms
+    with 512 upstreams in each failure domain (`peridotmast-load slopes`).
     """
 
     def __init__(self) -> None:
-        self._kept: dict[tuple[ty.Any, ...], Mix] = {}
+        self._cached: dict[tuple[ty.Any, ...], Mix] = {}
 
     def cheapest(
-        self, market: Market, needed: int, floor: ty.Optional[Mix] = None
+        self, market: Market, needed: int, existing: ty.Optional[Mix] = None
     ) -> Mix:
-        """Return what `cheapest_mix` does, and keep it."""
-        floor = floor or Mix({}, {})
-        counted: tuple[dict[str, ty.Any], ...] = (
+        """Return the result of `cheapest_mix`, cached for equal inputs."""
+        existing = existing or Mix({}, {})
+        count_maps: tuple[dict[str, ty.Any], ...] = (
             market.prices,
             market.reclaimable_limits,
             market.firm_limits,
-            floor.reclaimable,
-            floor.firm,
+            existing.reclaimable,
+            existing.firm,
         )
         key = (
             needed,
             market.reclaimable_price,
             market.min_per_domain,
             market.max_per_domain,
-            *(tuple(counts.items()) for counts in counted),
+            *(tuple(counts.items()) for counts in count_maps),
         )
-        mix = self._kept.get(key)
+        mix = self._cached.get(key)
         if mix is None:
-            if len(self._kept) >= _PLANS_KEPT:
-                self._kept.clear()
-            mix = self._kept[key] = cheapest_mix(market, needed, floor)
+            if len(self._cached) >= _MAX_CACHED_PLANS:
+                self._cached.clear()
+            mix = self._cached[key] = cheapest_mix(market, needed, existing)
         return mix
 
 
 def cheapest_mix(
-    market: Market, needed: int, floor: ty.Optional[Mix] = None
+    market: Market, needed: int, existing: ty.Optional[Mix] = None
 ) -> Mix:
-    """Return the cheapest mix that leaves `needed` without any one domain.
+    """Return the cheapest mix that keeps `needed` after losing any domain.
 
-    Weighed are all heights up to which reclaimable upstreams may stand in
-    one failure domain: the higher, the more one loss takes, and the more
-    must stand beside it. Beyond what is needed, nothing is gained. Of
-    mixes at one price the one that is spread most is taken.
+    One mix is computed for each possible limit on the reclaimable upstreams
+    in one failure domain. A higher limit means that more are lost with one
+    domain, so that more are required elsewhere; limits above `needed` never
+    pay. Of mixes with the same price, the one with the lowest limit is
+    returned, as it is spread most evenly.
 
     Parameters
     ----------
-    floor : Mix, optional
-        What there is already: the mix has at least that.
+    existing : Mix, optional
+        Upstreams that already exist; the result has at least these.
     """
-    floor = floor or Mix({}, {})
-    lowest = max(floor.reclaimable.values(), default=0)
+    existing = existing or Mix({}, {})
+    lowest = max(existing.reclaimable.values(), default=0)
     highest = max(
         lowest, min(market.max_per_domain, max(needed, market.min_per_domain))
     )
-    heights = range(lowest, highest + 1)
-    mixes = [_mix_up_to(market, needed, height, floor) for height in heights]
+    limits = range(lowest, highest + 1)
+    mixes = [
+        _mix_with_limit(market, needed, limit, existing) for limit in limits
+    ]
     return min(
         mixes,
         key=lambda mix: (-min(mix.left_after_loss, needed), market.price(mix)),
@@ -161,32 +169,35 @@
 
 
 def find_removable(
-    market: Market, mix: Mix, needed: int, wanted: ty.Optional[Counts] = None
+    market: Market, mix: Mix, needed: int, keep: ty.Optional[Counts] = None
 ) -> ty.Optional[tuple[str, bool]]:
-    """Return the dearest upstream that `mix` can do without.
+    """Return the most expensive upstream that `mix` does not need.
 
     Parameters
     ----------
-    wanted : Counts, optional
-        Reclaimable ones that are to stay. One that came before the others
-        it was ordered with adds nothing until they have come too.
+    needed : int
+        Upstreams that must be left after losing any one failure domain.
+    keep : Counts, optional
+        Reclaimable upstreams to keep. One that starts earlier than the rest
+        of its order adds no redundancy until the rest has started, and would
+        be removed without this.
 
     Returns
     -------
     tuple or None
-        Failure domain, and whether it is a reclaimable one.
+        Failure domain, and whether the upstream is reclaimable.
     """
-    wanted = wanted or {}
+    keep = keep or {}
     candidates = [
         (domain, is_reclaimable)
         for domain in market.prices
         for is_reclaimable, count in (
             (False, mix.firm.get(domain, 0)),
-            (True, mix.reclaimable.get(domain, 0) - wanted.get(domain, 0)),
+            (True, mix.reclaimable.get(domain, 0) - keep.get(domain, 0)),
         )
         if count > 0
     ]
-    good = [
+    removable = [
         (
             market.price(mix) - market.price(mix.without_one(*candidate)),
             candidate,
@@ -195,25 +206,28 @@
         if mix.without_one(*candidate).left_after_loss >= needed
         and _count(mix, candidate[0]) > market.min_per_domain
     ]
-    return max(good)[1] if good else None
+    return max(removable)[1] if removable else None
 
 
-def _mix_up_to(market: Market, needed: int, height: int, floor: Mix) -> Mix:
-    """Return the cheapest mix with at most `height` reclaimable in one.
+def _mix_with_limit(
+    market: Market, needed: int, max_reclaimable: int, existing: Mix
+) -> Mix:
+    """Return the cheapest mix with limited reclaimable upstreams per domain.
 
-    As one loss takes `height` at most, so many more than needed are enough:
-    they are taken where they are cheapest, in one pass over the kinds.
+    Losing a domain takes at most `max_reclaimable` upstreams, so that a total
+    of `needed` plus that many suffices. They are added in the order of price,
+    in one pass over the domains and kinds.
     """
-    reclaimable = {d: floor.reclaimable.get(d, 0) for d in market.prices}
-    firm = {d: floor.firm.get(d, 0) for d in market.prices}
-    _raise_to_least(market, reclaimable, firm, height)
+    reclaimable = {d: existing.reclaimable.get(d, 0) for d in market.prices}
+    firm = {d: existing.firm.get(d, 0) for d in market.prices}
+    _fill_to_minimum(market, reclaimable, firm, max_reclaimable)
     mix = Mix(reclaimable, firm)
-    missing = needed + height - mix.total
-    for _, domain, is_reclaimable in _cheapest_first(market):
+    missing = needed + max_reclaimable - mix.total
+    for _, domain, is_reclaimable in _sorted_by_price(market):
         counts = reclaimable if is_reclaimable else firm
         limit = market.limit(domain, is_reclaimable)
         if is_reclaimable:
-            limit = min(limit, height)
+            limit = min(limit, max_reclaimable)
         room = min(
             limit - counts[domain],
             market.max_per_domain - _count(mix, domain),
@@ -224,32 +238,33 @@
     return mix
 
 
-def _cheapest_first(market: Market) -> list[tuple[float, str, bool]]:
-    """Return price, failure domain and kind of all that is to be had."""
+def _sorted_by_price(market: Market) -> list[tuple[float, str, bool]]:
+    """Return price, domain and kind of all upstreams, cheapest first."""
     kinds = ((True, market.reclaimable_price), (False, 1.0))
     return sorted(
-        (price * part, domain, is_reclaimable)
+        (price * ratio, domain, is_reclaimable)
         for domain, price in market.prices.items()
-        for is_reclaimable, part in kinds
+        for is_reclaimable, ratio in kinds
     )
 
 
-def _raise_to_least(
-    market: Market, reclaimable: Counts, firm: Counts, height: int
+def _fill_to_minimum(
+    market: Market, reclaimable: Counts, firm: Counts, max_reclaimable: int
 ) -> None:
-    """Bring each failure domain up to the fewest that it must have.
+    """Raise each failure domain to the minimum number of upstreams.
 
-    Where no reclaimable ones are to be had the platform keeps what it has,
-    and a firm one only for the number's sake would be paid for in vain.
+    Domains without available reclaimable upstreams are skipped: the platform
+    keeps their present upstreams, and a firm one that only satisfies the
+    minimum would be paid for without need.
     """
     for domain in market.prices:
-        to_be_had = market.limit(domain, True)
-        lacking = market.min_per_domain - reclaimable[domain] - firm[domain]
-        room = min(height, to_be_had) - reclaimable[domain]
-        taken = max(0, min(lacking, room))
+        available = market.limit(domain, True)
+        missing = market.min_per_domain - reclaimable[domain] - firm[domain]
+        room = min(max_reclaimable, available) - reclaimable[domain]
+        taken = max(0, min(missing, room))
         reclaimable[domain] += taken
-        if to_be_had:
-            firm[domain] += max(0, lacking - taken)
+        if available:
+            firm[domain] += max(0, missing - taken)
 
 
 def _count(mix: Mix, domain: str) -> int:
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -28,14 +28,14 @@
         """Incremented when the blocked requests or their retries change."""
         return self._crashes.changes
 
-    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
         """Restore the blocked requests of the previous holder."""
-        if left is not None:
-            self._crashes.hear(left.crash_suspects)
+        if state is not None:
+            self._crashes.hear(state.crash_suspects)
 
     def run(self, fencing: int) -> None:
         """Do nothing: this duty has no periodic work."""
 
-    def save(self, left: pb.DutiesLeft) -> None:
+    def save(self, state: pb.DutiesLeft) -> None:
         """Store the blocked requests for the next holder."""
-        left.crash_suspects.extend(self._crashes.blocked())
+        state.crash_suspects.extend(self._crashes.blocked())
--- a/src/peridotmast/duties/duty.py
+++ b/src/peridotmast/duties/duty.py
@@ -1,4 +1,4 @@
-"""A duty that one router at a time has."""
+"""Interface of a duty that one router at a time carries out."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Duty(ty.Protocol):
-    """Work of the lease's holder, done a little at each tick."""
+    """Work of the lease holder, done in small steps at each tick."""
 
     @property
     def state_version(self) -> int:
-        """Grows with each change that the next holder must know of."""
+        """Incremented at each change that the next holder must know of."""
 
-    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
-        """Take the duty on.
+    def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
+        """Take over the duty.
 
         Parameters
         ----------
-        left : DutiesLeft, optional
-            What the holder before has left; None where that was this run,
-            and nobody has had the duties since.
+        state : DutiesLeft, optional
+            State saved by the previous holder; None if this run itself held
+            the lease last, so that it still has its own state.
         """
 
     def run(self, fencing: int) -> None:
-        """Do what is due, with `fencing` on each order."""
+        """Do the work that is due, passing `fencing` with each order."""
 
-    def save(self, left: pb.DutiesLeft) -> None:
-        """Fill in what the next holder is to know."""
+    def save(self, state: pb.DutiesLeft) -> None:
+        """Write the state that the next holder needs into `state`."""
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -1,4 +1,4 @@
-"""Which router has the duties: contends for the lease and keeps it."""
+"""Leader election: one router holds the lease and runs the duties."""
 
 from __future__ import annotations
 
@@ -14,56 +14,59 @@
 from peridotmast import logs
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_RENEW_SHARE = 0.6
-"""Part of a lease that may be left when it is renewed: early enough for two
-tries, late enough that a renewal, which is paid for, is worth its price."""
+_RENEW_FRACTION = 0.6
+"""Remaining fraction of the lease at which it is renewed: early enough for two
+attempts, and no earlier, since each renewal is a call that is paid for."""
 
-_RANK_MS = 400
-"""Time that the next in order leaves to the one before it: a few times what
-a write takes, so that one contender's write is enough in most cases."""
+_CONTEND_STAGGER_MS = 400
+"""Delay between the first attempts of two successive contenders: a few times
+the duration of a write, so that mostly only one contender writes."""
 
-_AGAIN_MS = 700
-"""Pause after an attempt that did not succeed, and after a renewal before one
-that is only for what the next holder must know."""
+_RETRY_MS = 700
+"""Pause after a failed attempt, and after a renewal before another one that
+only saves the state for the next holder."""
 
-_HEIRS = 3
-"""Contenders that are told of each renewal at once: the first ones in turn,
-of which some may be lost with the holder."""
+_MAX_NOTIFIED = 3
+"""Number of contenders that are notified of each renewal at once: the first
+ones in order, as some may be lost together with the holder."""
 
-_LOOK_MS = 600
-"""Time after which a run that has heard no holder asks who it was: what a
-first contender takes and its beacon, so that a fleet that starts for the first
-time does not ask; and the guard of a lease, before which it is of no use."""
+_READ_DELAY_MS = 600
+"""Time without a known holder after which a run reads the lease. The first
+contender takes the lease and sends its beacon within this time, so that the
+routers of a new fleet do not read it. The read would be of no use before the
+guard time of the lease is over either."""
 
-_LOOK_RANK_MS = 25
-"""Time between two routers' looks: 40 reads a second of a large fleet."""
+_READ_STAGGER_MS = 25
+"""Delay between the reads of two routers: 40 reads per second in a large
+fleet."""
 
 
 class DutyHolder:
-    """Contends when no holder is heard; does the duties while it holds.
+    """Contends for the lease and runs the duties while holding it.
 
-    Nobody asks the store who holds the lease: the holder's beacons say so.
-    The next ones in turn are told of each renewal as it is made: one that
-    they had not heard of would cost them the wait for a whole lease. When
-    the beacons have stopped for as long as the lease was to last, the others
-    contend one after the other, the one that runs longest first.
+    Routers learn who holds the lease from the holder's beacons, not from the
+    store. The first contenders are also notified of each renewal directly:
+    one that missed a renewal would have to wait for a whole lease. When no
+    beacon has come until the end of the lease, the routers contend one after
+    the other, in the order of their running time, longest first.
 
-    Where all were killed at once, none is there that could have heard a
-    holder. Each run then looks once whether it follows the holder, and goes
-    on in its place without waiting for its turn.
+    After all routers were killed at once, no running router knows the holder.
+    Each new run then reads the lease once. If the previous run at the same
+    network address was the holder, the new run takes over the lease without
+    waiting for its turn.
 
     Parameters
     ----------
     lease : lease_.Lease
-        The lease on all duties.
+        Lease on all duties.
     members : members.Members
-        The contenders.
+        Routers of the fleet, which contend for the lease.
     duties : sequence of Duty
-        What is done.
+        Duties to run while the lease is held.
     clock : clock.Clock
-        Times the turns.
-    tell : callable
-        Tells some routers until when the lease is held.
+        Clock for delays and pauses.
+    notify : callable
+        Tells the given routers until when the lease is held.
     fleet_now : callable
         Returns ms since 1970 by the fleet's clock.
     """
@@ -74,119 +77,128 @@
         members: members_.Members,
         duties: ty.Sequence[duty_.Duty],
         clock: clock_.Clock,
-        tell: ty.Callable[[ty.Sequence[pb.Member]], None] = lambda heirs: None,
+        notify: ty.Callable[
+            [ty.Sequence[pb.Member]], None
+        ] = lambda successors: None,
         fleet_now: ty.Callable[[], int] = lambda: 0,
     ) -> None:
         self._lease = lease
         self._members = members
         self._duties = duties
         self._clock = clock
-        self._tell = tell
+        self._notify = notify
         self._fleet_now = fleet_now
-        self._changes = 0
+        self._saved_version = 0
         self._renewed_at = 0
-        self._begun_with = 0
-        lease.leave = self._leave
-        self._length_ms = lease.length_ms
+        self._started_fencing = 0
+        lease.leave = self._save_state
+        self._lease_ms = lease.length_ms
         self._vacant_since = 0
-        self._not_before = 0
-        self._holding = False
-        self._may_follow = True
+        self._retry_at = 0
+        self._is_active = False
+        self._may_succeed = True
         self._log = logs.get('duties', router=members.me.name)
 
     def keep_lease(self) -> None:
-        """Take or renew the lease where that is due."""
+        """Take or renew the lease if that is due."""
         if self._lease.held():
-            is_due = self._lease.left_ms < _RENEW_SHARE * self._length_ms
-            if is_due or self._is_news_due():
+            is_due = self._lease.left_ms < _RENEW_FRACTION * self._lease_ms
+            if is_due or self._must_save_state():
                 self._renew()
         elif self._is_vacant():
             self._contend()
-        if self._holding and not self._lease.held():
-            self._holding = False
+        if self._is_active and not self._lease.held():
+            self._is_active = False
             self._log.warning('duties_lost', fencing=self._lease.fencing)
 
     def run_duties(self) -> None:
-        """Do the duties, where the lease is held."""
+        """Run the duties if the lease is held."""
         if not self._lease.may_act():
             return
-        if not self._holding:
-            self._holding = True
-            left = _read_left(self._lease.left)
+        if not self._is_active:
+            self._is_active = True
+            state = _parse_state(self._lease.left)
             for duty in self._duties:
-                duty.start(left)
-            self._changes = self._count_changes()
-            self._begun_with = self._lease.fencing
+                duty.start(state)
+            self._saved_version = self._state_version()
+            self._started_fencing = self._lease.fencing
         for duty in self._duties:
             if self._lease.may_act():
                 duty.run(self._lease.fencing)
 
     def release(self) -> None:
-        """Give the duties up, in a planned stop."""
-        self._holding = False
+        """Release the lease, at a planned stop."""
+        self._is_active = False
         self._lease.release()
 
-    def _leave(self) -> objects.Json:
-        """Return what the next holder is to know, as the lease holds it."""
-        was_left = self._lease.left
-        if was_left is not None and self._begun_with != self._lease.fencing:
-            return was_left
-        left = pb.DutiesLeft(at_ms=self._fleet_now())
+    def _save_state(self) -> objects.Json:
+        """Return the state for the next holder, as stored with the lease."""
+        previous = self._lease.left
+        if (
+            previous is not None
+            and self._started_fencing != self._lease.fencing
+        ):
+            return previous
+        state = pb.DutiesLeft(at_ms=self._fleet_now())
         for duty in self._duties:
-            duty.save(left)
-        return json_format.MessageToDict(left)
+            duty.save(state)
+        return json_format.MessageToDict(state)
 
-    def _count_changes(self) -> int:
+    def _state_version(self) -> int:
         return sum(duty.state_version for duty in self._duties)
 
-    def _is_news_due(self) -> bool:
-        """Return whether there is what the next holder must know at once."""
-        pause_over = self._clock.boot() - self._renewed_at >= _AGAIN_MS
-        return pause_over and self._count_changes() != self._changes
+    def _must_save_state(self) -> bool:
+        """Return whether changed state must be saved for the next holder."""
+        may_retry = self._clock.boot() - self._renewed_at >= _RETRY_MS
+        return may_retry and self._state_version() != self._saved_version
 
     def _renew(self) -> None:
-        """Renew the lease, and write with it what the next holder needs.
+        """Renew the lease, and save the state for the next holder with it.
 
-        At once where an order was given: the next one must not order for
-        the same need again, nor take back what is on its way.
+        An accepted order is saved at once: the next holder must neither
+        order the same upstreams again nor cancel those that are booting.
         """
-        left_ms, changes = self._lease.left_ms, self._count_changes()
+        left_ms, version = self._lease.left_ms, self._state_version()
         self._renewed_at = self._clock.boot()
         self._lease.attempt()
         if self._lease.left_ms > left_ms:
-            self._changes = changes
+            self._saved_version = version
             me = self._members.me.name
-            heirs = [m for m in self._contenders() if m.name != me]
-            self._tell(heirs[:_HEIRS])
+            successors = [m for m in self._contenders() if m.name != me]
+            self._notify(successors[:_MAX_NOTIFIED])
 
     def _contend(self) -> None:
         if self._may_contend():
             outcome = self._lease.attempt()
-        elif self._may_look():
+        elif self._may_read_lease():
             outcome = self._lease.succeed()
-            self._may_follow = outcome is lease_.Outcome.UNREACHED
+            self._may_succeed = outcome is lease_.Outcome.UNREACHED
         else:
             return
         if outcome is not lease_.Outcome.HELD:
-            self._not_before = self._clock.boot() + _AGAIN_MS
+            self._retry_at = self._clock.boot() + _RETRY_MS
 
     def _may_contend(self) -> bool:
-        turn = self._vacant_since + self._rank() * _RANK_MS
-        return self._clock.boot() >= max(turn, self._not_before)
-
-    def _may_look(self) -> bool:
-        turn = self._vacant_since + _LOOK_MS + self._rank() * _LOOK_RANK_MS
+        turn = self._vacant_since + self._rank() * _CONTEND_STAGGER_MS
+        return self._clock.boot() >= max(turn, self._retry_at)
+
+    def _may_read_lease(self) -> bool:
+        turn = (
+            self._vacant_since
+            + _READ_DELAY_MS
+            + self._rank() * _READ_STAGGER_MS
+        )
         now = self._clock.boot()
-        return self._may_follow and now >= max(turn, self._not_before)
+        return self._may_succeed and now >= max(turn, self._retry_at)
 
     def _is_vacant(self) -> bool:
-        """Return whether nobody is heard to have the duties, and may here."""
+        """Return whether no holder is known and this router is eligible."""
         me = self._members.me
         if not me.ready or me.state != members_.ALIVE:
             return False
         if self._lease.is_held_elsewhere():
-            # Who runs longer has heard more of what is to be reported.
-            self._may_follow = False
+            # A router that runs longer knows more of the usage to report.
+            self._may_succeed = False
             self._vacant_since = 0
             return False
         if not self._vacant_since:
@@ -194,28 +206,28 @@
         return True
 
     def _rank(self) -> int:
-        """Return this router's place among the contenders, from 0.
+        """Return this router's position among the contenders, from 0.
 
-        The one that runs longest is first: it has heard what the others
-        counted, also those that have been stopped since.
+        The router that runs longest is first: it also knows the usage counts
+        of routers that have stopped since.
         """
         names = [member.name for member in self._contenders()]
         return names.index(self._members.me.name)
 
     def _contenders(self) -> list[pb.Member]:
-        """Return who may have the duties, in their turn."""
+        """Return the routers that may hold the lease, in order."""
         return sorted(self._members.serving(), key=_age)
 
 
-def _read_left(
-    left: ty.Optional[objects.Json],
+def _parse_state(
+    state: ty.Optional[objects.Json],
 ) -> ty.Optional[pb.DutiesLeft]:
-    """Return what the holder before has left; nothing where it is garbled."""
-    if left is None:
+    """Return the state of the previous holder; an empty one if garbled."""
+    if state is None:
         return None
     try:
         return json_format.ParseDict(
-            left, pb.DutiesLeft(), ignore_unknown_fields=True
+            state, pb.DutiesLeft(), ignore_unknown_fields=True
         )
     except json_format.ParseError:
         return pb.DutiesLeft()
--- a/src/peridotmast/duties/order_tracker.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -1,4 +1,4 @@
-"""What was ordered and has not come, and what was refused of late."""
+"""Pending orders for upstreams, and back-off after refused orders."""
 
 from __future__ import annotations
 
@@ -9,54 +9,55 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 Key = tuple[str, str, bool]
-"""Service, failure domain, and whether its upstreams may be reclaimed."""
+"""Service, failure domain, and whether the upstreams are reclaimable."""
 
-_BOOT_SLACK_MS = 2500
-"""Time beside the boot after which what was ordered counts as lost: the
-entry of a new upstream comes a heartbeat after it serves."""
+_BOOT_MARGIN_MS = 2500
+"""Time added to the boot time before an ordered upstream counts as lost: its
+entry reaches the store one heartbeat after it starts to serve."""
 
-_FIRST_PROBE_MS = 1500
-_LAST_PROBE_MS = 4000
-"""Pauses between orders where none were to be had: each is a call that is
-paid for, and each second without is one of dearer upstreams."""
+_MIN_RETRY_MS = 1500
+_MAX_RETRY_MS = 4000
+"""Shortest and longest pause before an order is retried that was refused for
+lack of capacity: each call is paid for, but so is each second in which more
+expensive upstreams serve instead."""
 
-_AGAIN_MS = 1000
-"""Pause after an order whose outcome is not known."""
+_UNKNOWN_RETRY_MS = 1000
+"""Pause after an order whose outcome is unknown."""
 
 
 @dataclasses.dataclass
 class _Pending:
     live: int
-    """Those that were there at the last look."""
+    """Number of live upstreams when last updated."""
     coming: int
-    """Those that were ordered and have not come."""
-    until: int
+    """Number of ordered upstreams that have not started yet."""
+    expires_at: int
 
 
 @dataclasses.dataclass
-class _Closed:
-    until: int
+class _Backoff:
+    retry_at: int
     pause_ms: int
 
 
 class OrderTracker:
-    """Orders of one holder of the duty, by kind and failure domain.
+    """Tracks the orders of one lease holder by kind and failure domain.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times boots and pauses.
+        Clock for boot times and pauses.
     """
 
     def __init__(self, clock: clock_.Clock) -> None:
         self._clock = clock
         self._pending: dict[Key, _Pending] = {}
-        self._closed: dict[Key, _Closed] = {}
+        self._backoffs: dict[Key, _Backoff] = {}
         self.accepted_count = 0
-        """Orders that were given."""
+        """Number of orders that were accepted."""
 
     def save(self) -> ty.Iterator[pb.OrderLeft]:
-        """Yield what was ordered and has not come, for the next holder."""
+        """Yield the pending orders, for the next holder."""
         now = self._clock.now()
         for (service, domain, reclaimable), order in self._pending.items():
             yield pb.OrderLeft(
@@ -65,83 +66,102 @@
                 reclaimable=reclaimable,
                 live=order.live,
                 coming=order.coming,
-                within_ms=max(0, order.until - now),
+                within_ms=max(0, order.expires_at - now),
             )
 
     def restore(self, orders: ty.Iterable[pb.OrderLeft]) -> None:
-        """Take in what another holder has ordered."""
+        """Add the pending orders of another holder."""
         now = self._clock.now()
         for order in orders:
             key = order.service, order.failure_domain, order.reclaimable
-            until = now + order.within_ms
-            self._pending[key] = _Pending(order.live, order.coming, until)
+            expires_at = now + order.within_ms
+            self._pending[key] = _Pending(order.live, order.coming, expires_at)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all pending orders and back-offs."""
         self._pending = {}
-        self._closed = {}
+        self._backoffs = {}
 
     def expected(self, key: Key, live: int) -> int:
-        """Return how many there are or will be, after what was ordered."""
+        """Return the number of upstreams after all pending orders.
+
+        Parameters
+        ----------
+        live : int
+            Upstreams that are live now.
+        """
         pending = self._pending.get(key)
         if pending is None:
             return live
-        # Each that has come is awaited no more; one that is lost meanwhile
-        # is not made good by those that were ordered before.
+        # A new live upstream completes a part of the order. One that is lost
+        # meanwhile does not: it needs an order of its own.
         pending.coming -= max(0, live - pending.live)
         pending.live = live
-        if pending.coming <= 0 or self._clock.now() >= pending.until:
+        if pending.coming <= 0 or self._clock.now() >= pending.expires_at:
             del self._pending[key]
             return live
         return live + pending.coming
 
-    def is_refused(self, key: Key) -> bool:
-        """Return whether an order there was refused and none went since."""
-        return key in self._closed
+    def has_backoff(self, key: Key) -> bool:
+        """Return whether no order was accepted since a refusal."""
+        return key in self._backoffs
 
     def may_order(self, key: Key) -> bool:
-        """Return whether an order for more may be tried now."""
-        closed = self._closed.get(key)
-        return closed is None or self._clock.now() >= closed.until
+        """Return whether another order may be made now."""
+        backoff = self._backoffs.get(key)
+        return backoff is None or self._clock.now() >= backoff.retry_at
 
     def record_accepted(
         self, key: Key, live: int, coming: int, boot_ms: int
     ) -> None:
-        """Note an order that was taken, for so many beside those there."""
-        self._closed.pop(key, None)
+        """Record an accepted order.
+
+        Parameters
+        ----------
+        live : int
+            Upstreams that were live at the order.
+        coming : int
+            Upstreams ordered in addition.
+        boot_ms : int
+            Time that an upstream takes to boot, in ms.
+        """
+        self._backoffs.pop(key, None)
         self.accepted_count += 1
-        until = self._clock.now() + boot_ms + _BOOT_SLACK_MS
-        self._pending[key] = _Pending(live, coming, until)
+        expires_at = self._clock.now() + boot_ms + _BOOT_MARGIN_MS
+        self._pending[key] = _Pending(live, coming, expires_at)
 
     def record_refused(self, key: Key) -> None:
-        """Note an order that could not be met, and wait longer each time."""
-        closed = self._closed.get(key)
-        pause = _FIRST_PROBE_MS
-        if closed is not None:
-            pause = min(_LAST_PROBE_MS, closed.pause_ms * 2)
-        self._closed[key] = _Closed(self._clock.now() + pause, pause)
+        """Record a refused order; the pause doubles with each refusal."""
+        backoff = self._backoffs.get(key)
+        pause = _MIN_RETRY_MS
+        if backoff is not None:
+            pause = min(_MAX_RETRY_MS, backoff.pause_ms * 2)
+        self._backoffs[key] = _Backoff(self._clock.now() + pause, pause)
 
     def record_unknown_outcome(self, key: Key) -> None:
-        """Note an order whose outcome is not known."""
+        """Record an order whose outcome is unknown."""
         self._pending.pop(key, None)
-        until = self._clock.now() + _AGAIN_MS
-        self._closed[key] = _Closed(until, _FIRST_PROBE_MS)
+        retry_at = self._clock.now() + _UNKNOWN_RETRY_MS
+        self._backoffs[key] = _Backoff(retry_at, _MIN_RETRY_MS)
 
     def back_off_others(self, key: Key, keys: ty.Iterable[Key]) -> None:
-        """Expect of `keys` what was refused for `key`, until one is tried.
+        """Apply the back-off of `key` to those of `keys` that have none.
 
-        Where one failure domain has none to give, the others mostly have
-        none either.
+        If one failure domain has no capacity, the others mostly have none
+        either.
         """
-        closed = self._closed[key]
+        backoff = self._backoffs[key]
         for other in keys:
-            self._closed.setdefault(
-                other, _Closed(closed.until, closed.pause_ms)
+            self._backoffs.setdefault(
+                other, _Backoff(backoff.retry_at, backoff.pause_ms)
             )
 
     def retry_others(self, keys: ty.Iterable[Key]) -> None:
-        """Try `keys` again at once: one failure domain has some to give."""
+        """Allow orders for `keys` at once.
+
+        Called when one failure domain has capacity again.
+        """
         for key in keys:
-            closed = self._closed.get(key)
-            if closed is not None:
-                closed.until = 0
+            backoff = self._backoffs.get(key)
+            if backoff is not None:
+                backoff.retry_at = 0
--- a/src/peridotmast/duties/required_capacity.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -1,4 +1,4 @@
-"""How many upstreams of each service the demand needs."""
+"""Estimate of the number of upstreams that the demand requires."""
 
 from __future__ import annotations
 
@@ -11,81 +11,84 @@
 from peridotmast.serving import demand as demand_
 from peridotmast.serving import upstreams as upstreams_
 
-_LEAST_NEEDED = 2
-"""Upstreams that are held for the smallest demand."""
+_MIN_NEEDED = 2
+"""Minimum number of upstreams, whatever the demand."""
 
-_CALM_MS = 5000
-"""Time for which fewer upstreams must be enough before one is given back:
-arrivals come in clumps, and a new one takes a boot to come."""
+_DECREASE_INTERVAL_MS = 5000
+"""Time for which fewer upstreams must suffice before the number is lowered by
+one: arrivals are bursty, and a replacement takes a boot time to start."""
 
-_PRIOR_SHARE = 0.5
-"""Part of what a fleet starts with that counts as needed until its demand is
-known: it is started for its usual peak, on dearer upstreams. Of what another
-holder has left, all counts: it was ordered for a demand."""
+_INITIAL_SHARE = 0.5
+"""Share of a new fleet's upstreams that counts as required until the demand
+is measured: operators start a fleet for its usual peak, on more expensive
+upstreams. Upstreams of a fleet that had a holder before all count, since they
+were ordered for a demand."""
 
-_READ_SHARE = 0.75
-"""Part of the tokens of prompts that engines read; the rest they hold."""
+_PREFILL_SHARE = 0.75
+"""Share of prompt tokens that engines prefill; the rest is in their caches."""
 
-_PRIOR_SPEED = 1.2
-"""What an engine reads at most, as a multiple of what it is said to read
-while first tokens still come in time."""
+_MAX_SPEED_FACTOR = 1.2
+"""Maximum prefill speed of an engine, relative to its rated speed, at which
+first tokens still meet their target."""
 
-_FASTER_BOUND = 3.0
-"""How many times as fast as is said engines may be found to read: samples
-that are all of a kind that nobody thought of must not empty a fleet."""
+_MAX_SPEEDUP = 3.0
+"""Highest measured speed that is accepted, relative to the expected speed:
+unrepresentative samples must not shrink the fleet to almost nothing."""
 
-_SLOWER_BOUND = 1.25
-"""The same for slower. In a large fleet a router knows too late of what waits
-at an engine, so that busy ones look slow: 11.6 tokens a ms were seen where
-38.1 are read."""
+_MAX_SLOWDOWN = 1.25
+"""Largest factor by which a measured speed may be below the expected speed. In
+a large fleet a router learns too late of the queue at an engine, so that busy
+engines look slow: 11.6 tokens per ms were measured at engines that prefill
+38.1."""
 
-_SCATTER = 0.9
-"""Upstreams beside the load, for each root of it. Prompts of 200 to 40,000
-tokens scatter more than arrivals that are all alike, for which 1 is usual."""
+_LOAD_MARGIN = 0.9
+"""Upstreams added to the load, per square root of it. 1 is usual for requests
+of equal size; prompts vary more, from 200 to 40,000 tokens."""
 
-_SCATTER_LATE = 2.0
-"""The same where routers know late of each other's work, so that it lands
-unevenly: with 0.9 at 80 routers 0.70 was served in time, where a fixed rate
-that came to this many had served 0.76."""
+_STALE_LOAD_MARGIN = 2.0
+"""The same if routers learn late of each other's requests, so that load is
+spread unevenly: at 80 routers, 0.9 served 0.70 of the requests in time, while
+a fixed rate that gave as many upstreams as 2.0 does served 0.76."""
 
-_SETTLED_MS = 1500
-"""Time for which no upstream may have come before any is given back: they
-enter the store one by one while the fleet starts."""
+_STARTUP_QUIET_MS = 1500
+"""Time without a new firm upstream after which the fleet's startup is over and
+upstreams may be removed: they enter the store one by one at startup."""
 
 
 @dataclasses.dataclass
 class RequiredCapacity:
-    """How many upstreams carry a service's demand."""
+    """Number of upstreams that the demand of one service requires."""
 
     count: int
     lower_since: int
-    """Since when fewer would do, in ms."""
+    """Time since which a lower count would suffice, in ms."""
     is_measured: bool
-    """Whether it follows from the demand."""
+    """Whether the count follows from measured demand."""
     is_guess: bool = False
-    """Whether it follows from nothing but what the fleet was started with."""
+    """Whether the count follows only from the size of a new fleet."""
     reserve: int = 0
-    """How many are to be had where reclaimable ones can be: at least
+    """Number to hold while reclaimable upstreams are available; at least
     `count`."""
     limit_shortfall: int = 0
-    """How many of them make up for the rate limits of other upstreams."""
+    """Upstreams of `count` that compensate for the rate limits of others."""
 
 
 class CapacityEstimator:
-    """Rises with the demand at once and falls slowly.
+    """Estimates the required upstreams of each service.
 
-    Until the demand is known, what the holder before has found to be needed
-    counts, or what it has left. For the first one, a part of what the
-    operators started with.
+    The estimate rises with the demand at once and falls slowly. Until the
+    demand is measured, it is the number that the previous holder has saved,
+    or else the number of live upstreams. For the first holder of a new fleet
+    it is a share of the upstreams that operators have started.
 
     Parameters
     ----------
     table : upstreams.UpstreamTable
-        What there is.
+        Existing upstreams.
     demand : demand.Demand
-        What is asked for.
+        Demand of each service.
     clock : clock.Clock
-        Times the falls.
+        Clock for decreases and for the startup.
     """
 
     def __init__(
@@ -97,121 +100,135 @@
         self._table = table
         self._demand = demand
         self._clock = clock
-        self._needs: dict[str, RequiredCapacity] = {}
-        self._left: dict[str, int] = {}
-        self._is_first = True
-        self._seen: dict[str, set[str]] = collections.defaultdict(set)
-        self._new_at = 0
+        self._required: dict[str, RequiredCapacity] = {}
+        self._restored: dict[str, int] = {}
+        self._is_first_holder = True
+        self._initial: dict[str, set[str]] = collections.defaultdict(set)
+        self._last_started_at = 0
         self.is_load_stale: ty.Callable[[], bool] = lambda: False
-        """Whether routers know of each other's work later than it lasts."""
+        """Whether routers learn of each other's requests only after these
+        have ended."""
         self.startup_complete = False
-        """Whether what the fleet starts with has come."""
+        """Whether all upstreams that the fleet starts with have started."""
 
     def reset(self) -> None:
-        """Begin anew with the next look at each service."""
-        self._needs = {}
-        self._left = {}
+        """Discard all estimates, for a new term as lease holder."""
+        self._required = {}
+        self._restored = {}
 
     def save(self) -> dict[str, int]:
-        """Return what is needed of each service, for the next holder."""
-        known = {
-            name: n.count for name, n in self._needs.items() if n.is_measured
+        """Return the required upstreams by service, for the next holder."""
+        measured = {
+            name: item.count
+            for name, item in self._required.items()
+            if item.is_measured
         }
-        return {**self._left, **known}
+        return {**self._restored, **measured}
 
-    def restore(self, left: dict[str, int]) -> None:
-        """Take in what the holder before has found to be needed."""
-        self._left = left
+    def restore(self, state: dict[str, int]) -> None:
+        """Take over the previous holder's required upstreams by service."""
+        self._restored = state
 
-    def track_startup(self, is_first: bool) -> None:
-        """Take note of the upstreams that the fleet starts with.
+    def track_startup(self, is_first_holder: bool) -> None:
+        """Record the upstreams that the fleet starts with.
 
-        Those are firm; reclaimable ones come because they were ordered.
+        These are firm; reclaimable ones start only once they are ordered.
 
         Parameters
         ----------
-        is_first : bool
-            Whether nobody had the duties before: later on, what there is
-            was not started by operators, and has come already.
+        is_first_holder : bool
+            Whether no router has held the duties before. The startup is over
+            for a later holder, whose upstreams were not started by operators.
         """
-        self._is_first = is_first
-        self.startup_complete = self.startup_complete or not is_first
+        self._is_first_holder = is_first_holder
+        self.startup_complete = self.startup_complete or not is_first_holder
         if self.startup_complete:
             return
         now = self._clock.now()
         for view in self._table.all():
-            seen = self._seen[view.service]
+            initial = self._initial[view.service]
             if view.record.reclaimable or not view.is_there:
                 continue
-            if view.name not in seen:
-                self._new_at = now
-                seen.add(view.name)
-        self.startup_complete = now - self._new_at >= _SETTLED_MS
+            if view.name not in initial:
+                self._last_started_at = now
+                initial.add(view.name)
+        self.startup_complete = (
+            now - self._last_started_at >= _STARTUP_QUIET_MS
+        )
 
     def estimate(
         self,
         service: str,
         live: int,
-        planned: int,
-        per_engine: float,
-        exceeded: float,
+        for_events: int,
+        rated_speed: float,
+        shortage_share: float,
         limits: ty.Collection[float] = (),
     ) -> RequiredCapacity:
-        """Return how many upstreams carry the demand of `service`.
+        """Return the upstreams that the demand of `service` requires.
 
         Parameters
         ----------
         live : int
-            Upstreams that there are.
-        planned : int
-            Upstreams that live events ask for now.
-        per_engine : float
-            Tokens a second that one carries.
-        exceeded : float
-            Part of the time in which the demand may exceed the reserve:
-            one more upstream pays where it is needed for more of the time
-            than its price is of what a shortage costs.
+            Live upstreams.
+        for_events : int
+            Upstreams that live events need now.
+        rated_speed : float
+            Tokens per second that one upstream is configured to carry.
+        shortage_share : float
+            Share of time in which the demand may exceed the reserve. Another
+            upstream pays off if it is needed for a larger share of time than
+            the ratio of its price to the cost of a shortage.
         limits : collection of float, optional
             Rate limits of live upstreams, in requests per second.
         """
-        shortfall = self._limit_shortfall(service, per_engine, limits)
-        need = self._count(service, live, planned, per_engine, shortfall)
-        peak = self._demand.quantile(service, 1 - exceeded)
-        need.limit_shortfall = shortfall
-        need.reserve = max(
-            need.count, self._staff(service, peak, per_engine) + shortfall
+        shortfall = self._limit_shortfall(service, rated_speed, limits)
+        required = self._update(
+            service, live, for_events, rated_speed, shortfall
         )
-        if not need.is_measured:
-            need.reserve = max(need.reserve, len(self._seen[service]))
-        return need
-
-    def _staff(self, service: str, rate: float, per_engine: float) -> int:
-        """Return how many upstreams carry a rate of tokens.
+        peak = self._demand.quantile(service, 1 - shortage_share)
+        required.limit_shortfall = shortfall
+        required.reserve = max(
+            required.count,
+            self._upstreams_for(service, peak, rated_speed) + shortfall,
+        )
+        if not required.is_measured:
+            required.reserve = max(
+                required.reserve, len(self._initial[service])
+            )
+        return required
+
+    def _upstreams_for(
+        self, service: str, rate: float, rated_speed: float
+    ) -> int:
+        """Return the upstreams required for a rate of tokens per second.
 
-        So many that they would be busy all the time, and beside them as
-        many as arrivals scatter: that grows with the root of the load, so
-        few of them need more room for each than many (square-root staffing,
-        Halfin and Whitt, 1981).
+        That is the number that would be busy all the time, and a margin for
+        varying arrivals. The margin grows with the square root of the load, so
+        that a small fleet has more spare capacity per upstream than a large
+        one (square-root staffing, Halfin and Whitt, 1981).
         """
-        load = rate * _READ_SHARE / self._reading_speed(service, per_engine)
-        scatter = _SCATTER_LATE if self.is_load_stale() else _SCATTER
-        return math.ceil(load + scatter * math.sqrt(load))
-
-    def _reading_speed(self, service: str, per_engine: float) -> float:
-        """Return the reading speed of an upstream, in tokens per second."""
-        speed = per_engine * _PRIOR_SPEED
-        seen = self._demand.reading(service)
-        if seen is not None:
-            low, high = speed / _SLOWER_BOUND, speed * _FASTER_BOUND
-            # Between the two: an engine at work reads slower than the idle
-            # one that was seen, by the steps of the requests that it runs.
-            speed = math.sqrt(speed * min(high, max(low, seen * 1000)))
+        load = (
+            rate * _PREFILL_SHARE / self._prefill_speed(service, rated_speed)
+        )
+        margin = _STALE_LOAD_MARGIN if self.is_load_stale() else _LOAD_MARGIN
+        return math.ceil(load + margin * math.sqrt(load))
+
+    def _prefill_speed(self, service: str, rated_speed: float) -> float:
+        """Return the prefill speed of an upstream, in tokens per second."""
+        speed = rated_speed * _MAX_SPEED_FACTOR
+        measured = self._demand.reading(service)
+        if measured is not None:
+            low, high = speed / _MAX_SLOWDOWN, speed * _MAX_SPEEDUP
+            # The geometric mean: the measured speed is that of idle engines,
+            # while a busy one also spends time on the steps of its requests.
+            speed = math.sqrt(speed * min(high, max(low, measured * 1000)))
         return speed
 
     def _limit_shortfall(
-        self, service: str, per_engine: float, limits: ty.Collection[float]
+        self, service: str, rated_speed: float, limits: ty.Collection[float]
     ) -> int:
-        """Return how many upstreams make up for the capacity lost to limits.
+        """Return the upstreams that compensate for capacity lost to limits.
 
         A limited upstream still counts as live, so that other upstreams must
         carry the load above its limit. Limits are in requests and the load is
@@ -220,47 +237,53 @@
         size = self._demand.mean_request_tokens(service) if limits else 0
         if not size:
             return 0
-        speed = self._reading_speed(service, per_engine)
-        capacity = speed / (_READ_SHARE * size)
+        speed = self._prefill_speed(service, rated_speed)
+        capacity = speed / (_PREFILL_SHARE * size)
         return round(sum(max(0, 1 - limit / capacity) for limit in limits))
 
-    def _count(
+    def _update(
         self,
         service: str,
         live: int,
-        planned: int,
-        per_engine: float,
+        for_events: int,
+        rated_speed: float,
         limit_shortfall: int,
     ) -> RequiredCapacity:
         now = self._clock.now()
         rate = self._demand.rate(service)
-        wanted = limit_shortfall + max(
-            _LEAST_NEEDED, planned, self._staff(service, rate, per_engine)
+        needed = limit_shortfall + max(
+            _MIN_NEEDED,
+            for_events,
+            self._upstreams_for(service, rate, rated_speed),
         )
-        known = self._demand.is_known(service)
+        is_measured = self._demand.is_known(service)
         if not self.startup_complete:
-            return RequiredCapacity(wanted, now, known)
-        need = self._needs.get(service)
-        if need is None:
-            need = RequiredCapacity(wanted, now, True)
-            if not known:
-                need = self._prior(service, live, now)
-            self._needs[service] = need
-        if wanted >= need.count or (known and need.is_guess):
-            need.count = wanted
-            need.lower_since = now
-        elif known and now - need.lower_since >= _CALM_MS:
-            need.count -= 1
-            need.lower_since = now
-        need.is_measured = need.is_measured or known
-        need.is_guess = need.is_guess and not known
-        return need
-
-    def _prior(self, service: str, live: int, now: int) -> RequiredCapacity:
-        """Return what is needed as far as is known without the demand."""
-        if service in self._left:
-            return RequiredCapacity(self._left[service], now, False)
-        if self._is_first:
-            guess = math.ceil(live * _PRIOR_SHARE)
-            return RequiredCapacity(guess, now, False, is_guess=True)
+            return RequiredCapacity(needed, now, is_measured)
+        required = self._required.get(service)
+        if required is None:
+            required = RequiredCapacity(needed, now, True)
+            if not is_measured:
+                required = self._without_demand(service, live, now)
+            self._required[service] = required
+        if needed >= required.count or (is_measured and required.is_guess):
+            required.count = needed
+            required.lower_since = now
+        elif (
+            is_measured and now - required.lower_since >= _DECREASE_INTERVAL_MS
+        ):
+            required.count -= 1
+            required.lower_since = now
+        required.is_measured = required.is_measured or is_measured
+        required.is_guess = required.is_guess and not is_measured
+        return required
+
+    def _without_demand(
+        self, service: str, live: int, now: int
+    ) -> RequiredCapacity:
+        """Return the required upstreams while the demand is not measured."""
+        if service in self._restored:
+            return RequiredCapacity(self._restored[service], now, False)
+        if self._is_first_holder:
+            initial_guess = math.ceil(live * _INITIAL_SHARE)
+            return RequiredCapacity(initial_guess, now, False, is_guess=True)
         return RequiredCapacity(live, now, False)
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -1,4 +1,4 @@
-"""The duty to order upstreams, so that they carry the demand at any loss."""
+"""The duty that scales services to their demand, with spare for a loss."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 from peridotmast.serving import upstream_limits as upstream_limits_
 from peridotmast.serving import upstreams as upstreams_
 
-_GIVE_BACK_MS = 1000
-"""Time between two upstreams that are given back."""
+_REMOVE_INTERVAL_MS = 1000
+"""Minimum time between two removals of upstreams."""
 
-_OLD_MS = 60_000
-"""Age from which on what another holder has left says nothing any more."""
+_MAX_STATE_AGE_MS = 60_000
+"""Maximum age of another holder's state; an older one is ignored."""
 
-_FIRST = 1
-"""Number of the first holder of the duties that a fleet has."""
+_FIRST_FENCING = 1
+"""Fencing number of the first lease holder of a fleet."""
 
 FIXED = 'fixed'
 REACTIVE = 'reactive'
-"""Ways of scaling beside the planner, as the policy names them."""
+"""Values of the policy's `scaling` other than the planner."""
 
 
 class Scaler:
-    """Compares what there is with the plan and orders the difference.
+    """Compares the live upstreams with the plan and orders the difference.
 
-    What is missing is ordered at once. What is too much goes one by one,
-    the dearest first, once what shall stand in its place is there.
+    Missing upstreams are ordered at once. Excess upstreams are removed one by
+    one, the most expensive first, once their replacements are live.
 
     Parameters
     ----------
     orders : service_reconciler.OrderSink
-        Where upstreams are ordered.
+        Destination of orders.
     config : callable
         Returns the configuration in force.
     table : upstreams.UpstreamTable
-        What there is.
+        Existing upstreams.
     demand : demand.Demand
-        What is asked for.
+        Demand of each service.
     limits : upstream_limits.UpstreamLimits
         Rate limits of the upstreams.
     clock : clock.Clock
-        Times orders.
+        Clock for orders and removals.
     fleet_now : callable
-        Returns ms since 1970 by the fleet's clock; events are told by it.
+        Returns ms since 1970 by the fleet's clock, which events refer to.
     """
 
     def __init__(
@@ -70,87 +70,88 @@
         self._limits = limits
         self._clock = clock
         self._fleet_now = fleet_now
-        self._book = order_tracker.OrderTracker(clock)
-        self._plans = capacity_plan.PlanCache()
+        self._tracker = order_tracker.OrderTracker(clock)
+        self._plan_cache = capacity_plan.PlanCache()
         self.estimator = required_capacity.CapacityEstimator(
             table, demand, clock
         )
-        """How many upstreams the demand needs."""
-        self._gave_back_at = 0
+        """Estimator of the required upstreams of each service."""
+        self._removed_at = 0
 
     @property
     def state_version(self) -> int:
-        """Orders that were given."""
-        return self._book.accepted_count
+        """Number of accepted orders."""
+        return self._tracker.accepted_count
 
-    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
-        """Go on from what the holder before has left."""
-        if left is None:
+    def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
+        """Restore the state of the previous holder, unless it is too old."""
+        if state is None:
             return
-        self._book.clear()
+        self._tracker.clear()
         self.estimator.reset()
-        if abs(self._fleet_now() - left.at_ms) <= _OLD_MS:
-            self._book.restore(left.orders)
-            self.estimator.restore(dict(left.needs))
+        if abs(self._fleet_now() - state.at_ms) <= _MAX_STATE_AGE_MS:
+            self._tracker.restore(state.orders)
+            self.estimator.restore(dict(state.needs))
 
-    def save(self, left: pb.DutiesLeft) -> None:
-        """Fill in what is needed and what was ordered."""
-        left.needs.update(self.estimator.save())
-        left.orders.extend(self._book.save())
+    def save(self, state: pb.DutiesLeft) -> None:
+        """Save the required upstreams and the pending orders."""
+        state.needs.update(self.estimator.save())
+        state.orders.extend(self._tracker.save())
 
     def run(self, fencing: int) -> None:
-        """Order what is due."""
+        """Reconcile all scaled services with their demand."""
         config = self._config()
         if config.policy.scaling == FIXED:
             return
-        self.estimator.track_startup(is_first=fencing <= _FIRST)
-        phases = event_plan.plan(config, self._fleet_now())
+        self.estimator.track_startup(is_first_holder=fencing <= _FIRST_FENCING)
+        reservations = event_plan.plan(config, self._fleet_now())
         for service in config.services:
             if service.scaled:
-                planned = event_plan.upstreams_needed(
-                    phases, service.name, self._fleet_now()
+                for_events = event_plan.upstreams_needed(
+                    reservations, service.name, self._fleet_now()
                 )
-                self._look_at(service, config.policy, planned, fencing)
+                self._reconcile(service, config.policy, for_events, fencing)
 
-    def _look_at(
+    def _reconcile(
         self,
         service: pb.Service,
         policy: pb.Policy,
-        planned: int,
+        for_events: int,
         fencing: int,
     ) -> None:
         live = self._count_live(service)
-        need = self.estimator.estimate(
+        required = self.estimator.estimate(
             service.name,
             live.total,
-            planned,
+            for_events,
             policy.tokens_per_second,
             service.reclaimable_price / policy.shortage_price,
             self._live_limits(service),
         )
-        look = service_reconciler.ServiceReconciler(
+        reconciler = service_reconciler.ServiceReconciler(
             self._orders,
-            self._book,
-            self._plans,
+            self._tracker,
+            self._plan_cache,
             service,
             live,
-            need.count,
-            need.reserve,
+            required.count,
+            required.reserve,
             fencing,
             int(self._demand.rate(service.name)),
-            reading_speed=self._demand.reading(service.name) or 0,
-            limit_shortfall=need.limit_shortfall,
+            prefill_speed=self._demand.reading(service.name) or 0,
+            limit_shortfall=required.limit_shortfall,
             allow_reclaimable=policy.scaling != REACTIVE,
         )
-        look.order_reclaimable()
+        reconciler.order_reclaimable()
         if not self.estimator.startup_complete:
             return
-        look.order_firm()
+        reconciler.order_firm()
         now = self._clock.now()
-        if now - self._gave_back_at >= _GIVE_BACK_MS:
-            # The next one may be missed, where there is demand that could.
-            if look.remove_excess(only_one=not need.is_guess):
-                self._gave_back_at = now
+        if now - self._removed_at >= _REMOVE_INTERVAL_MS:
+            # Remove several at once only while there is no measured demand
+            # that could miss them.
+            if reconciler.remove_excess(only_one=not required.is_guess):
+                self._removed_at = now
 
     def _live_limits(self, service: pb.Service) -> list[float]:
         """Return the limits of live upstreams, in requests per second."""
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -1,4 +1,4 @@
-"""One look at the upstreams of one service, and the orders that follow."""
+"""One reconciliation of a service's upstreams with the required number."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class OrderSink(ty.Protocol):
-    """Where upstreams are ordered."""
+    """Destination of orders for upstreams."""
 
     def order(
         self,
@@ -23,39 +23,54 @@
         reclaimable: bool,
         fencing: int,
     ) -> ty.Optional[failures.Failure]:
-        """Order so many upstreams of a service in a failure domain."""
+        """Set the number of upstreams of a service in a failure domain.
+
+        Parameters
+        ----------
+        count : int
+            Number of upstreams of the kind that the domain is to have.
+        reclaimable : bool
+            Kind of the upstreams: reclaimable or firm.
+        fencing : int
+            Fencing number of the lease holder that orders.
+
+        Returns
+        -------
+        Failure or None
+            None if the order was accepted.
+        """
 
 
 class ServiceReconciler:
-    """Orders what is missing, gives back what is too much.
+    """Orders missing upstreams of one service and removes excess ones.
 
     Parameters
     ----------
     orders : OrderSink
-        Where upstreams are ordered.
-    book : order_tracker.OrderTracker
-        What was ordered and refused before.
-    plans : capacity_plan.PlanCache
-        Makes the plans and keeps them.
+        Destination of orders.
+    tracker : order_tracker.OrderTracker
+        Pending and refused orders.
+    plan_cache : capacity_plan.PlanCache
+        Computes and caches plans.
     service : pb.Service
-        The service.
+        Configuration of the service.
     live : capacity_plan.Mix
-        What there is.
+        Live upstreams.
     needed : int
-        Upstreams that are to be left at any loss.
+        Upstreams that must be left after losing any one failure domain.
     reserve : int
-        Upstreams that are to be left as long as reclaimable ones are to be
-        had.
+        The same while reclaimable upstreams are available.
     fencing : int
-        Number of the holder that orders.
+        Fencing number of the lease holder.
     demand : int
-        Tokens a second that `needed` was worked out from, for the log.
-    reading_speed : float
-        Tokens a ms that an engine was seen to read, for the log; 0 where
-        that is not known.
+        Demand that `needed` was computed from, in tokens per second, for the
+        log.
+    prefill_speed : float
+        Measured prefill speed of an engine, in tokens per ms, for the log; 0
+        if unknown.
     limit_shortfall : int
-        Upstreams of `needed` that make up for the rate limits of others, for
-        the log.
+        Upstreams of `needed` that compensate for the rate limits of others,
+        for the log.
     allow_reclaimable : bool
         Whether reclaimable upstreams may be ordered.
     """
@@ -63,21 +78,21 @@
     def __init__(
         self,
         orders: OrderSink,
-        book: order_tracker.OrderTracker,
-        plans: capacity_plan.PlanCache,
+        tracker: order_tracker.OrderTracker,
+        plan_cache: capacity_plan.PlanCache,
         service: pb.Service,
         live: capacity_plan.Mix,
         needed: int,
         reserve: int,
         fencing: int,
         demand: int,
-        reading_speed: float = 0,
+        prefill_speed: float = 0,
         limit_shortfall: int = 0,
         allow_reclaimable: bool = True,
     ) -> None:
         self._orders = orders
-        self._book = book
-        self._plans = plans
+        self._tracker = tracker
+        self._plan_cache = plan_cache
         self._service = service
         self._domains = list(service.domains)
         self._live = live
@@ -85,80 +100,84 @@
         self._reserve = max(needed, reserve)
         self._fencing = fencing
         self._demand = demand
-        self._reading = reading_speed
+        self._prefill_speed = prefill_speed
         self._limit_shortfall = limit_shortfall
-        self._may_be_reclaimed = allow_reclaimable
+        self._allow_reclaimable = allow_reclaimable
         self._log = logs.get('scaler')
 
     def order_reclaimable(self) -> None:
         """Order reclaimable upstreams that are missing or would be cheaper.
 
-        Each refusal changes what is to be had, and with it the plan.
+        Each refusal changes the available capacity and thus the plan, which
+        is therefore computed again.
         """
-        if not self._may_be_reclaimed:
+        if not self._allow_reclaimable:
             return
         for _ in self._domains:
             market = self._market(optimistic=True)
-            grown = self._plans.cheapest(
+            extended = self._plan_cache.cheapest(
                 market, self._reserve, self._expected()
             )
-            ideal = self._plans.cheapest(market, self._reserve)
-            wanted = grown
-            if market.price(ideal) < market.price(grown):
-                wanted = ideal
+            cheapest = self._plan_cache.cheapest(market, self._reserve)
+            wanted = extended
+            if market.price(cheapest) < market.price(extended):
+                wanted = cheapest
             refused = [
                 domain
                 for domain in self._domains
-                if not self._raise_to(domain, True, wanted.reclaimable[domain])
+                if not self._order_up_to(
+                    domain, True, wanted.reclaimable[domain]
+                )
             ]
             if not refused:
                 return
 
     def order_firm(self) -> None:
-        """Order firm upstreams in place of what is not to be had."""
+        """Order firm upstreams in place of unavailable reclaimable ones."""
         expected = self._expected()
-        grown = self._plans.cheapest(
+        extended = self._plan_cache.cheapest(
             self._market(optimistic=False),
             self._firm_needed(expected),
             expected,
         )
         for domain in self._domains:
-            self._raise_to(domain, False, grown.firm[domain])
+            self._order_up_to(domain, False, extended.firm[domain])
 
     def remove_excess(self, only_one: bool) -> bool:
-        """Give upstreams back that what is live can do without.
+        """Remove upstreams that the live ones can do without.
 
         Parameters
         ----------
         only_one : bool
-            Whether to stop after the first.
+            Whether to stop after the first upstream.
 
         Returns
         -------
         bool
-            Whether any was given back.
+            Whether any upstream was removed.
         """
-        gave = self._give_one_back()
-        while gave and not only_one and self._give_one_back():
+        removed = self._remove_one()
+        while removed and not only_one and self._remove_one():
             pass
-        return gave
+        return removed
 
     def _firm_needed(self, mix: capacity_plan.Mix) -> int:
-        """Return how many must be left at a loss, where firm ones stand in.
+        """Return the upstreams to keep after a loss, using firm upstreams.
 
-        A reclaim is announced about as long before as a new one boots, so
-        the gap is a few seconds; firm ones against it are paid for as long
-        as nothing reclaimable is to be had. So they outlast the loss of one
-        upstream, not of all in a failure domain.
+        A reclaim is announced about one boot time in advance, so that the
+        upstreams of a domain are missing for a few seconds only. Firm
+        upstreams against that gap would be paid for as long as no reclaimable
+        ones are available. They therefore cover the loss of one upstream, not
+        of a whole failure domain.
         """
-        height = max(mix.reclaimable.values(), default=0)
-        return max(1, self._needed - max(0, height - 1))
+        max_reclaimable = max(mix.reclaimable.values(), default=0)
+        return max(1, self._needed - max(0, max_reclaimable - 1))
 
     def _expected(self) -> capacity_plan.Mix:
-        """Return what there is, and what was ordered and will come."""
+        """Return the live upstreams plus those of pending orders."""
         reclaimable, firm = (
             {
-                domain: self._book.expected(
+                domain: self._tracker.expected(
                     self._key(domain, is_reclaimable), count
                 )
                 for domain, count in counts.items()
@@ -168,22 +187,24 @@
         return capacity_plan.Mix(reclaimable, firm)
 
     def _market(self, optimistic: bool) -> capacity_plan.Market:
-        """Return what is to be had.
+        """Return the prices and the present limits of the service.
 
         Parameters
         ----------
         optimistic : bool
-            Whether to count on what was refused and may be tried again.
+            Whether to count on refused kinds that may be ordered again now.
         """
         reclaimable, firm = (
             {
                 domain: count
                 for domain, count in counts.items()
-                if self._is_shut(self._key(domain, is_reclaimable), optimistic)
+                if self._is_unavailable(
+                    self._key(domain, is_reclaimable), optimistic
+                )
             }
             for is_reclaimable, counts in self._kinds(self._expected())
         )
-        if not self._may_be_reclaimed:
+        if not self._allow_reclaimable:
             reclaimable = dict.fromkeys(self._domains, 0)
         return dataclasses.replace(
             capacity_plan.market_of(self._service),
@@ -195,26 +216,28 @@
     def _kinds(
         mix: capacity_plan.Mix,
     ) -> tuple[tuple[bool, capacity_plan.Counts], ...]:
-        """Return the counts of a mix, each with whether it is reclaimable."""
+        """Return both kinds of a mix: whether reclaimable, and the counts."""
         return (True, mix.reclaimable), (False, mix.firm)
 
-    def _is_shut(self, key: order_tracker.Key, optimistic: bool) -> bool:
-        if not self._book.is_refused(key):
+    def _is_unavailable(
+        self, key: order_tracker.Key, optimistic: bool
+    ) -> bool:
+        if not self._tracker.has_backoff(key):
             return False
-        return not (optimistic and self._book.may_order(key))
+        return not (optimistic and self._tracker.may_order(key))
 
     def _key(self, domain: str, reclaimable: bool) -> order_tracker.Key:
         return self._service.name, domain, reclaimable
 
-    def _give_one_back(self) -> bool:
+    def _remove_one(self) -> bool:
         market = self._market(optimistic=False)
-        wanted = self._plans.cheapest(market, self._reserve)
+        wanted = self._plan_cache.cheapest(market, self._reserve)
         keep = wanted.reclaimable
         if any(
-            self._book.is_refused(self._key(domain, True))
+            self._tracker.has_backoff(self._key(domain, True))
             for domain in self._domains
         ):
-            # What is given back now is not to be had again.
+            # No replacement is available for an upstream removed now.
             keep = self._live.reclaimable
         found = capacity_plan.find_removable(
             market, self._live, self._firm_needed(self._live), keep
@@ -228,17 +251,17 @@
         self._live = self._live.without_one(domain, reclaimable)
         return True
 
-    def _raise_to(self, domain: str, reclaimable: bool, count: int) -> bool:
-        """Order up to `count`; false where it was refused."""
+    def _order_up_to(self, domain: str, reclaimable: bool, count: int) -> bool:
+        """Order up to `count` upstreams; return false if not accepted."""
         key = self._key(domain, reclaimable)
         counts = self._live.reclaimable if reclaimable else self._live.firm
         if reclaimable:
-            # Those that are still there in its place take its room.
+            # Firm upstreams that are not replaced yet count for the limit.
             room = self._service.scale_max - self._live.firm[domain]
             count = min(count, room)
-        if count <= self._book.expected(key, counts[domain]):
+        if count <= self._tracker.expected(key, counts[domain]):
             return True
-        if not self._book.may_order(key):
+        if not self._tracker.may_order(key):
             return False
         return self._order(domain, reclaimable, count)
 
@@ -246,7 +269,7 @@
         failure = self._orders.order(
             self._service.name, domain, count, reclaimable, self._fencing
         )
-        self._note(domain, reclaimable, count, failure)
+        self._record(domain, reclaimable, count, failure)
         self._log.info(
             'order',
             service=self._service.name,
@@ -258,7 +281,7 @@
             needed=self._needed,
             reserve=self._reserve,
             demand=self._demand,
-            reading=round(self._reading, 1),
+            reading=round(self._prefill_speed, 1),
             limit_shortfall=self._limit_shortfall,
             fencing=self._fencing,
             outcome='given' if failure is None else failure.reason,
@@ -266,28 +289,28 @@
         )
         return failure is None
 
-    def _note(
+    def _record(
         self,
         domain: str,
         reclaimable: bool,
         count: int,
         failure: ty.Optional[failures.Failure],
     ) -> None:
-        """Enter what came of an order into the book."""
-        book = self._book
+        """Record the outcome of an order in the tracker."""
+        tracker = self._tracker
         key = self._key(domain, reclaimable)
-        others = [self._key(other, reclaimable) for other in self._domains]
+        keys = [self._key(other, reclaimable) for other in self._domains]
         if failure is None:
-            was_closed = book.is_refused(key)
+            had_backoff = tracker.has_backoff(key)
             counts = self._live.reclaimable if reclaimable else self._live.firm
             coming = max(0, count - counts[domain])
-            book.record_accepted(
+            tracker.record_accepted(
                 key, counts[domain], coming, self._service.boot_ms
             )
-            if was_closed:
-                book.retry_others(others)
+            if had_backoff:
+                tracker.retry_others(keys)
         elif failure.kind is failures.FailureKind.CONFLICT:
-            book.record_refused(key)
-            book.back_off_others(key, others)
+            tracker.record_refused(key)
+            tracker.back_off_others(key, keys)
         else:
-            book.record_unknown_outcome(key)
+            tracker.record_unknown_outcome(key)
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -1,4 +1,4 @@
-"""The duty to report each window's usage once, whoever holds it."""
+"""The duty that reports the usage of each window exactly once."""
 
 from __future__ import annotations
 
@@ -14,45 +14,50 @@
 KIND = 'peridotmast-duties'
 NAME = 'usage'
 
-_SETTLE_MS = 1500
-"""Time after a window's end in which the routers' last counts arrive: a few
-beacons, and requests whose first event is late."""
+_COLLECT_MS = 1500
+"""Time from the end of a window until its counts are complete: the other
+routers' last counts take a few beacons to arrive, and a request is counted
+only at its first event, which may be late."""
 
-_STALE_WINDOWS = 3
-"""Windows after which a report is not made up for any more: it would come
-after its due time."""
+_MAX_LATE_WINDOWS = 3
+"""Number of windows after which a missing report is skipped, because it would
+arrive after its due time."""
 
 
 class UsageSink(ty.Protocol):
-    """Where usage is reported to."""
+    """Destination of usage reports."""
 
     def report_usage(
         self, window: int, counts: usage_.Counts, fencing: int
     ) -> ty.Optional[failures.Failure]:
-        """Send one window's counts; the same ones again do no harm."""
+        """Send the counts of one window.
+
+        Sending the same counts again has no further effect.
+        """
 
 
 class UsageReporter:
-    """Reports windows in order, each with the counts that were written down.
+    """Reports windows in order, each with the counts in the store.
 
-    Two reports of one window must not differ, and a holder may die after
-    it has sent one. So the counts are written to the store before they are
-    sent; the next holder sends what it finds there, and goes on after it.
+    Two reports of one window must not differ, and a holder may be killed
+    after it has sent one. The counts are therefore written to the store
+    before they are sent. The next holder sends the stored counts again and
+    continues with the window after them.
 
     Parameters
     ----------
     usage : usage.Usage
-        The counts.
+        Usage counts of all routers.
     reports : UsageSink
-        Where they go.
+        Destination of the reports.
     store : objects.Objects
-        Where they are written down first.
+        Store that the counts are written to before they are sent.
     window_ms : int
-        Length of a window.
+        Length of a window, in ms.
     fleet_now : callable
         Returns ms since 1970 by the fleet's clock.
     checks : invariants.Invariants
-        Where a second report of a window would be seen.
+        Records a violation if a window is reported twice.
     """
 
     def __init__(
@@ -71,33 +76,33 @@
         self._fleet_now = fleet_now
         self._checks = checks
         self._first_window = usage.window_now()
-        self._written: ty.Optional[objects.Stored] = None
-        self._sure = False
-        self._unsent = False
+        self._stored: ty.Optional[objects.Stored] = None
+        self._is_current = False
+        self._is_send_pending = False
         self._log = logs.get('usage')
 
     @property
     def state_version(self) -> int:
-        """None that the next holder can't read in the store."""
+        """Always 0: the next holder reads all state from the store."""
         return 0
 
-    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
-        """Forget what an earlier time as holder has left."""
-        self._written = None
-        self._sure = False
-        self._unsent = False
+    def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
+        """Discard state from an earlier term as lease holder."""
+        self._stored = None
+        self._is_current = False
+        self._is_send_pending = False
 
-    def save(self, left: pb.DutiesLeft) -> None:
-        """Leave nothing: what was reported is in the store."""
+    def save(self, state: pb.DutiesLeft) -> None:
+        """Do nothing: the last reported window is in the store."""
 
     def run(self, fencing: int) -> None:
-        """Write down and send what is due."""
-        if not self._sure and not self._read():
+        """Store and send the reports that are due."""
+        if not self._is_current and not self._read():
             return
-        if self._unsent and not self._send(fencing):
+        if self._is_send_pending and not self._send(fencing):
             return
         window = self._next_window()
-        ready_at = (window + 1) * self._window_ms + _SETTLE_MS
+        ready_at = (window + 1) * self._window_ms + _COLLECT_MS
         if self._fleet_now() >= ready_at and self._write(window):
             self._send(fencing)
 
@@ -105,44 +110,44 @@
         stored = self._store.read(KIND, NAME)
         if isinstance(stored, failures.Failure):
             return False
-        self._written = stored
-        self._sure = True
-        # The one who wrote it may not have come to send it.
-        self._unsent = stored.spec is not None
+        self._stored = stored
+        self._is_current = True
+        # The holder that stored the counts may have failed before sending.
+        self._is_send_pending = stored.spec is not None
         return True
 
     def _next_window(self) -> int:
         newest = self._usage.window_now()
-        spec = (self._written.spec if self._written else None) or {}
-        after = int(spec.get('window') or self._first_window - 1) + 1
-        return max(after, newest - _STALE_WINDOWS)
+        spec = (self._stored.spec if self._stored else None) or {}
+        following = int(spec.get('window') or self._first_window - 1) + 1
+        return max(following, newest - _MAX_LATE_WINDOWS)
 
     def _write(self, window: int) -> bool:
         spec = {'window': window, 'counts': self._usage.total(window)}
-        revision = self._written.revision if self._written else 0
+        revision = self._stored.revision if self._stored else 0
         result = self._store.write(KIND, NAME, spec, revision)
         if isinstance(result, failures.Failure):
-            # What is there now decides, also where this write comes late.
-            self._sure = False
+            # The write may still take effect: read the store again first.
+            self._is_current = False
             self._log.info(
-                'usage_unwritten', window=window, reason=result.reason
+                'usage_write_failed', window=window, reason=result.reason
             )
             return False
-        written = (self._written.spec if self._written else None) or {}
+        previous = (self._stored.spec if self._stored else None) or {}
         self._checks.check(
             invariants_.Promise.ONE_REPORT,
-            window > int(written.get('window') or 0),
+            window > int(previous.get('window') or 0),
             str(window),
         )
-        self._written = objects.Stored(NAME, result.revision, spec)
-        self._unsent = True
+        self._stored = objects.Stored(NAME, result.revision, spec)
+        self._is_send_pending = True
         return True
 
     def _send(self, fencing: int) -> bool:
-        spec = (self._written.spec if self._written else None) or {}
+        spec = (self._stored.spec if self._stored else None) or {}
         window, counts = int(spec['window']), spec['counts']
         failure = self._reports.report_usage(window, counts, fencing)
-        self._unsent = failure is not None and not _is_late(
+        self._is_send_pending = failure is not None and not _is_late(
             window, self._usage.window_now()
         )
         self._log.info(
@@ -152,8 +157,8 @@
             fencing=fencing,
             outcome='sent' if failure is None else failure.reason,
         )
-        return not self._unsent
+        return not self._is_send_pending
 
 
 def _is_late(window: int, newest: int) -> bool:
-    return window < newest - _STALE_WINDOWS
+    return window < newest - _MAX_LATE_WINDOWS
