--- a/src/peridotmast/__init__.py
+++ b/src/peridotmast/__init__.py
@@ -6,6 +6,6 @@
 
 __version__ = '0.1.0'
 
-# gRPC reads this when it is first imported; without it each closed
-# connection writes a line of its own beside the log.
+# gRPC reads this when it is first imported. Without it, gRPC prints a line
+# for each closed connection, outside of the log.
 os.environ.setdefault('GRPC_VERBOSITY', 'NONE')
--- a/src/peridotmast/addresses.py
+++ b/src/peridotmast/addresses.py
@@ -1,14 +1,14 @@
-"""Addresses as all parts write them: ``IP:port``, the IP as a number."""
+"""Addresses in the form ``IP:port``, with a numeric IP address."""
 
 from __future__ import annotations
 
 import functools
 import ipaddress
 
-_LAST_PORT = 65535
+_MAX_PORT = 65535
 
-_KEPT = 1 << 14
-"""Addresses whose check is kept: two for each of 5,700 upstreams."""
+_CACHE_SIZE = 1 << 14
+"""Addresses whose check is cached: two for each of 5,700 upstreams."""
 
 
 def check(text: str) -> None:
@@ -17,11 +17,11 @@
     Raises
     ------
     ValueError
-        If it is not, with what would be right.
+        If it is not; the message states the expected form.
     """
     host, colon, port = text.rpartition(':')
     is_number = port.isascii() and port.isdigit()
-    if not colon or not is_number or int(port) > _LAST_PORT:
+    if not colon or not is_number or int(port) > _MAX_PORT:
         raise ValueError('must be IP:port, such as 127.0.0.1:8700')
     try:
         ipaddress.ip_address(host.strip('[]'))
@@ -29,9 +29,9 @@
         raise ValueError('must be IP:port with a numeric address') from None
 
 
-@functools.lru_cache(maxsize=_KEPT)
+@functools.lru_cache(maxsize=_CACHE_SIZE)
 def is_usable(text: str) -> bool:
-    """Return whether something can be sent to `text`."""
+    """Return whether `text` is an address that can be connected to."""
     try:
         check(text)
     except ValueError:
--- a/src/peridotmast/clock.py
+++ b/src/peridotmast/clock.py
@@ -1,4 +1,4 @@
-"""The millisecond clock that decisions are taken by."""
+"""Millisecond clocks; all time-dependent decisions use one of them."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 import typing as ty
 
 Millis = ty.NewType('Millis', int)
-"""A moment or a length of time in whole milliseconds."""
+"""A point in time or a duration, in whole milliseconds."""
 
 
 class Clock(ty.Protocol):
-    """Tells the time; a decision asks this and nothing else."""
+    """Source of time; decisions read no other one, so tests can set it."""
 
     def now(self) -> Millis:
-        """Return monotonic time, which never steps, in ms."""
+        """Return monotonic time, which is never adjusted, in ms."""
 
     def boot(self) -> Millis:
-        """Return monotonic time that counts suspension too, in ms."""
+        """Return monotonic time including suspension of the VM, in ms."""
 
     def wall(self) -> Millis:
-        """Return ms since 1970, which may step."""
+        """Return ms since 1970, which may be adjusted."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clocks of the operating system."""
 
     def now(self) -> Millis:
         """Return monotonic time in ms."""
         return Millis(time.monotonic_ns() // 1_000_000)
 
     def boot(self) -> Millis:
-        """Return time since the VM's start, suspension counted, in ms."""
+        """Return time since the VM's boot including suspension, in ms."""
         return Millis(time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000)
 
     def wall(self) -> Millis:
@@ -39,37 +39,38 @@
 
 
 class StallTolerantClock:
-    """A clock that leaves out what its process stood still for.
+    """A clock that excludes times in which its process did not run.
 
-    A process that did not run for a while (a busy or paused machine) has
-    not read what came meanwhile. By this clock that while is short, so what
-    others sent is read before they count as silent.
+    A process that was stalled, by a busy or paused machine, has not read the
+    messages that arrived meanwhile. This clock advances little during a
+    stall, so that these messages are read before their senders count as
+    silent.
 
     Parameters
     ----------
     clock : Clock
-        The clock of the machine.
-    longest_ms : int
-        Longest time between two readings while the process runs. More than
-        that was stood still.
+        Clock of the operating system.
+    max_gap_ms : int
+        Maximum time between two readings while the process runs. Anything
+        longer counts as a stall.
     """
 
-    def __init__(self, clock: Clock, longest_ms: int) -> None:
+    def __init__(self, clock: Clock, max_gap_ms: int) -> None:
         self._clock = clock
-        self._longest_ms = longest_ms
-        self._read_at = clock.now()
-        self._left_out = 0
+        self._max_gap_ms = max_gap_ms
+        self._last_read_at = clock.now()
+        self._excluded_ms = 0
 
     def now(self) -> Millis:
-        """Return monotonic time less what was stood still for, in ms."""
+        """Return monotonic time without stalls, in ms."""
         now = self._clock.now()
-        passed = now - self._read_at
-        self._left_out += max(0, passed - self._longest_ms)
-        self._read_at = now
-        return Millis(now - self._left_out)
+        elapsed = now - self._last_read_at
+        self._excluded_ms += max(0, elapsed - self._max_gap_ms)
+        self._last_read_at = now
+        return Millis(now - self._excluded_ms)
 
     def boot(self) -> Millis:
-        """Return time since the VM's start, nothing left out, in ms."""
+        """Return time since the VM's boot, including stalls, in ms."""
         return self._clock.boot()
 
     def wall(self) -> Millis:
@@ -78,12 +79,12 @@
 
 
 class ManualClock:
-    """A clock that stands until a test moves it.
+    """A clock that only a test advances.
 
     Parameters
     ----------
     start : int
-        First reading of both scales, in ms.
+        Initial reading of all scales, in ms.
     """
 
     def __init__(self, start: int = 1_000_000) -> None:
@@ -102,5 +103,5 @@
         return Millis(self._now)
 
     def advance(self, ms: int) -> None:
-        """Move the clock on by `ms` milliseconds."""
+        """Advance the clock by `ms` milliseconds."""
         self._now += ms
--- a/src/peridotmast/compression.py
+++ b/src/peridotmast/compression.py
@@ -1,42 +1,42 @@
-"""Packed bytes from other processes, unpacked within bounds."""
+"""Compression of messages between processes, with bounded decompression."""
 
 from __future__ import annotations
 
 import zlib
 
-_LEVEL = 1
-"""Names, addresses and routes that repeat make most of what is packed: higher
-levels save a tenth at most, for a third more processor time or twice as much.
-"""
+_COMPRESSION_LEVEL = 1
+"""Compressed messages mostly consist of repeated names, addresses and routes.
+Higher levels save at most a tenth of the size, and take a third more processor
+time to twice as much."""
 
 
 class DecompressionError(ValueError):
-    """Raised for bytes that are not packed, or unpack to too much."""
+    """Raised for data that is not valid or decompresses to too many bytes."""
 
 
 def compress(data: bytes) -> bytes:
-    """Return `data` packed."""
-    return zlib.compress(data, _LEVEL)
+    """Return `data` compressed with zlib."""
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
-def decompress(data: bytes, most: int) -> bytes:
-    """Return packed `data` unpacked.
+def decompress(data: bytes, max_bytes: int) -> bytes:
+    """Return zlib-compressed `data` decompressed.
 
     Parameters
     ----------
-    most : int
-        Most bytes that it may unpack to.
+    max_bytes : int
+        Maximum size of the decompressed data, in bytes.
 
     Raises
     ------
     DecompressionError
-        If it is not packed as it should be, or unpacks to more.
+        If `data` is not valid, or decompresses to more than `max_bytes`.
     """
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = unpacking.decompress(data, most)
+        result = decompressor.decompress(data, max_bytes)
     except zlib.error as exc:
         raise DecompressionError(str(exc)) from exc
-    if unpacking.unconsumed_tail:
-        raise DecompressionError('unpacks to too much')
-    return found
+    if decompressor.unconsumed_tail:
+        raise DecompressionError('decompressed data exceeds the size limit')
+    return result
--- a/src/peridotmast/findings.py
+++ b/src/peridotmast/findings.py
@@ -1,4 +1,4 @@
-"""Findings about input, collected with their place and reported together."""
+"""Problems in an input, collected with their place and reported together."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """One thing that is wrong with an input."""
+    """One problem in an input."""
 
     place: str
-    """Where: ``file:line`` or a part of a document."""
+    """Location: ``file:line`` or a part of a document."""
 
     text: str
-    """What is wrong and what would be right."""
+    """Description of the problem and of the expected input."""
 
     def __str__(self) -> str:
         return f'{self.place}: {self.text}'
 
 
 class Findings:
-    """A growing list of findings about one input."""
+    """List of the findings about one input."""
 
     def __init__(self) -> None:
-        self._found: list[Finding] = []
+        self._findings: list[Finding] = []
 
     def __bool__(self) -> bool:
-        return bool(self._found)
+        return bool(self._findings)
 
     def __iter__(self):  # type: ignore[no-untyped-def]
-        return iter(self._found)
+        return iter(self._findings)
 
     def __len__(self) -> int:
-        return len(self._found)
+        return len(self._findings)
 
     def __str__(self) -> str:
-        return '\n'.join(map(str, self._found))
+        return '\n'.join(map(str, self._findings))
 
     def add(self, place: str, text: str) -> None:
-        """Note that `text` is wrong at `place`."""
-        self._found.append(Finding(place, text))
+        """Add a finding with the description `text` at `place`."""
+        self._findings.append(Finding(place, text))
--- a/src/peridotmast/green.py
+++ b/src/peridotmast/green.py
@@ -1,8 +1,8 @@
-"""The one module that uses eventlet's hub; the others use its names.
+"""Green threads, timers and socket waits, on top of eventlet.
 
-Eventlet is in bug-fix mode upstream, and the house runs on it. What the
-rest of the project needs of it passes through here, `wire.server` and `rpc`,
-so that a successor has three modules to replace, and `loop_hub`, the hub.
+Eventlet only receives bug fixes. The rest of the project therefore uses it
+only through this module, `wire.server` and `rpc`, so that replacing it would
+only change these three modules and `loop_hub`, the hub.
 """
 
 from __future__ import annotations
@@ -18,8 +18,9 @@
 import warnings
 
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is')
-# Addresses are numbers here. Without eventlet's resolver a router starts 0.3 s
-# sooner and takes 7 MB less (imports timed alone, 0.96 s and 55.7 MB before).
+# All addresses are numeric. Without eventlet's DNS resolver a router starts
+# 0.3 s sooner and takes 7 MB less memory (importing with it takes 0.96 s and
+# 55.7 MB).
 os.environ['EVENTLET_NO_GREENDNS'] = 'yes'
 
 import eventlet  # noqa: E402
@@ -46,68 +47,69 @@
 
 
 def setup() -> None:
-    """Choose the hub; called once at a program's start.
+    """Select the hub; called once at the start of a program.
 
     The asyncio hub lets gRPC's servers and channels run on the same loop.
-    Nothing is monkey-patched: with gRPC that ends in a crash.
+    Nothing is monkey-patched, since that crashes in combination with gRPC.
     """
     hubs.use_hub(loop_hub.LoopHub)
-    # A task that dies is reported by its program's own log, not the hub's.
+    # The program's own log reports errors of tasks; the hub must not print
+    # them.
     hubs.get_hub().set_debug_listeners(False)
 
 
 def sleep_ms(ms: float) -> None:
-    """Let other tasks run for `ms` milliseconds."""
+    """Suspend the current task for `ms` milliseconds."""
     eventlet.sleep(ms / 1000)
 
 
 def call_after_ms(ms: float, callback: ty.Callable[[], None]) -> None:
-    """Call `callback`, which must not wait, in `ms` milliseconds."""
+    """Call `callback`, which must not block, after `ms` milliseconds."""
     hubs.get_hub().loop.call_later(ms / 1000, callback)
 
 
 def spawn_after_ms(
     ms: float, func: ty.Callable[..., ty.Any], *args: ty.Any
 ) -> ty.Any:
-    """Run ``func(*args)`` in a task of its own in `ms` milliseconds."""
+    """Run ``func(*args)`` in a new task after `ms` milliseconds."""
     return eventlet.spawn_after(ms / 1000, func, *args)
 
 
 def on_signal(
     number: int, callback: ty.Callable[..., None], *args: ty.Any
 ) -> None:
-    """Call `callback` on the loop when the signal `number` comes.
+    """Call `callback` on the loop when the signal `number` is received.
 
-    The loop is woken by it; looking now and then would cost half a percent
-    of a core.
+    The signal wakes the loop. Polling for it would cost half a percent of a
+    core.
     """
     hubs.get_hub().loop.add_signal_handler(number, callback, *args)
 
 
 def add_reader(fd: int, callback: ty.Callable[[], None]) -> None:
-    """Call `callback` on the loop whenever `fd` can be read."""
+    """Call `callback` on the loop whenever `fd` is readable."""
     hubs.get_hub().loop.add_reader(fd, callback)
 
 
 def remove_reader(fd: int) -> None:
-    """Call back no more."""
+    """Remove the reader of `fd`."""
     hubs.get_hub().loop.remove_reader(fd)
 
 
 def wait_for(awaitable: ty.Any) -> ty.Any:
-    """Wait in a green task for something that asyncio waits for.
+    """Wait in a green task for an asyncio awaitable and return its result.
 
-    The error is carried out as a value, since the hub prints a trace for
-    every task that ends by one.
+    An error is passed on as a value and raised here, since the hub prints a
+    traceback for every task that ends with an exception.
     """
-    waiting = eventlet.asyncio.spawn_for_awaitable(_outcome(awaitable))
-    result, error = waiting.wait()
+    task = eventlet.asyncio.spawn_for_awaitable(_capture(awaitable))
+    result, error = task.wait()
     if error is not None:
         raise error
     return result
 
 
-async def _outcome(
+async def _capture(
     awaitable: ty.Any,
 ) -> tuple[ty.Any, ty.Optional[BaseException]]:
     try:
@@ -117,7 +119,7 @@
 
 
 class Ready(enum.Flag):
-    """What a socket is ready for."""
+    """Operations that a socket is ready for."""
 
     NOTHING = 0
     READ = select.EPOLLIN
@@ -125,48 +127,48 @@
 
 
 class SocketPoller:
-    """Waits for sockets that are waited for again and again.
-
-    Eventlet's own wait enters a socket into the loop and takes it out
-    again each time, with a timer beside it. Here a socket is entered once,
-    into a set of its own that the loop watches as a whole; each further
-    wait only arms it again. Timeouts are looked at when the first of them
-    may be over, 50 ms apart at least. It buys two thirds of the processor
-    time of a stream's event (`peridotmast-load overhead`, 100 streams).
+    """Waits for readiness of long-lived sockets.
+
+    Eventlet's own wait adds the socket to the loop and removes it again each
+    time, and sets a timer. Here each socket is registered once, in an epoll
+    set that the loop watches as a whole, and a further wait only rearms it.
+    One timer expires all timeouts, at least 50 ms apart. This saves two
+    thirds of the processor time per event of a stream
+    (`peridotmast-load overhead`, 100 streams).
     """
 
-    _LOOK_S = 0.05
-    _ALWAYS = select.EPOLLRDHUP | select.EPOLLONESHOT
+    _MIN_TIMER_S = 0.05
+    _BASE_EVENTS = select.EPOLLRDHUP | select.EPOLLONESHOT
 
     def __init__(self) -> None:
         self._epoll: ty.Any = None
-        self._known: set[int] = set()
-        self._waiting: dict[int, tuple[ty.Any, float]] = {}
-        self._look_at = math.inf
+        self._registered: set[int] = set()
+        self._waiters: dict[int, tuple[ty.Any, float]] = {}
+        self._timer_due_at = math.inf
         self._timer: ty.Any = None
 
     def wait(
-        self, fd: int, timeout_ms: float, wanted: Ready = Ready.READ
+        self, fd: int, timeout_ms: float, events: Ready = Ready.READ
     ) -> Ready:
-        """Wait until `fd` is ready; `Ready.NOTHING` if time was over first.
+        """Wait until `fd` is ready; return `Ready.NOTHING` on a timeout.
 
-        An error or the other side's close counts as ready to be read.
+        An error, and a close by the peer, count as readable.
         """
-        self._arm(fd, wanted.value | self._ALWAYS)
+        self._arm(fd, events.value | self._BASE_EVENTS)
         deadline = time.monotonic() + timeout_ms / 1000
-        self._waiting[fd] = eventlet.getcurrent(), deadline
-        if deadline < self._look_at:
-            self._look_later(deadline)
+        self._waiters[fd] = eventlet.getcurrent(), deadline
+        if deadline < self._timer_due_at:
+            self._schedule_timeouts(deadline)
         try:
             return hubs.get_hub().switch()
         finally:
-            self._waiting.pop(fd, None)
+            self._waiters.pop(fd, None)
 
     def unregister(self, fd: int) -> None:
-        """Leave `fd` out from now on; called before it is closed."""
-        if fd in self._known:
-            self._known.discard(fd)
-            # One that is closed already has left the set by itself.
+        """Remove `fd` from the set; called before it is closed."""
+        if fd in self._registered:
+            self._registered.discard(fd)
+            # The kernel has removed a descriptor that is already closed.
             with contextlib.suppress(OSError):
                 self._epoll.unregister(fd)
 
@@ -175,59 +177,63 @@
             self._epoll = select.epoll()
             loop = hubs.get_hub().loop
             loop.add_reader(self._epoll.fileno(), self._on_ready)
-        if fd in self._known:
+        if fd in self._registered:
             try:
                 self._epoll.modify(fd, events)
                 return
             except FileNotFoundError:
-                # Its socket was closed by the collector; this is another.
+                # The garbage collector closed the registered socket, and a new
+                # one has the same descriptor.
                 pass
         self._epoll.register(fd, events)
-        self._known.add(fd)
+        self._registered.add(fd)
 
     def _on_ready(self) -> None:
         for fd, events in self._epoll.poll(0):
-            waiting = self._waiting.pop(fd, None)
-            if waiting is not None:
+            waiter = self._waiters.pop(fd, None)
+            if waiter is not None:
                 ready = Ready(events & Ready.WRITE.value)
                 if events & ~Ready.WRITE.value:
                     ready |= Ready.READ
-                waiting[0].switch(ready)
+                waiter[0].switch(ready)
 
-    def _look_later(self, moment: float) -> None:
-        """Look at the timeouts at `moment`, on the monotonic clock, in s."""
+    def _schedule_timeouts(self, due_at: float) -> None:
+        """Expire timeouts at `due_at`, on the monotonic clock, in s."""
         if self._timer is not None:
             self._timer.cancel()
-        self._look_at = moment
-        left = max(0.0, moment - time.monotonic())
-        self._timer = hubs.get_hub().loop.call_later(left, self._look)
+        self._timer_due_at = due_at
+        delay = max(0.0, due_at - time.monotonic())
+        self._timer = hubs.get_hub().loop.call_later(
+            delay, self._expire_timeouts
+        )
 
-    def _look(self) -> None:
-        self._look_at, self._timer = math.inf, None
+    def _expire_timeouts(self) -> None:
+        self._timer_due_at, self._timer = math.inf, None
         now = time.monotonic()
-        late = [fd for fd, (_, at) in self._waiting.items() if at <= now]
-        for fd in late:
-            waiting = self._waiting.pop(fd, None)
-            if waiting is not None:
-                waiting[0].switch(Ready.NOTHING)
-        if self._waiting:
-            first = min(at for _, at in self._waiting.values())
-            self._look_later(max(first, now + self._LOOK_S))
+        expired = [fd for fd, (_, at) in self._waiters.items() if at <= now]
+        for fd in expired:
+            waiter = self._waiters.pop(fd, None)
+            if waiter is not None:
+                waiter[0].switch(Ready.NOTHING)
+        if self._waiters:
+            first = min(at for _, at in self._waiters.values())
+            self._schedule_timeouts(max(first, now + self._MIN_TIMER_S))
 
 
 poller = SocketPoller()
-"""The one set of this process."""
+"""The poller of this process."""
 
 
 def throw_into(task: ty.Any, exc: BaseException) -> None:
-    """Raise `exc` in `task` where it waits; called from the loop."""
+    """Raise `exc` in the waiting `task`; called from the loop."""
     task.throw(exc)
 
 
 class Interrupt(Exception):
-    """Ends one wait of a task from another one.
+    """Lets one task end the wait of another.
 
-    Used as a context manager around the wait, by one task at a time.
+    The waiting task uses it as a context manager around the wait; only one
+    task may do so at a time.
     """
 
     def __init__(self) -> None:
@@ -242,7 +248,7 @@
         return exc is self
 
     def fire(self) -> None:
-        """End the wait, if there is one by the time the loop gets to it."""
+        """End the wait, if the task still waits when the loop runs this."""
         hubs.get_hub().loop.call_soon(self._throw)
 
     def _throw(self) -> None:
@@ -251,12 +257,12 @@
 
 
 class ReadWatch:
-    """Calls back once a socket that nobody reads can be read.
+    """Calls back once when a socket that no task reads becomes readable.
 
     Parameters
     ----------
     fd : int
-        The socket's descriptor.
+        Descriptor of the socket.
     callback : callable
         Called on the loop, once.
     """
@@ -270,7 +276,7 @@
         )
 
     def cancel(self) -> None:
-        """Watch no more; doing so twice is the same as once."""
+        """Stop watching; has no effect if already stopped."""
         if self._listener is not None:
             hubs.get_hub().remove(self._listener)
             self._listener = None
@@ -284,12 +290,12 @@
 
 
 class Tasks:
-    """Green tasks of one owner, ended together.
+    """Green tasks of one owner, which are stopped together.
 
     Parameters
     ----------
     on_error : callable
-        Called with the task's name and the exception that ended it.
+        Called with the name of a task and the exception that it raised.
     """
 
     def __init__(self, on_error: ty.Callable[[str, BaseException], None]):
@@ -299,26 +305,26 @@
     def spawn(
         self, name: str, func: ty.Callable[..., ty.Any], *args: ty.Any
     ) -> None:
-        """Run ``func(*args)`` in a task of its own."""
-        thread = spawn(self._run, name, func, *args)
-        self._running.add(thread)
-        thread.link(self._running.discard)
+        """Run ``func(*args)`` in a new task."""
+        task = spawn(self._run, name, func, *args)
+        self._running.add(task)
+        task.link(self._running.discard)
 
     def every(
         self, name: str, period_ms: float, func: ty.Callable[[], ty.Any]
     ) -> None:
-        """Call `func` again and again, `period_ms` after it returned.
+        """Call `func` repeatedly, with a pause of `period_ms` between calls.
 
-        An error in one call is reported and does not end the others.
+        An error in one call is reported, and the calls go on.
         """
-        self.spawn(name, self._repeat, name, period_ms, func)
+        self.spawn(name, self._run_periodically, name, period_ms, func)
 
     def stop(self) -> None:
-        """End all tasks where they are."""
-        for thread in list(self._running):
-            thread.kill()
+        """Kill all tasks."""
+        for task in list(self._running):
+            task.kill()
 
-    def _repeat(
+    def _run_periodically(
         self, name: str, period_ms: float, func: ty.Callable[[], ty.Any]
     ) -> None:
         while True:
--- a/src/peridotmast/ini.py
+++ b/src/peridotmast/ini.py
@@ -1,4 +1,4 @@
-"""INI documents read into messages of the schema and checked by its rules."""
+"""Parsing of INI documents into schema messages, with validation."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 _FIELD = descriptor.FieldDescriptor
 _Field = ty.Any
-"""A field's descriptor; the library has two kinds of one shape."""
+"""Descriptor of a field; the library has two classes with one interface."""
 _TRUE = frozenset(('true', 'yes', 'on', '1'))
 _FALSE = frozenset(('false', 'no', 'off', '0'))
 
 
 def load_file(path: str, kind: type[M]) -> tuple[M, findings_.Findings]:
-    """Read and check the INI file at `path`.
+    """Read and validate the INI file at `path`.
 
     Returns
     -------
     tuple
-        The filled message and the findings; the message is only fit for
-        use where there are none.
+        The filled message and the findings; the message is valid only if
+        there are none.
     """
     try:
         with open(path, encoding='utf-8') as file:
@@ -45,7 +45,7 @@
 def load_text(
     text: str, kind: type[M], place: str = 'document'
 ) -> tuple[M, findings_.Findings]:
-    """Read and check an INI document; see `load_file`."""
+    """Read and validate an INI document; see `load_file`."""
     reader = _Reader(text, place)
     result = kind()
     reader.fill(result)
@@ -58,7 +58,7 @@
     Raises
     ------
     ValueError
-        If a default of the schema can't be read.
+        If a default value in the schema is invalid.
     """
     section = kind()
     for field in section.DESCRIPTOR.fields:
@@ -72,12 +72,12 @@
 
 
 class _Reader:
-    """Reads one document; its findings carry file and line."""
+    """Parses one document; findings are reported with file and line."""
 
     def __init__(self, text: str, place: str) -> None:
         self.found = findings_.Findings()
         self._place = place
-        self._lines = _key_lines(text)
+        self._lines = _line_numbers(text)
         self._parser = configparser.ConfigParser(
             interpolation=None, default_section='\0none'
         )
@@ -91,91 +91,95 @@
             self.found.add(f'{place}:{line}', f'not INI: {exc.message}')
 
     def fill(self, root: message.Message) -> None:
-        """Fill `root` from the sections, one field of it for each."""
-        singles = {
+        """Fill the fields of `root` from the sections of the same names."""
+        single = {
             field.name: field
             for field in root.DESCRIPTOR.fields
             if not field.is_repeated
         }
-        named = {
+        repeated = {
             _rule(field).section: field
             for field in root.DESCRIPTOR.fields
             if field.is_repeated
         }
         for section in self._parser.sections():
             kind, _, name = section.partition(' ')
-            if name and kind in named:
-                target = getattr(root, named[kind].name).add()
+            if name and kind in repeated:
+                target = getattr(root, repeated[kind].name).add()
                 target.name = name.strip()
                 self._fill_section(section, target)
-            elif section in singles:
+            elif section in single:
                 self._fill_section(section, getattr(root, section))
             else:
-                known = [*singles, *(f'{kind} NAME' for kind in named)]
-                self._unknown('section', section, section, '', known)
-        self._require(root, singles)
+                known = [*single, *(f'{kind} NAME' for kind in repeated)]
+                self._report_unknown('section', section, section, '', known)
+        self._fill_missing(root, single)
 
-    def _require(
+    def _fill_missing(
         self,
         root: message.Message,
-        singles: dict[str, _Field],
+        single: dict[str, _Field],
     ) -> None:
-        absent = [name for name in singles if name not in self._parser]
-        for name in absent:
+        missing = [name for name in single if name not in self._parser]
+        for name in missing:
             section = getattr(root, name)
-            needed = [
+            required = [
                 field.name
                 for field in section.DESCRIPTOR.fields
                 if _rule(field).required
             ]
             section.CopyFrom(defaults(type(section)))
-            if needed and not self.found:
+            if required and not self.found:
                 self.found.add(
                     f'{self._place}:1',
                     f'section [{name}] is missing; it needs '
-                    + ', '.join(needed),
+                    + ', '.join(required),
                 )
 
     def _fill_section(self, section: str, target: message.Message) -> None:
         fields = target.DESCRIPTOR.fields_by_name
-        given = self._parser[section]
-        for key in given:
+        values = self._parser[section]
+        for key in values:
             if key not in fields or key == 'name' and ' ' in section:
-                self._unknown('key', key, section, key, list(fields))
+                self._report_unknown('key', key, section, key, list(fields))
         for name, field in fields.items():
             if name == 'name' and ' ' in section:
                 continue
             rule = _rule(field)
-            text = given.get(name, rule.default)
-            if name not in given and rule.required:
-                place = self._at(section, '')
+            text = values.get(name, rule.default)
+            if name not in values and rule.required:
+                place = self._place_of(section, '')
                 self.found.add(place, f'[{section}] needs {name}: {rule.help}')
             if not text:
                 continue
             try:
                 _assign(target, field, _parse(field, rule, text))
             except ValueError as exc:
-                place = self._at(section, name)
+                place = self._place_of(section, name)
                 self.found.add(place, f'[{section}] {name} = {text}: {exc}')
 
-    def _unknown(
-        self, what: str, word: str, section: str, key: str, known: list[str]
+    def _report_unknown(
+        self, noun: str, name: str, section: str, key: str, known: list[str]
     ) -> None:
-        near = difflib.get_close_matches(word, known, 1)
-        hint = f'; did you mean {near[0]}?' if near else ''
-        where = f'[{section}] ' if key else ''
+        matches = difflib.get_close_matches(name, known, 1)
+        hint = f'; did you mean {matches[0]}?' if matches else ''
+        prefix = f'[{section}] ' if key else ''
         self.found.add(
-            self._at(section, key), f'{where}unknown {what} {word}{hint}'
+            self._place_of(section, key),
+            f'{prefix}unknown {noun} {name}{hint}',
         )
 
-    def _at(self, section: str, key: str) -> str:
+    def _place_of(self, section: str, key: str) -> str:
         line = self._lines.get((section, key))
         line = line or self._lines.get((section, ''), 1)
         return f'{self._place}:{line}'
 
 
-def _key_lines(text: str) -> dict[tuple[str, str], int]:
-    """Return the line of each section and key; configparser keeps none."""
+def _line_numbers(text: str) -> dict[tuple[str, str], int]:
+    """Return the line of each section and key.
+
+    configparser does not record line numbers.
+    """
     lines: dict[tuple[str, str], int] = {}
     section = ''
     for number, line in enumerate(text.splitlines(), 1):
@@ -200,21 +204,23 @@
 
 def _parse_one(field: _Field, rule: pb.SettingRule, text: str) -> ty.Any:
     if field.type == _FIELD.TYPE_ENUM:
-        return _enum_value(field, text)
+        return _parse_enum(field, text)
     if field.type == _FIELD.TYPE_BOOL:
         if text.lower() not in _TRUE | _FALSE:
             raise ValueError('must be true or false')
         return text.lower() in _TRUE
     if field.type in (_FIELD.TYPE_INT64, _FIELD.TYPE_INT32):
-        return _in_range(rule, _number(int, text, 'a whole number', rule))
+        return _check_range(
+            rule, _parse_number(int, text, 'a whole number', rule)
+        )
     if field.type == _FIELD.TYPE_DOUBLE:
-        return _in_range(rule, _number(float, text, 'a number', rule))
+        return _check_range(rule, _parse_number(float, text, 'a number', rule))
     if rule.address:
         addresses.check(text)
     return text
 
 
-def _enum_value(field: _Field, text: str) -> int:
+def _parse_enum(field: _Field, text: str) -> int:
     known = {
         value.name.lower(): value.number
         for value in field.enum_type.values
@@ -225,20 +231,20 @@
     return known[text.lower()]
 
 
-def _number(
+def _parse_number(
     kind: ty.Callable[[str], ty.Any],
     text: str,
-    what: str,
+    noun: str,
     rule: pb.SettingRule,
 ) -> ty.Any:
     try:
         return kind(text)
     except ValueError:
         unit = f' in {rule.unit}' if rule.unit else ''
-        raise ValueError(f'must be {what}{unit}') from None
+        raise ValueError(f'must be {noun}{unit}') from None
 
 
-def _in_range(rule: pb.SettingRule, value: float) -> float:
+def _check_range(rule: pb.SettingRule, value: float) -> float:
     unit = f' {rule.unit}' if rule.unit else ''
     if value != value:
         raise ValueError('must be a number')
--- a/src/peridotmast/logs.py
+++ b/src/peridotmast/logs.py
@@ -1,4 +1,4 @@
-"""Logging: one line of key=value pairs for each event, never blocking."""
+"""Non-blocking logging: one line of key=value pairs for each event."""
 
 from __future__ import annotations
 
@@ -12,87 +12,87 @@
 import structlog
 
 LEVELS = ('debug', 'info', 'warning', 'error')
-"""Levels that the setting ``log_level`` may name."""
+"""Values of the setting ``log_level``."""
 
-_MOST_LINES = 5000
-"""Lines that wait for a reader that takes none; later ones are dropped and
-counted. About a megabyte, and ten seconds of a busy router."""
+_MAX_BUFFERED_LINES = 5000
+"""Lines that are buffered while the reader of the stream is stalled; later
+ones are dropped and counted. About 1 MB, or ten seconds of a busy router."""
 
-_PIECE_BYTES = 4096
-"""A pipe that is ready takes so much without blocking."""
+_CHUNK_BYTES = 4096
+"""Size that a writable pipe accepts without blocking."""
 
 
-Later = ty.Callable[[ty.Callable[[], None]], None]
+CallLater = ty.Callable[[ty.Callable[[], None]], None]
 
 
 class LineSink:
-    """Writes lines to a stream as far as it takes them.
+    """Writes lines to a stream without blocking.
 
-    A daemon's lines gather for a moment from the first one on: one write for
-    many lines, none that waits for a reader, and no work where nothing is
-    said.
+    With `call_later`, lines are buffered for a moment from the first one on,
+    so that many lines take one write, and no work is done while nothing is
+    logged.
 
     Parameters
     ----------
     stream : file
-        Where the lines go.
-    later : callable, optional
-        Calls what it is given a moment later: what has gathered is written
-        then. Without, each line is written at once.
+        Stream to write to.
+    call_later : callable, optional
+        Calls its argument a moment later, to write the buffered lines. By
+        default, each line is written at once.
     """
 
     def __init__(
-        self, stream: ty.TextIO, later: ty.Optional[Later] = None
+        self, stream: ty.TextIO, call_later: ty.Optional[CallLater] = None
     ) -> None:
         self._stream = stream
-        self._later = later
-        self._is_due = False
+        self._call_later = call_later
+        self._is_scheduled = False
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b''
+        self._pending = b''
         self._dropped = 0
 
     def msg(self, line: str) -> None:
-        """Take one line."""
-        if len(self._lines) >= _MOST_LINES:
+        """Buffer or write one line."""
+        if len(self._lines) >= _MAX_BUFFERED_LINES:
             self._dropped += 1
             return
         self._lines.append(line.encode('utf-8', 'replace') + b'\n')
-        if self._later is None:
+        if self._call_later is None:
             self.flush()
         else:
-            self._write_later(self._later)
+            self._schedule_write(self._call_later)
 
     debug = info = warning = error = critical = msg
 
     def flush(self) -> None:
-        """Write as much as the stream takes without waiting."""
+        """Write as much as the stream accepts without blocking."""
         with contextlib.suppress(OSError, ValueError):
-            # A reader that is gone takes nothing; there is nobody to tell.
-            self._write_all()
+            # The reader has closed the stream: there is nowhere to report it.
+            self._write_pending()
 
-    def _write_later(self, later: Later) -> None:
-        if not self._is_due:
-            self._is_due = True
-            later(self._on_due)
+    def _schedule_write(self, call_later: CallLater) -> None:
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            call_later(self._on_scheduled)
 
-    def _on_due(self) -> None:
-        self._is_due = False
+    def _on_scheduled(self) -> None:
+        self._is_scheduled = False
         self.flush()
-        if self._later is not None and (self._rest or self._lines):
-            self._write_later(self._later)
-
-    def _write_all(self) -> None:
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_piece()
-            if not self._is_ready():
+        if self._call_later is not None and (self._pending or self._lines):
+            self._schedule_write(self._call_later)
+
+    def _write_pending(self) -> None:
+        while self._pending or self._lines:
+            if not self._pending:
+                self._pending = self._join_lines()
+            if not self._is_writable():
                 return
-            piece = self._rest[:_PIECE_BYTES]
-            self._stream.buffer.write(piece)
+            chunk = self._pending[:_CHUNK_BYTES]
+            self._stream.buffer.write(chunk)
             self._stream.buffer.flush()
-            self._rest = self._rest[len(piece) :]
+            self._pending = self._pending[len(chunk) :]
 
-    def _next_piece(self) -> bytes:
+    def _join_lines(self) -> bytes:
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         if self._dropped:
             lines.append(
@@ -102,7 +102,7 @@
             self._dropped = 0
         return b''.join(lines)
 
-    def _is_ready(self) -> bool:
+    def _is_writable(self) -> bool:
         poll = select.poll()
         poll.register(self._stream.fileno(), select.POLLOUT)
         return bool(poll.poll(0))
@@ -114,19 +114,19 @@
 def setup(
     level: str = 'info',
     stream: ty.Optional[ty.TextIO] = None,
-    later: ty.Optional[Later] = None,
+    call_later: ty.Optional[CallLater] = None,
 ) -> None:
-    """Send events from `level` on to `stream`.
+    """Write events of at least `level` to `stream`.
 
     Parameters
     ----------
     stream : file, optional
         Standard error by default; daemons use standard output.
-    later : callable, optional
-        Calls what it is given a moment later, for which lines gather.
+    call_later : callable, optional
+        Calls its argument a moment later; see `LineSink`.
     """
     global _sink
-    _sink = LineSink(stream or sys.stderr, later)
+    _sink = LineSink(stream or sys.stderr, call_later)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -147,10 +147,10 @@
 
 
 def flush() -> None:
-    """Write out what has gathered, as far as its reader takes it."""
+    """Write buffered lines, as far as the stream accepts them."""
     _sink.flush()
 
 
 def get(program: str, **values: ty.Any) -> ty.Any:
-    """Return a logger whose lines carry `program` and `values`."""
+    """Return a logger that adds `program` and `values` to each event."""
     return structlog.get_logger().bind(program=program, **values)
--- a/src/peridotmast/loop_hub.py
+++ b/src/peridotmast/loop_hub.py
@@ -1,4 +1,4 @@
-"""Eventlet's hub with its timers on the loop itself."""
+"""Eventlet's asyncio hub with timers that run directly on the loop."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 
 
 class LoopHub(asyncio_hub.Hub):
-    """The asyncio hub, without a second wait around the loop's own.
+    """The asyncio hub without its own timer heap.
 
-    Eventlet's keeps a heap of its timers and a task that waits for the first
-    of them. Each timer, and each descriptor that is ready, wakes that task,
-    which makes a wait with a task and a timer of its own. Here each timer is
-    one of the loop's, and a ready descriptor calls whoever waits for it and
-    nobody else. The task is left with what is rare: descriptors that were
-    closed under a waiting task, and the hub's end.
+    Eventlet's hub keeps its timers in a heap and has a task that waits for
+    the first of them. Each timer and each ready descriptor wakes that task,
+    which then starts another wait with a task and a timer of its own. Here
+    each timer is a timer of the loop, and a ready descriptor only calls its
+    listener. The hub's task is left with rare events: descriptors that were
+    closed while a task waited for them, and the end of the hub.
     """
 
     @staticmethod
     def is_available() -> bool:
-        """Return true: each platform has asyncio."""
+        """Return true: asyncio is available on each platform."""
         return True
 
     def add_timer(self, timer: ty.Any) -> float:
-        """Let the loop call `timer`; return when, on the hub's clock."""
+        """Schedule `timer` on the loop; return its time on the hub's clock."""
         if timer.seconds > 0:
             timer.handle = self.loop.call_later(
-                timer.seconds, self._fire, timer
+                timer.seconds, self._run_timer, timer
             )
         else:
-            timer.handle = self.loop.call_soon(self._fire, timer)
+            timer.handle = self.loop.call_soon(self._run_timer, timer)
         return ty.cast(float, self.clock() + timer.seconds)
 
     def timer_canceled(self, timer: ty.Any) -> None:
-        """Take a timer off the loop."""
+        """Cancel a timer on the loop."""
         timer.handle.cancel()
 
     def abort(self, wait: bool = False) -> None:
-        """End the hub."""
+        """Stop the hub."""
         self.sleep_event.set()
         super().abort(wait)
 
     def _obsolete(self, fileno: int) -> bool:
-        found = super()._obsolete(fileno)
-        if found:
+        is_obsolete = super()._obsolete(fileno)
+        if is_obsolete:
             self.sleep_event.set()
-        return ty.cast(bool, found)
+        return ty.cast(bool, is_obsolete)
 
     def _file_cb(self, cb: ty.Callable[[int], None], fileno: int) -> None:
         try:
@@ -55,14 +55,15 @@
         except self.SYSTEM_EXCEPTIONS:
             raise
         except BaseException:
-            # As the hub's own does: one that fails ends no other.
+            # As in the base class: an error in one listener must not stop
+            # the others.
             self.squelch_exception(fileno, sys.exc_info())
 
-    def _fire(self, timer: ty.Any) -> None:
+    def _run_timer(self, timer: ty.Any) -> None:
         try:
             timer()
         except self.SYSTEM_EXCEPTIONS:
             raise
         except BaseException:
-            # As above: it ends no other.
+            # As above: an error in one timer must not stop the others.
             self.squelch_timer_exception(timer, sys.exc_info())
--- a/src/peridotmast/rpc.py
+++ b/src/peridotmast/rpc.py
@@ -1,4 +1,4 @@
-"""gRPC on the hub's loop: servers whose handlers are green, and channels."""
+"""gRPC servers and clients on the hub's loop, with green handlers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from peridotmast import logs
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_OPTIONS = (
+_CHANNEL_OPTIONS = (
     ('grpc.keepalive_time_ms', 10_000),
     ('grpc.keepalive_timeout_ms', 5_000),
     ('grpc.keepalive_permit_without_calls', 0),
@@ -23,73 +23,75 @@
 
 
 class RpcServer:
-    """Serves one gRPC address with green handlers.
+    """Serves gRPC at one address; handlers run as green tasks.
 
     Parameters
     ----------
     address : str
-        ``IP:port``; port 0 takes a free one.
+        ``IP:port``; port 0 selects a free port.
     tls : pb.TlsSettings, optional
-        Certificate and authorities; plain text without.
+        Certificate and authorities; plain text by default.
     """
 
     def __init__(
         self, address: str, tls: ty.Optional[pb.TlsSettings] = None
     ) -> None:
-        self._wanted = address
+        self._listen_address = address
         self._tls = tls
         self._server: ty.Any = None
         self._log = logs.get('rpc')
         self.address = address
-        """Address that is listened on once started."""
+        """Address of the listening socket, once started."""
 
     def start(self, *services: tuple[ty.Callable[..., None], ty.Any]) -> None:
-        """Serve `services`, pairs of a registering function and an object.
+        """Serve `services`, pairs of a registration function and an object.
 
-        The object's methods take the request and return the reply; they
-        run as green tasks.
+        The object's methods take the request and the caller, and return the
+        reply. They run as green tasks.
 
         Raises
         ------
         OSError
-            If the address can't be had.
+            If the address cannot be bound.
         """
         self._server = green.wait_for(self._start(services))
 
     def stop(self, grace_ms: int = 0) -> None:
-        """Stop; calls at work get `grace_ms` to end."""
+        """Stop the server; calls in progress get `grace_ms` to finish."""
         if self._server is not None:
             green.wait_for(self._server.stop(grace_ms / 1000))
 
     async def _start(
         self, services: ty.Iterable[tuple[ty.Callable[..., None], ty.Any]]
     ) -> ty.Any:
-        server = grpc.aio.server(options=_OPTIONS)
+        server = grpc.aio.server(options=_CHANNEL_OPTIONS)
         for register, service in services:
             register(_GreenServicer(service, self._log), server)
-        host = self._wanted.rpartition(':')[0]
+        host = self._listen_address.rpartition(':')[0]
         try:
             if self._tls is not None and self._tls.cert_file:
                 creds = server_credentials(self._tls)
-                port = server.add_secure_port(self._wanted, creds)
+                port = server.add_secure_port(self._listen_address, creds)
             else:
-                port = server.add_insecure_port(self._wanted)
+                port = server.add_insecure_port(self._listen_address)
         except RuntimeError as exc:
-            raise OSError(f'cannot listen on {self._wanted}: {exc}') from exc
+            raise OSError(
+                f'cannot listen on {self._listen_address}: {exc}'
+            ) from exc
         self.address = f'{host}:{port}'
         await server.start()
         return server
 
 
 class RpcClient:
-    """Channels to other processes, one for each address.
+    """Calls other processes, over one channel for each address.
 
     Parameters
     ----------
     stub : type
         Generated stub class.
     tls : pb.TlsSettings, optional
-        Certificate and authorities; plain text without.
+        Certificate and authorities; plain text by default.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
     def call(
         self, address: str, method: str, request: ty.Any, timeout_ms: int
     ) -> ty.Any:
-        """Return the reply, or a `failures.Failure` where none came."""
+        """Return the reply, or a `failures.Failure` if there is none."""
         try:
             return green.wait_for(
                 self._call(address, method, request, timeout_ms)
@@ -114,14 +116,15 @@
                 grpc.StatusCode.UNAVAILABLE,
                 grpc.StatusCode.DEADLINE_EXCEEDED,
             ):
-                # A channel that lost its peer silently must not be reused.
+                # The peer may be gone without having closed the connection,
+                # so the channel must not be reused.
                 self.drop_channel(address)
             return failures.unavailable(
                 exc.code().name.lower(), exc.details() or ''
             )
 
     def drop_channel(self, address: str) -> None:
-        """Drop the channel to `address`; the next call opens another."""
+        """Close the channel to `address`; the next call opens another."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             green.spawn(green.wait_for, channel[0].close(None))
@@ -142,26 +145,28 @@
 
     def _open(self, address: str) -> ty.Any:
         if self._tls is None or not self._tls.cert_file:
-            return grpc.aio.insecure_channel(address, options=_OPTIONS)
+            return grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         creds = channel_credentials(self._tls)
-        return grpc.aio.secure_channel(address, creds, options=_OPTIONS)
+        return grpc.aio.secure_channel(
+            address, creds, options=_CHANNEL_OPTIONS
+        )
 
 
 class Caller(ty.NamedTuple):
-    """Whom the other side's certificate names."""
+    """Identity in a peer's certificate."""
 
     name: str = ''
-    """Its common name; empty where it showed no certificate."""
+    """Common name; empty if the peer has sent no certificate."""
     alt_names: frozenset[str] = frozenset()
-    """The other names in it, by which its role is told."""
+    """Alternative names, which determine the role of the peer."""
 
 
 class PermissionDenied(Exception):
-    """Raised by a handler for a caller that may not do this."""
+    """Raised by a handler if the caller is not allowed to call it."""
 
 
 class _GreenServicer:
-    """Lets generated code call a green object."""
+    """Adapts an object with green methods to a generated servicer."""
 
     def __init__(self, service: ty.Any, log: ty.Any) -> None:
         self._service = service
@@ -171,8 +176,8 @@
         async def handle(request: ty.Any, context: ty.Any) -> ty.Any:
             method = getattr(self._service, name)
             caller = _caller(context)
-            thread = green.spawn(self._guard, method, request, caller)
-            result = await thread
+            task = green.spawn(self._run, method, request, caller)
+            result = await task
             if isinstance(result, PermissionDenied):
                 self._log.warning('call_denied', method=name, peer=caller.name)
                 await context.abort(
@@ -185,9 +190,7 @@
 
         return handle
 
-    def _guard(
-        self, method: ty.Any, request: ty.Any, caller: Caller
-    ) -> ty.Any:
+    def _run(self, method: ty.Any, request: ty.Any, caller: Caller) -> ty.Any:
         try:
             return method(request, caller)
         except (Exception, green.Timeout) as exc:
@@ -195,18 +198,18 @@
 
 
 def _caller(context: ty.Any) -> Caller:
-    """Return whom the other side's certificate names, if it showed one."""
-    shown = context.auth_context()
-    names = shown.get('x509_common_name', ())
-    others = shown.get('x509_subject_alternative_name', ())
+    """Return the identity in the peer's certificate, if it has sent one."""
+    auth = context.auth_context()
+    common_names = auth.get('x509_common_name', ())
+    alt_names = auth.get('x509_subject_alternative_name', ())
     return Caller(
-        names[0].decode() if names else '',
-        frozenset(name.decode() for name in others),
+        common_names[0].decode() if common_names else '',
+        frozenset(name.decode() for name in alt_names),
     )
 
 
 def server_credentials(tls: pb.TlsSettings) -> ty.Any:
-    """Return credentials that are read again for each new connection."""
+    """Return credentials whose files are reread for each connection."""
     config = _server_config(tls)
     return grpc.dynamic_ssl_server_credentials(
         config, lambda: _server_config(tls), require_client_authentication=True
@@ -214,7 +217,7 @@
 
 
 def channel_credentials(tls: pb.TlsSettings) -> ty.Any:
-    """Return the credentials that channels are opened with."""
+    """Return the credentials for client channels."""
     return grpc.ssl_channel_credentials(
         _read(tls.ca_file), _read(tls.key_file), _read(tls.cert_file)
     )
--- a/src/peridotmast/tracing.py
+++ b/src/peridotmast/tracing.py
@@ -1,6 +1,7 @@
-"""Traces: an OpenTelemetry span for each hop, W3C context in and out.
+"""Tracing with OpenTelemetry: a span per hop, with W3C trace context.
 
-The library is loaded only where spans go anywhere: it costs a router 2 MB.
+The library is imported only if spans are exported, as it takes 2 MB of a
+router's memory.
 """
 
 from __future__ import annotations
@@ -10,47 +11,48 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 TRACEPARENT = 'traceparent'
-"""Header that carries the trace from hop to hop."""
+"""Header that carries the trace context from hop to hop."""
 
 
 class Span(ty.Protocol):
     """One hop of a request."""
 
     def set_attribute(self, key: str, value: ty.Any) -> None:
-        """Note something about the hop."""
+        """Set an attribute of the span."""
 
     def end(self) -> None:
-        """End the hop."""
+        """End the span."""
 
 
 class _NoSpan:
-    """Stands for a span where none are made."""
+    """Span that does nothing, used while tracing is disabled."""
 
     def set_attribute(self, key: str, value: ty.Any) -> None:
-        """Drop it."""
+        """Ignore the attribute."""
 
     def end(self) -> None:
         """Do nothing."""
 
 
 NO_SPAN = _NoSpan()
-"""The one span that goes nowhere."""
+"""Shared instance of the span that does nothing."""
 
 
 class Tracing:
-    """Opens the spans of one program.
+    """Creates and exports the spans of one program.
 
     Parameters
     ----------
     service : str
-        Name that the spans are filed under.
+        Value of the spans' ``service.name``.
     cfg : pb.TelemetrySettings
-        Where spans go; with neither file nor endpoint none are made.
+        Destinations of the spans; tracing is disabled if neither a file nor
+        an endpoint is set.
     """
 
     def __init__(self, service: str, cfg: pb.TelemetrySettings) -> None:
         self.enabled = bool(cfg.trace_file or cfg.otlp_endpoint)
-        """Whether spans go anywhere."""
+        """Whether spans are exported."""
         self._provider: ty.Any = None
         self._tracer: ty.Any = None
         self._propagator: ty.Any = None
@@ -58,14 +60,14 @@
             self._set_up(service, cfg)
 
     def start(self, name: str, parent: str = '', **attributes: ty.Any) -> Span:
-        """Open a span; the caller ends it with ``span.end()``.
+        """Start a span; the caller ends it with ``span.end()``.
 
         Parameters
         ----------
         name : str
-            Name of the hop.
+            Name of the span.
         parent : str
-            Value of the ``traceparent`` header of the hop before, if any.
+            Value of the ``traceparent`` header of the previous hop, if any.
         """
         if not self.enabled:
             return NO_SPAN
@@ -75,7 +77,7 @@
         )
 
     def traceparent_of(self, span: Span) -> str:
-        """Return the header value by which the next hop continues `span`."""
+        """Return the header value that makes `span` the next hop's parent."""
         if not self.enabled:
             return ''
         from opentelemetry import trace
@@ -87,7 +89,7 @@
         return carrier.get(TRACEPARENT, '')
 
     def close(self) -> None:
-        """Write out what is held back."""
+        """Export buffered spans and shut down."""
         if self._provider is not None:
             self._provider.shutdown()
 
--- a/src/peridotmast/web.py
+++ b/src/peridotmast/web.py
@@ -1,4 +1,4 @@
-"""A WSGI application as a table of routes; errors leave as JSON."""
+"""WSGI applications with a table of routes and JSON errors."""
 
 from __future__ import annotations
 
@@ -39,49 +39,49 @@
 
 @dataclasses.dataclass
 class Request:
-    """One HTTP request as a handler sees it."""
+    """HTTP request, as passed to a handler."""
 
     method: str
     path: str
     query: dict[str, str]
     headers: ty.Mapping[str, str]
-    """The WSGI environment; see `header`."""
+    """WSGI environment; see `header`."""
     body: bytes
     connection: ty.Optional[caller_connection.CallerConnection] = None
-    """Connection that it came over."""
+    """Connection that the request was received on."""
 
     def header(self, name: str) -> str:
         """Return a header's value, or an empty string."""
         return self.headers.get('HTTP_' + name.upper().replace('-', '_'), '')
 
     def json(self) -> ty.Any:
-        """Return the body read as JSON.
+        """Return the body parsed as JSON; an empty one as an empty object.
 
         Raises
         ------
         ValueError
-            If it is none.
+            If the body is not JSON.
         """
         return json.loads(self.body or b'{}')
 
 
 @dataclasses.dataclass
 class Response:
-    """What a handler answers with."""
+    """HTTP response, as returned by a handler."""
 
     status: int = 200
     body: ty.Union[bytes, ty.Iterable[bytes]] = b''
     content_type: str = JSON
     headers: list[tuple[str, str]] = dataclasses.field(default_factory=list)
     close: ty.Callable[[], None] = lambda: None
-    """Called once the answer is out or given up."""
+    """Called once the response is sent or abandoned."""
 
 
 Handler = ty.Callable[..., Response]
 
 
 def json_response(value: ty.Any, status: int = 200) -> Response:
-    """Return `value` as a JSON response."""
+    """Return a response with `value` as JSON."""
     return Response(status, json.dumps(value).encode())
 
 
@@ -93,7 +93,7 @@
     retry_after_ms: int = 0,
     request_id: str = '',
 ) -> Response:
-    """Return the typed error that every program answers with."""
+    """Return an error response in the format that all programs use."""
     error = {
         'code': code,
         'reason': reason,
@@ -109,16 +109,16 @@
 
 
 class WebApp:
-    """Finds the handler of a request, bounds its body, answers errors.
+    """Dispatches requests to handlers, with limits on the request body.
 
     Parameters
     ----------
     name : str
-        Program named in the log.
+        Program name in the log.
     max_body : int
-        Largest body that is read, in bytes.
+        Maximum size of a request body, in bytes.
     body_timeout_ms : int
-        Longest time without a byte of the body.
+        Maximum time without receiving a byte of the body, in ms.
     """
 
     def __init__(
@@ -126,13 +126,14 @@
     ) -> None:
         self._log = logs.get(name)
         self._max_body = max_body
-        self._body_ms = body_timeout_ms
+        self._body_timeout_ms = body_timeout_ms
         self._routes: list[tuple[str, re.Pattern[str], Handler]] = []
 
     def route(self, method: str, pattern: str, handler: Handler) -> None:
-        """Send `method` requests whose path is `pattern` to `handler`.
+        """Route `method` requests whose path matches `pattern` to `handler`.
 
-        Groups of the pattern become the handler's further arguments.
+        The groups of the pattern are passed to the handler as arguments after
+        the request.
         """
         self._routes.append((method, re.compile(pattern), handler))
 
@@ -161,14 +162,14 @@
         conn: caller_connection.CallerConnection,
     ) -> Response:
         try:
-            body = conn.read_body(self._max_body, self._body_ms)
+            body = conn.read_body(self._max_body, self._body_timeout_ms)
         except request_body.BadBody as exc:
             return error_response(exc.status, exc.reason, 'body not taken')
         conn.watch()
         req = Request(
             environ['REQUEST_METHOD'],
             environ['PATH_INFO'],
-            _query(environ.get('QUERY_STRING', '')),
+            _parse_query(environ.get('QUERY_STRING', '')),
             environ,
             body,
             conn,
@@ -185,43 +186,43 @@
             )
 
     def _dispatch(self, req: Request) -> Response:
-        known = False
+        path_exists = False
         for method, pattern, handler in self._routes:
             match = pattern.fullmatch(req.path)
             if match and method == req.method:
                 return handler(req, *match.groups())
-            known = known or bool(match)
-        if known:
+            path_exists = path_exists or bool(match)
+        if path_exists:
             return error_response(400, 'bad_method', f'not {req.method}')
         return error_response(404, 'no_such_path', req.path)
 
 
 class _Body:
-    """A body as the server's iterable, closed with the answer."""
+    """Streamed body as an iterable that closes its response."""
 
     def __init__(
         self, response: Response, conn: caller_connection.CallerConnection
     ) -> None:
         self._response = response
         self._conn = conn
-        self._parts = iter(response.body)
+        self._chunks = iter(response.body)
 
     def __iter__(self) -> ty.Iterator[bytes]:
         return self
 
     def __next__(self) -> bytes:
-        return ty.cast(bytes, next(self._parts))
+        return ty.cast(bytes, next(self._chunks))
 
     def close(self) -> None:
-        """Give back what the answer holds; the server calls this."""
+        """Release the resources of the response; called by the server."""
         self._conn.unwatch()
         self._response.close()
-        if hasattr(self._parts, 'close'):
-            self._parts.close()
+        if hasattr(self._chunks, 'close'):
+            self._chunks.close()
 
 
 def failure_status(failure: failures.Failure) -> int:
-    """Return the HTTP status that fits `failure`."""
+    """Return the HTTP status for `failure`."""
     kinds = failures.FailureKind
     return {
         kinds.NOT_RUN: 503,
@@ -236,20 +237,20 @@
 def failure_response(
     failure: failures.Failure, request_id: str = '', status: int = 0
 ) -> Response:
-    """Return the response that tells a caller of `failure`."""
+    """Return the error response for `failure`."""
     kinds = failures.FailureKind
-    ran = failure.kind in (kinds.OUTCOME_UNKNOWN, kinds.CONFLICT)
+    may_have_run = failure.kind in (kinds.OUTCOME_UNKNOWN, kinds.CONFLICT)
     code = failure.kind.value
     return error_response(
         status or failure_status(failure),
         code,
         f'{failure.reason}: {failure.detail}'.rstrip(': '),
-        not_run=not ran,
+        not_run=not may_have_run,
         retry_after_ms=failure.retry_after_ms,
         request_id=request_id,
     )
 
 
-def _query(text: str) -> dict[str, str]:
+def _parse_query(text: str) -> dict[str, str]:
     pairs = (part.partition('=') for part in text.split('&') if part)
     return {key: value for key, _, value in pairs}
