--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the planner: mixes, orders, events, demand, need."""
+"""Steps for capacity plans, orders, events, demand and required upstreams."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 
 @given(
-    'prices of {a:g}, {b:g}, {c:g} and {d:g} and reclaimable ones at'
-    ' {part:g} of them'
+    'firm prices of {a:g}, {b:g}, {c:g} and {d:g}, and reclaimable prices'
+    ' of {ratio:g} times those'
 )
-def prices(context, a, b, c, d, part):
+def set_prices(context, a, b, c, d, ratio):
     context.limits = {}
-    context.floor = None
+    context.existing = None
     context.market = capacity_plan.Market(
-        dict(zip(DOMAINS, (a, b, c, d))), part, 1, 6
+        dict(zip(DOMAINS, (a, b, c, d))), ratio, 1, 6
     )
 
 
-@given('no reclaimable upstream is to be had')
-def none_reclaimable(context):
+@given('no reclaimable upstreams are available')
+def no_reclaimable_available(context):
     market = context.market
     context.market = capacity_plan.Market(
         market.prices,
@@ -55,34 +55,34 @@
     )
 
 
-@given('{count:d} firm upstreams are there already')
-def there_already(context, count):
-    context.floor = capacity_plan.Mix({}, {'c': count})
+@given('{count:d} firm upstreams exist already')
+def existing_firm(context, count):
+    context.existing = capacity_plan.Mix({}, {'c': count})
 
 
 @when('{needed:d} upstreams are needed')
-def are_needed(context, needed):
+def compute_mix(context, needed):
     context.mix = capacity_plan.cheapest_mix(
-        context.market, needed, context.floor
+        context.market, needed, context.existing
     )
 
 
-@then('{reclaimable:d} reclaimable and {firm:d} firm ones are wanted')
-def are_wanted(context, reclaimable, firm):
+@then('the mix has {reclaimable:d} reclaimable and {firm:d} firm upstreams')
+def check_counts(context, reclaimable, firm):
     mix = context.mix
     found = sum(mix.reclaimable.values()), sum(mix.firm.values())
     assert found == (reclaimable, firm), mix
 
 
-@then('the wanted ones include those {count:d}')
-def include(context, count):
+@then('the mix includes these {count:d} firm upstreams')
+def mix_includes(context, count):
     assert context.mix.firm['c'] >= count, context.mix
     assert context.mix.left_after_loss >= 3, context.mix
 
 
 @then(
-    'in {count:d} random markets the mix carries the need at any loss, and'
-    ' none cheaper was weighed'
+    'in {count:d} random markets the mix covers the need after any loss,'
+    ' and no valid mix is cheaper'
 )
 def random_markets(context, count):
     @hypothesis.settings(
@@ -127,21 +127,20 @@
 
 
 def brute_force(market, needed):
-    """Return the cheapest mix of a shape that the planner weighs.
-
-    That is: reclaimable ones filled up in the order of price.
-    """
+    """Return the cheapest of all valid mixes, or None if there is none."""
     names = sorted(market.prices, key=lambda d: (market.prices[d], d))
     ranges = [range(market.limit(domain, True) + 1) for domain in names] + [
         range(market.max_per_domain + 1) for _ in names
     ]
     found = []
     for counts in itertools.product(*ranges):
-        spot, firm = counts[: len(names)], counts[len(names) :]
-        totals = [a + b for a, b in zip(spot, firm)]
+        reclaimable, firm = counts[: len(names)], counts[len(names) :]
+        totals = [a + b for a, b in zip(reclaimable, firm)]
         if any(t > market.max_per_domain for t in totals):
             continue
-        mix = capacity_plan.Mix(dict(zip(names, spot)), dict(zip(names, firm)))
+        mix = capacity_plan.Mix(
+            dict(zip(names, reclaimable)), dict(zip(names, firm))
+        )
         if (
             mix.left_after_loss >= needed
             and min(totals) >= market.min_per_domain
@@ -151,12 +150,12 @@
 
 
 @then(
-    'of {spot:d} reclaimable and {firm:d} firm upstreams for a need of'
-    ' {needed:d} the dearest firm one goes'
+    'of {reclaimable:d} reclaimable and {firm:d} firm upstreams, with'
+    ' {needed:d} needed, the most expensive firm one is removed'
 )
-def dearest_goes(context, spot, firm, needed):
+def most_expensive_removed(context, reclaimable, firm, needed):
     mix = capacity_plan.Mix(
-        dict.fromkeys(DOMAINS, spot // 4), {'b': 1, 'c': firm - 1}
+        dict.fromkeys(DOMAINS, reclaimable // 4), {'b': 1, 'c': firm - 1}
     )
     found = capacity_plan.find_removable(context.market, mix, needed)
     assert found == ('c', False), found
@@ -164,39 +163,42 @@
     assert capacity_plan.find_removable(context.market, tight, needed) is None
 
 
-@then('a plan is kept for the same need, floor and market, and for no other')
-def plan_kept(context):
-    plans = capacity_plan.PlanCache()
-    floor = capacity_plan.Mix({'a': 1}, {'b': 1})
+@then(
+    'a cached plan is used only for the same need, existing upstreams and'
+    ' market'
+)
+def plan_cached(context):
+    cache = capacity_plan.PlanCache()
+    existing = capacity_plan.Mix({'a': 1}, {'b': 1})
     scarce = dataclasses.replace(context.market, reclaimable_limits={'b': 0})
-    asked = [
+    queries = [
         (context.market, 3, None),
         (context.market, 4, None),
-        (context.market, 3, floor),
+        (context.market, 3, existing),
         (scarce, 3, None),
     ]
-    first = [plans.cheapest(*inputs) for inputs in asked]
-    again = [plans.cheapest(*inputs) for inputs in asked]
+    first = [cache.cheapest(*query) for query in queries]
+    again = [cache.cheapest(*query) for query in queries]
     assert all(one is other for one, other in zip(first, again))
-    anew = [capacity_plan.cheapest_mix(*inputs) for inputs in asked]
-    assert first == anew, (first, anew)
+    uncached = [capacity_plan.cheapest_mix(*query) for query in queries]
+    assert first == uncached, (first, uncached)
     for need in range(200):
-        made = plans.cheapest(context.market, need)
-        assert made == capacity_plan.cheapest_mix(context.market, need)
+        plan = cache.cheapest(context.market, need)
+        assert plan == capacity_plan.cheapest_mix(context.market, need)
 
 
-class _TakenOrders:
-    """Takes every order and notes it."""
+class _RecordingOrders:
+    """Accepts every order and records it."""
 
     def __init__(self):
-        self.taken = []
+        self.accepted = []
 
     def order(self, service, domain, count, reclaimable, fencing):
-        self.taken.append((domain, count, reclaimable))
+        self.accepted.append((domain, count, reclaimable))
 
 
-def scaled_service(domains):
-    """Return a service whose engines are ordered, as it is configured."""
+def make_service(domains):
+    """Return the configuration of a service that is scaled."""
     return pb.Service(
         name='pool',
         scaled=True,
@@ -209,107 +211,119 @@
     )
 
 
-def look(context, needed=5, reserve=5):
-    """Look at the service once, as the scaler does."""
-    service = scaled_service(DOMAINS)
-    context.orders.taken.clear()
-    round_ = service_reconciler.ServiceReconciler(
+def reconcile(context, needed=5, reserve=5):
+    """Reconcile the service once, as the scaler does."""
+    service = make_service(DOMAINS)
+    context.orders.accepted.clear()
+    reconciler = service_reconciler.ServiceReconciler(
         context.orders,
-        context.book,
-        context.plans,
+        context.tracker,
+        context.plan_cache,
         service,
-        context.there,
+        context.live_mix,
         needed=needed,
         reserve=reserve,
         fencing=1,
         demand=0,
     )
-    round_.order_reclaimable()
-    round_.order_firm()
-    round_.remove_excess(only_one=False)
+    reconciler.order_reclaimable()
+    reconciler.order_firm()
+    reconciler.remove_excess(only_one=False)
 
 
-@given('{needed:d} are needed and one each is there, and {firm:d} firm ones')
-def needed_and_there(context, needed, firm):
+@given(
+    '{needed:d} upstreams are needed, and one reclaimable per failure'
+    ' domain and {firm:d} firm ones are live'
+)
+def needed_and_live(context, needed, firm):
     context.clock = clock_.ManualClock()
-    context.book = order_tracker.OrderTracker(context.clock)
-    context.orders = _TakenOrders()
-    context.plans = capacity_plan.PlanCache()
-    context.there = capacity_plan.Mix(
+    context.tracker = order_tracker.OrderTracker(context.clock)
+    context.orders = _RecordingOrders()
+    context.plan_cache = capacity_plan.PlanCache()
+    context.live_mix = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, 1), {**dict.fromkeys(DOMAINS, 0), 'b': firm}
     )
 
 
 @when(
-    'second ones are ordered in "a", "b" and "d" and that in "b" comes first'
+    'second reclaimable upstreams are ordered in "a", "b" and "d", and the'
+    ' one in "b" starts first'
 )
-def b_comes_first(context):
-    look(context)
-    ordered = {(d, count, kind) for d, count, kind in context.orders.taken}
+def b_starts_first(context):
+    reconcile(context)
+    ordered = {(d, count, kind) for d, count, kind in context.orders.accepted}
     assert ordered == {(d, 2, True) for d in 'abd'}, ordered
-    context.there.reclaimable['b'] = 2
-    look(context)
+    context.live_mix.reclaimable['b'] = 2
+    reconcile(context)
 
 
-@then('one firm one is given back, which no single loss would miss')
-def one_firm_back(context):
-    assert context.orders.taken == [('b', 1, False)], context.orders.taken
-    context.there.firm['b'] = 1
+@then(
+    'one firm upstream is removed, which is not needed after any single loss'
+)
+def one_firm_removed(context):
+    assert context.orders.accepted == [('b', 1, False)], (
+        context.orders.accepted
+    )
+    context.live_mix.firm['b'] = 1
 
 
-@when('those in "a" and "d" have come too')
-def all_have_come(context):
-    context.there.reclaimable.update(a=2, d=2)
-    look(context)
+@when('the ones in "a" and "d" have started too')
+def rest_has_started(context):
+    context.live_mix.reclaimable.update(a=2, d=2)
+    reconcile(context)
 
 
-@then('the last firm one is given back and no reclaimable one')
-def firm_given_back(context):
-    assert context.orders.taken == [('b', 0, False)], context.orders.taken
+@then('the last firm upstream is removed, and no reclaimable one')
+def last_firm_removed(context):
+    assert context.orders.accepted == [('b', 0, False)], (
+        context.orders.accepted
+    )
 
 
 KEY = ('pool', 'a', True)
 
 
-@given('an order book')
-def an_order_book(context):
+@given('an order tracker')
+def an_order_tracker(context):
     context.clock = clock_.ManualClock()
-    context.book = order_tracker.OrderTracker(context.clock)
+    context.tracker = order_tracker.OrderTracker(context.clock)
 
 
 @when('an order is refused {count:d} times')
-def refused_times(context, count):
+def refuse_order(context, count):
     context.pauses = []
     for _ in range(count):
-        context.book.record_refused(KEY)
+        context.tracker.record_refused(KEY)
         waited = 0
-        while not context.book.may_order(KEY):
+        while not context.tracker.may_order(KEY):
             context.clock.advance(100)
             waited += 100
         context.pauses.append(waited)
 
 
-@then('the pauses before the next were {a:d}, {b:d} and {c:d} ms')
-def the_pauses(context, a, b, c):
+@then('the pauses before the next attempts were {a:d}, {b:d} and {c:d} ms')
+def check_pauses(context, a, b, c):
     assert context.pauses == [a, b, c], context.pauses
-    assert context.book.has_backoff(KEY)
-    context.book.record_accepted(KEY, 0, 1, 0)
-    assert not context.book.has_backoff(KEY)
+    assert context.tracker.has_backoff(KEY)
+    context.tracker.record_accepted(KEY, 0, 1, 0)
+    assert not context.tracker.has_backoff(KEY)
 
 
 @when('{count:d} upstreams are ordered that boot in {ms:d} ms')
-def are_ordered(context, count, ms):
-    context.book.record_accepted(KEY, 0, count, ms)
+def order_upstreams(context, count, ms):
+    context.tracker.record_accepted(KEY, 0, count, ms)
 
 
-@then('{count:d} are expected at once, and 0 after {ms:d} ms')
-def are_expected(context, count, ms):
-    assert context.book.expected(KEY, 0) == count
+@then('{count:d} upstreams are expected at once, and 0 after {ms:d} ms')
+def check_expected(context, count, ms):
+    assert context.tracker.expected(KEY, 0) == count
     context.clock.advance(ms)
-    assert context.book.expected(KEY, 0) == 0
+    assert context.tracker.expected(KEY, 0) == 0
 
 
-@given('a live event of {tokens:d} tokens a second in {seconds:d} s')
+@given(
+    'a live event of {tokens:d} tokens per second that starts in {seconds:d} s'
+)
 def live_event(context, tokens, seconds):
     context.now = 1_700_000_000_000
     context.start = context.now + seconds * 1000
@@ -346,57 +360,59 @@
 
 
 @then(
-    'its upstreams are ordered {lead:d} ms before it opens and given back'
+    'its upstreams are ordered {lead:d} ms before its start and released'
     ' {linger:d} ms after its end'
 )
-def ordered_in_time(context, lead, linger):
-    (phase,) = event_plan.plan(context.event_config, context.now)
-    assert phase.order_at == context.start - lead, phase
+def check_reservation(context, lead, linger):
+    (reservation,) = event_plan.plan(context.event_config, context.now)
+    assert reservation.order_at == context.start - lead, reservation
     ends = context.start + 600_000 + linger
-    assert phase.release_at == ends, phase
-    assert phase.needed == 4, phase
+    assert reservation.release_at == ends, reservation
+    assert reservation.needed == 4, reservation
     for at, needed in (
-        (phase.order_at - 1, 0),
-        (phase.order_at, 4),
+        (reservation.order_at - 1, 0),
+        (reservation.order_at, 4),
         (ends, 0),
     ):
-        found = event_plan.upstreams_needed([phase], 'pool', at)
+        found = event_plan.upstreams_needed([reservation], 'pool', at)
         assert found == needed, (at, found)
     assert not event_plan.plan(context.event_config, ends)
 
 
-@then("the plan's lines name what it costs and why")
-def plan_lines(context):
-    phases = event_plan.plan(context.event_config, context.now)
-    text = '\n'.join(event_plan.explain(phases))
+@then('the text of the plan states its cost and its reason')
+def check_plan_text(context):
+    reservations = event_plan.plan(context.event_config, context.now)
+    text = '\n'.join(event_plan.explain(reservations))
     for part in ('order 6 of pool', 'in all', 'are left without', '#'):
         assert part in text, text
 
 
-@given('two routers that were asked for {a:d} and {b:d} tokens in {s:d} s')
-def two_asked(context, a, b, s):
+@given(
+    'two routers that received requests for {a:d} and {b:d} tokens in {s:d} s'
+)
+def two_routers_with_demand(context, a, b, s):
     clock = clock_.ManualClock()
     context.demands = [demand_.Demand(clock) for _ in range(2)]
     tallies = [
         tally.Tally(demand.counts, demand.offered_elsewhere)
         for demand in context.demands
     ]
-    exchange(context.demands, tallies)
+    exchange_counts(context.demands, tallies)
     for _ in range(s * 4):
         for demand, tokens in zip(context.demands, (a, b)):
             demand.tick()
             demand.offered('pool', tokens // (s * 4))
-        exchange(context.demands, tallies)
+        exchange_counts(context.demands, tallies)
         clock.advance(250)
 
 
-def exchange(demands, tallies):
+def exchange_counts(demands, tallies):
     for number, known in enumerate(tallies):
         other = 1 - number
         known.hear(f'r{other}', 1, demands[other].counts(), True)
 
 
-@then('both measure {rate:d} tokens a second')
+@then('both measure {rate:d} tokens per second')
 def both_measure(context, rate):
     for demand in context.demands:
         found = demand.rate('pool')
@@ -404,20 +420,20 @@
 
 
 @given('a router that has just started')
-def just_started(context):
+def router_just_started(context):
     context.clock = clock_.ManualClock()
     context.demand = demand_.Demand(context.clock)
     context.demand.tick()
 
 
-@when('it is asked for {tokens:d} tokens in {ms:d} ms')
-def asked_for(context, tokens, ms):
+@when('it receives a request for {tokens:d} tokens, and {ms:d} ms pass')
+def receive_request(context, tokens, ms):
     context.demand.offered('pool', tokens)
     context.clock.advance(ms)
 
 
 @then('its mean request size is unknown')
-def mean_request_size_is_unknown(context):
+def mean_request_size_unknown(context):
     assert not context.demand.mean_request_tokens('pool')
 
 
@@ -426,26 +442,26 @@
     assert context.demand.mean_request_tokens('pool') == tokens
 
 
-@then('it measures {rate:d} tokens a second')
+@then('it measures {rate:d} tokens per second')
 def measures(context, rate):
     assert context.demand.rate('pool') == rate
 
 
-PER_ENGINE = 1000.0
-"""Tokens a second that an upstream is said to carry."""
+RATED_SPEED = 1000.0
+"""Configured capacity of an upstream, in tokens per second."""
 
 
-def rate_of(count):
-    """Return a rate that `count` upstreams carry and one less does not."""
+def demand_for(count):
+    """Return a rate that `count` upstreams carry and one less cannot."""
     root = (
         math.sqrt(required_capacity._LOAD_MARGIN**2 + 4 * count)
         - required_capacity._LOAD_MARGIN
     ) / 2
-    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR
+    speed = RATED_SPEED * required_capacity._MAX_SPEED_FACTOR
     return 0.999 * root**2 * speed / required_capacity._PREFILL_SHARE
 
 
-class _Demand:
+class _FixedDemand:
     def __init__(self):
         self.value = 0.0
         self.known = True
@@ -457,7 +473,7 @@
     def rate(self, service):
         return self.value
 
-    def quantile(self, service, part):
+    def quantile(self, service, share):
         return max(self.value, self.peak)
 
     def is_known(self, service):
@@ -473,8 +489,8 @@
 @given('a scaler with {count:d} upstreams')
 def a_scaler(context, count):
     context.clock = clock_.ManualClock()
-    context.demand = _Demand()
-    policy = pb.Policy(tokens_per_second=PER_ENGINE, shortage_price=7)
+    context.demand = _FixedDemand()
+    policy = pb.Policy(tokens_per_second=RATED_SPEED, shortage_price=7)
     config = pb.Config(policy=policy)
     context.scaler_config = config
     context.upstreams = upstreams_.UpstreamTable(context.clock)
@@ -493,18 +509,18 @@
     )
     context.scaler.estimator.startup_complete = True
     context.service = pb.Service(name='pool')
-    context.live = count
+    context.live_count = count
     context.revision = 0
 
 
-def need(context, ms=0):
+def estimate(context, ms=0):
     context.clock.advance(ms)
-    per_engine = context.scaler_config.policy.tokens_per_second
+    rated_speed = context.scaler_config.policy.tokens_per_second
     return context.scaler.estimator.estimate(
         context.service.name,
-        context.live,
+        context.live_count,
         0,
-        per_engine,
+        rated_speed,
         0.0,
         context.stated_limits,
     ).count
@@ -512,7 +528,7 @@
 
 @given('an upstream can carry {count:d} requests per second')
 def set_request_size(context, count):
-    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR
+    speed = RATED_SPEED * required_capacity._MAX_SPEED_FACTOR
     context.demand.request_tokens = (
         speed / required_capacity._PREFILL_SHARE / count
     )
@@ -534,18 +550,18 @@
         context.upstream_limits.note_limit(view, rate)
 
 
-@given('a scaler with {count:d} upstreams at the start of its fleet')
-def scaler_at_start(context, count):
+@given('a scaler at the start of a fleet with {count:d} upstreams')
+def scaler_at_startup(context, count):
     a_scaler(context, count)
     context.scaler.estimator.startup_complete = False
     context.demand.known = False
 
 
-@when('{count:d} upstreams are there and no more have come for {ms:d} ms')
-def no_more_came(context, count, ms):
-    context.live = count
+@when('{count:d} upstreams have started, and no more for {ms:d} ms')
+def no_more_started(context, count, ms):
+    context.live_count = count
     for number in range(count):
-        enter(context, f'u-{number}', 'fd-1', False)
+        add_upstream(context, f'u-{number}', 'fd-1', False)
     context.scaler.estimator.track_startup(is_first_holder=True)
     assert not context.scaler.estimator.startup_complete
     context.clock.advance(ms)
@@ -553,34 +569,34 @@
 
 
 @when(
-    '{count:d} upstreams are there, and {more:d} reclaimable ones come {ms:d}'
-    ' ms later'
+    '{count:d} upstreams have started, and {more:d} reclaimable ones start'
+    ' {ms:d} ms later'
 )
-def reclaimable_come(context, count, more, ms):
+def reclaimable_start_later(context, count, more, ms):
     for number in range(count):
-        enter(context, f'u-{number}', 'fd-1', False)
+        add_upstream(context, f'u-{number}', 'fd-1', False)
     context.scaler.estimator.track_startup(is_first_holder=True)
     context.clock.advance(ms)
     for number in range(more):
-        enter(context, f'r-{number}', 'fd-1', True)
+        add_upstream(context, f'r-{number}', 'fd-1', True)
     context.scaler.estimator.track_startup(is_first_holder=True)
     assert not context.scaler.estimator.startup_complete
 
 
-@then('the start is over {ms:d} ms after that')
-def start_is_over(context, ms):
+@then('the startup is over {ms:d} ms after that')
+def startup_is_over(context, ms):
     context.clock.advance(ms)
     context.scaler.estimator.track_startup(is_first_holder=True)
     assert context.scaler.estimator.startup_complete
 
 
-@when("the demand comes to be known as {count:d} upstreams'")
-def comes_to_be_known(context, count):
-    context.demand.value = rate_of(count)
+@when('the demand is measured as that of {count:d} upstreams')
+def measure_demand(context, count):
+    context.demand.value = demand_for(count)
     context.demand.known = True
 
 
-def enter(context, name, domain, reclaimable, state=upstreams_.LIVE):
+def add_upstream(context, name, domain, reclaimable, state=upstreams_.LIVE):
     context.revision += 1
     context.upstreams.merge(
         pb.UpstreamRecord(
@@ -599,22 +615,22 @@
 
 
 class _Orders:
-    """Takes every order and brings what is reclaimable after a while."""
+    """Accepts and records orders, and removes upstreams at once."""
 
     def __init__(self, context):
         self._context = context
-        self.taken = []
+        self.accepted = []
 
     def order(self, service, domain, count, reclaimable, fencing):
-        self.taken.append((domain, count, reclaimable))
-        there = [
+        self.accepted.append((domain, count, reclaimable))
+        existing = [
             view
             for view in self._context.upstreams.live(service)
             if view.failure_domain == domain
             and view.record.reclaimable == reclaimable
         ]
-        for view in there[count:]:
-            enter(
+        for view in existing[count:]:
+            add_upstream(
                 self._context, view.name, domain, reclaimable, upstreams_.GONE
             )
 
@@ -622,56 +638,59 @@
 START_DOMAINS = ('fd-1', 'fd-2', 'fd-3', 'fd-4')
 
 
-@given("a fleet's start with {count:d} firm upstreams in 4 failure domains")
-def fleet_start(context, count):
+@given('a starting fleet with {count:d} firm upstreams in 4 failure domains')
+def starting_fleet(context, count):
     a_scaler(context, count)
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
-    context.scaler_config.services.append(scaled_service(START_DOMAINS))
+    context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for number in range(count):
-        enter(context, f'firm-{number}', START_DOMAINS[number % 4], False)
+        add_upstream(
+            context, f'firm-{number}', START_DOMAINS[number % 4], False
+        )
 
 
-@when('the scaler acts until its reclaimable ones are there')
-def acts_until(context):
+@when('the scaler runs until its reclaimable upstreams have started')
+def run_until_started(context):
     for _ in range(12):
         context.scaler.run(1)
         context.clock.advance(250)
-    context.ordered = list(context.orders.taken)
-    for domain, count, reclaimable in context.ordered:
+    context.first_orders = list(context.orders.accepted)
+    for domain, count, reclaimable in context.first_orders:
         for number in range(count if reclaimable else 0):
-            enter(context, f'{domain}-{number}', domain, True)
+            add_upstream(context, f'{domain}-{number}', domain, True)
     context.scaler.run(1)
 
 
 @given(
-    'a holder that takes over {reclaimable:d} reclaimable ones in each domain'
+    'a new lease holder with {reclaimable:d} reclaimable upstreams in each'
+    ' failure domain'
 )
-def takes_over(context, reclaimable):
+def new_holder(context, reclaimable):
     a_scaler(context, 0)
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
-    context.scaler_config.services.append(scaled_service(START_DOMAINS))
+    context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for domain in START_DOMAINS:
         for number in range(reclaimable):
-            enter(context, f'{domain}-{number}', domain, True)
-    context.took_over = reclaimable * len(START_DOMAINS)
-    context.left = pb.DutiesLeft(at_ms=context.clock.wall())
-    context.scaler.start(context.left)
+            add_upstream(context, f'{domain}-{number}', domain, True)
+    context.initial_count = reclaimable * len(START_DOMAINS)
+    context.state = pb.DutiesLeft(at_ms=context.clock.wall())
+    context.scaler.start(context.state)
 
 
-@given('the one before has found {count:d} to be needed')
-def found_needed(context, count):
-    context.left.needs['pool'] = count
-    context.scaler.start(context.left)
+@given('the previous holder required {count:d} upstreams')
+def previous_required(context, count):
+    context.state.needs['pool'] = count
+    context.scaler.start(context.state)
 
 
-@given('it has ordered {count:d} more in "{domain}", which come in {ms:d} ms')
-def has_ordered(context, count, domain, ms):
+@given('it ordered {count:d} more in "{domain}", which start within {ms:d} ms')
+def previous_ordered(context, count, domain, ms):
     live = live_by_domain(context)[domain]
-    context.left.orders.add(
+    context.state.orders.add(
         service='pool',
         failure_domain=domain,
         reclaimable=True,
@@ -679,40 +698,40 @@
         coming=count,
         within_ms=ms,
     )
-    context.scaler.start(context.left)
+    context.scaler.start(context.state)
 
 
-@given('all that was {ms:d} ms ago')
-def was_ago(context, ms):
+@given('the state of the previous holder is {ms:d} ms old')
+def age_state(context, ms):
     context.clock.advance(ms)
-    context.scaler.start(context.left)
+    context.scaler.start(context.state)
 
 
-@then('no order was for fewer than {count:d} in "{domain}"')
-def no_fewer(context, count, domain):
-    ordered = [n for d, n, _ in context.orders.taken if d == domain]
-    assert all(n >= count for n in ordered), context.orders.taken
+@then('no order was for fewer than {count:d} upstreams in "{domain}"')
+def no_smaller_order(context, count, domain):
+    ordered = [n for d, n, _ in context.orders.accepted if d == domain]
+    assert all(n >= count for n in ordered), context.orders.accepted
 
 
-@when('it acts for {ms:d} ms, and hears of little demand yet')
-def acts_for(context, ms):
+@when('it runs for {ms:d} ms, with little demand reported so far')
+def run_for(context, ms):
     context.demand.value = 100.0
     for _ in range(ms // 250):
         context.scaler.run(2)
         context.clock.advance(250)
 
 
-@when("the demand is known, and it is 2 upstreams'")
-def demand_known(context):
-    comes_to_be_known(context, 2)
+@when('the demand is measured, as that of 2 upstreams')
+def demand_measured(context):
+    measure_demand(context, 2)
 
 
-@then('nothing was given back')
-def nothing_given_back(context):
+@then('no upstream was removed')
+def nothing_removed(context):
     counts = live_by_domain(context)
-    for domain, count, reclaimable in context.orders.taken:
+    for domain, count, reclaimable in context.orders.accepted:
         assert not reclaimable or count >= counts[domain], (domain, count)
-    assert sum(counts.values()) == context.took_over, counts
+    assert sum(counts.values()) == context.initial_count, counts
 
 
 def live_by_domain(context):
@@ -721,17 +740,17 @@
     )
 
 
-@then('at its first look {count:d} more were ordered')
-def ordered_at_first(context, count):
+@then('its first run orders {count:d} more upstreams')
+def ordered_at_first_run(context, count):
     context.scaler.run(2)
     counts = live_by_domain(context)
-    wanted = {d: n for d, n, reclaimable in context.orders.taken}
+    wanted = {d: n for d, n, reclaimable in context.orders.accepted}
     more = sum(n - counts[domain] for domain, n in wanted.items())
-    assert more == count, context.orders.taken
+    assert more == count, context.orders.accepted
 
 
-@then('it has given back {count:d} after {ms:d} ms')
-def given_back_after(context, count, ms):
+@then('it has removed {count:d} upstreams after {ms:d} ms')
+def removed_after(context, count, ms):
     before = sum(live_by_domain(context).values())
     for _ in range(ms // 250):
         context.scaler.run(2)
@@ -740,81 +759,93 @@
     assert before - after == count, (before, after)
 
 
-@then('it has ordered reclaimable ones first')
+@then('it has ordered reclaimable upstreams first')
 def reclaimable_first(context):
-    assert all(kind for _, _, kind in context.ordered[:4]), context.ordered
+    assert all(kind for _, _, kind in context.first_orders[:4]), (
+        context.first_orders
+    )
 
 
-@then('it kept {count:d} firm ones until those were there, and none after')
+@then(
+    'it kept {count:d} firm upstreams until these had started, and none'
+    ' after that'
+)
 def kept_firm(context, count):
-    left = firm_left(context.ordered)
-    assert sum(left.values()) == count, (left, context.orders.taken)
-    left = firm_left(context.orders.taken)
-    assert not sum(left.values()), (left, context.orders.taken)
+    remaining = remaining_firm(context.first_orders)
+    assert sum(remaining.values()) == count, (
+        remaining,
+        context.orders.accepted,
+    )
+    remaining = remaining_firm(context.orders.accepted)
+    assert not sum(remaining.values()), (remaining, context.orders.accepted)
 
 
-def firm_left(orders):
-    left = {'fd-1': 3, 'fd-2': 2, 'fd-3': 2, 'fd-4': 2}
-    left.update({d: count for d, count, kind in orders if not kind})
-    return left
+def remaining_firm(orders):
+    remaining = {'fd-1': 3, 'fd-2': 2, 'fd-3': 2, 'fd-4': 2}
+    remaining.update({d: count for d, count, kind in orders if not kind})
+    return remaining
 
 
-@when("the demand falls from {high:d} upstreams' to {low:d}'s")
+@when('the demand falls from that of {high:d} upstreams to that of {low:d}')
 def demand_falls(context, high, low):
-    context.demand.value = rate_of(high)
-    assert need(context) == high
-    context.demand.value = rate_of(low)
+    context.demand.value = demand_for(high)
+    assert estimate(context) == high
+    context.demand.value = demand_for(low)
 
 
 @then(
-    'the need is still {high:d} after {ms:d} ms and {low:d} after {later:d} ms'
+    'the estimate is still {high:d} upstreams after {ms:d} ms, and {low:d}'
+    ' after {later:d} ms'
 )
-def need_falls(context, high, ms, low, later):
-    assert need(context, ms) == high
-    assert need(context, later - ms) == low
+def estimate_falls(context, high, ms, low, later):
+    assert estimate(context, ms) == high
+    assert estimate(context, later - ms) == low
 
 
-@when("the demand rises to {high:d} upstreams'")
+@when('the demand rises to that of {high:d} upstreams')
 def demand_rises(context, high):
-    context.demand.value = rate_of(high)
+    context.demand.value = demand_for(high)
 
 
-@then('the need is {high:d} at once')
-def need_at_once(context, high):
-    assert need(context) == high
+@then('the estimate is {high:d} upstreams at once')
+def check_estimate(context, high):
+    assert estimate(context) == high
 
 
-def whole_need(context):
+def full_estimate(context):
     return context.scaler.estimator.estimate(
-        'pool', context.live, 0, PER_ENGINE, 0.03
+        'pool', context.live_count, 0, RATED_SPEED, 0.03
     )
 
 
-@when("the demand is {usual:d} upstreams' and seldom {seldom:d}")
-def usual_and_seldom(context, usual, seldom):
-    context.demand.value = rate_of(usual)
-    context.demand.peak = rate_of(seldom)
+@when(
+    'the demand is usually that of {usual:d} upstreams, and rarely that of'
+    ' {rare:d}'
+)
+def demand_with_peaks(context, usual, rare):
+    context.demand.value = demand_for(usual)
+    context.demand.peak = demand_for(rare)
 
 
 @then(
-    '{needed:d} are needed and {held:d} are held where reclaimable ones can be'
-    ' had'
+    '{needed:d} upstreams are needed, and {held:d} are held while'
+    ' reclaimable ones are available'
 )
 def needed_and_held(context, needed, held):
-    found = whole_need(context)
+    found = full_estimate(context)
     assert (found.count, found.reserve) == (needed, held), found
 
 
-@then('{held:d} are held where reclaimable ones can be had')
-def are_held(context, held):
-    assert whole_need(context).reserve == held
+@then('{held:d} upstreams are held while reclaimable ones are available')
+def check_reserve(context, held):
+    assert full_estimate(context).reserve == held
 
 
 @given(
-    'a minute of demand that was {low:d} for {long:d} s and {high:d} for'
-    ' {short:d} s'
+    'a demand of {low:d} tokens per second for {long:d} s, and of {high:d}'
+    ' for {short:d} s'
 )
-def minute_of_demand(context, low, long, high, short):
+def demand_over_time(context, low, long, high, short):
     clock = clock_.ManualClock()
     context.demand = demand_.Demand(clock)
     for rate, seconds in ((low, long), (high, short)):
@@ -825,99 +856,107 @@
 
 
 @then(
-    'it was not over {rate:d} for 9 tenths of the time, and once over that for'
-    ' 97 hundredths'
+    'its 0.9 quantile is about {rate:d}, and its 0.97 quantile is more'
+    ' than twice that'
 )
-def how_seldom(context, rate):
+def check_quantiles(context, rate):
     assert context.demand.quantile('pool', 0.9) <= rate * 1.2
     assert context.demand.quantile('pool', 0.97) > rate * 2
 
 
 @when(
-    '{count:d} upstreams are ordered beside {live:d}, and the {lost:d} are'
-    ' lost'
+    '{count:d} upstreams are ordered in addition to {live:d}, and these'
+    ' {lost:d} are lost'
 )
-def ordered_beside(context, count, live, lost):
-    context.book.record_accepted(KEY, live, count, 4000)
-    assert context.book.expected(KEY, live) == live + count
-    context.there = live - lost
+def order_and_lose(context, count, live, lost):
+    context.tracker.record_accepted(KEY, live, count, 4000)
+    assert context.tracker.expected(KEY, live) == live + count
+    context.live_count = live - lost
 
 
-@then('{count:d} are expected, not {other:d}')
+@then('{count:d} upstreams are expected, not {other:d}')
 def expected_not(context, count, other):
-    found = context.book.expected(KEY, context.there)
+    found = context.tracker.expected(KEY, context.live_count)
     assert found == count, found
 
 
-@when('one has come')
-def one_has_come(context):
-    context.there += 1
+@when('one upstream has started')
+def one_started(context):
+    context.live_count += 1
 
 
-@given('at most {count:d} in each failure domain')
-def at_most(context, count):
+@given('a limit of {count:d} upstreams in each failure domain')
+def limit_domains(context, count):
     context.scaler_config.services[0].scale_max = count
 
 
-@when('the scaler acts once for a demand of {count:d} upstreams')
-def acts_once(context, count):
-    context.demand.value = rate_of(count)
+@when('the scaler runs once for the demand of {count:d} upstreams')
+def run_once(context, count):
+    context.demand.value = demand_for(count)
     context.scaler.run(1)
 
 
-@then('no failure domain is asked for more than {count:d} in all')
+@then(
+    'no failure domain has orders for more than {count:d} upstreams in total'
+)
 def within_limit(context, count):
-    left = firm_left(context.orders.taken)
-    for domain, wanted, reclaimable in context.orders.taken:
-        there = left[domain] if reclaimable else 0
-        assert wanted + there <= count, context.orders.taken
+    remaining = remaining_firm(context.orders.accepted)
+    for domain, wanted, reclaimable in context.orders.accepted:
+        firm = remaining[domain] if reclaimable else 0
+        assert wanted + firm <= count, context.orders.accepted
 
 
 @given(
-    '{needed:d} are needed, {count:d} reclaimable ones are in each failure'
-    ' domain, and no more are to be had'
+    '{needed:d} upstreams are needed, {count:d} reclaimable ones are live'
+    ' in each failure domain, and no more are available'
 )
 def more_than_needed(context, needed, count):
-    needed_and_there(context, needed, 0)
-    context.there.reclaimable.update(dict.fromkeys(DOMAINS, count))
-    context.book.record_refused(('pool', 'a', True))
+    needed_and_live(context, needed, 0)
+    context.live_mix.reclaimable.update(dict.fromkeys(DOMAINS, count))
+    context.tracker.record_refused(('pool', 'a', True))
 
 
-@then('no reclaimable one is given back')
-def no_reclaimable_back(context):
-    look(context)
-    assert not context.orders.taken, context.orders.taken
+@then('no reclaimable upstream is removed')
+def no_reclaimable_removed(context):
+    reconcile(context)
+    assert not context.orders.accepted, context.orders.accepted
 
 
 @then('ten times the demand needs less than ten times the upstreams')
-def scatters_less(context):
-    context.demand.value = rate_of(5)
-    few = need(context)
+def less_spare_capacity(context):
+    context.demand.value = demand_for(5)
+    few = estimate(context)
     context.demand.value *= 10
-    assert few == 5 and 20 < need(context) < 50, need(context)
+    assert few == 5 and 20 < estimate(context) < 50, estimate(context)
 
 
-@when('its engines are seen to read {times:g} times as fast as is said')
-def seen_to_read(context, times):
-    speed = PER_ENGINE * required_capacity._MAX_SPEED_FACTOR / 1000
+@when(
+    'its engines are measured to prefill {times:g} times as fast as expected'
+)
+def measure_speed(context, times):
+    speed = RATED_SPEED * required_capacity._MAX_SPEED_FACTOR / 1000
     context.demand.speed = speed * times
 
 
 @then('fewer than {count:d} upstreams are needed for the demand of {same:d}')
 def fewer_needed(context, count, same):
-    context.demand.value = rate_of(same)
-    assert need(context) < count, need(context)
+    context.demand.value = demand_for(same)
+    assert estimate(context) < count, estimate(context)
 
 
-@then('as many are needed as if it were {times:g} times')
-def as_if(context, times):
-    found = need(context)
-    seen_to_read(context, times)
-    assert found == need(context)
+@then(
+    'as many upstreams are needed as with {times:g} times the expected speed'
+)
+def same_estimate(context, times):
+    found = estimate(context)
+    measure_speed(context, times)
+    assert found == estimate(context)
 
 
-@given('engines that read {speed:g} tokens a ms, and some that are slow')
-def some_slow(context, speed):
+@given(
+    'engines that prefill {speed:g} tokens per ms, with some slower requests'
+)
+def measure_requests(context, speed):
     context.reading = reading.Reading()
     draws = random.Random(5)
     for number in range(60):
@@ -927,47 +966,49 @@
         context.reading.note('pool', 100, 22)
 
 
-@then('{speed:g} is what is gone by, within a tenth')
-def gone_by(context, speed):
+@then('the measured prefill speed is {speed:g}, within a tenth')
+def check_measured_speed(context, speed):
     found = context.reading.speed('pool')
     assert abs(found - speed) < 0.1 * speed, found
 
 
-@then('of fewer than 12 samples nothing is said')
-def nothing_said(context):
-    fresh = reading.Reading()
+@then('fewer than 12 samples give no measurement')
+def no_measurement(context):
+    empty = reading.Reading()
     for _ in range(11):
-        fresh.note('pool', 5000, 100)
-    assert fresh.speed('pool') is None
+        empty.note('pool', 5000, 100)
+    assert empty.speed('pool') is None
 
 
 @then(
-    'for a need of {needed:d} and a reserve of {reserve:d}, {count:d}'
-    ' reclaimable and no firm ones are ordered'
+    'with {needed:d} upstreams needed and a reserve of {reserve:d},'
+    ' {count:d} reclaimable and no firm ones are ordered'
 )
 def reserve_ordered(context, needed, reserve, count):
-    needed_and_there(context, needed, 0)
-    context.there = capacity_plan.Mix(
+    needed_and_live(context, needed, 0)
+    context.live_mix = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, 0), dict.fromkeys(DOMAINS, 0)
     )
-    look(context, needed, reserve)
-    ordered = {(d, n) for d, n, kind in context.orders.taken if kind}
-    assert sum(n for _, n in ordered) == count, context.orders.taken
-    assert all(kind for _, _, kind in context.orders.taken)
+    reconcile(context, needed, reserve)
+    ordered = {(d, n) for d, n, kind in context.orders.accepted if kind}
+    assert sum(n for _, n in ordered) == count, context.orders.accepted
+    assert all(kind for _, _, kind in context.orders.accepted)
 
 
-@given('a demand of which two routers have seen {a:d} and {b:d} tokens a ms')
-def two_have_seen(context, a, b):
+@given(
+    'two routers that measured prefill speeds of {a:d} and {b:d} tokens per ms'
+)
+def two_measurements(context, a, b):
     context.demand = demand_.Demand(clock_.ManualClock())
     for name, speed in (('r-a', a), ('r-b', b)):
         context.demand.hear_readings(name, {'pool': float(speed)})
 
 
-@when('the one that saw {speed:d} is forgotten')
-def one_forgotten(context, speed):
+@when('the router that measured {speed:d} is removed')
+def remove_router(context, speed):
     context.demand.forget({'r-b'})
 
 
-@then('{speed:d} tokens a ms are read')
-def are_read(context, speed):
+@then('the prefill speed is {speed:d} tokens per ms')
+def check_prefill_speed(context, speed):
     assert context.demand.reading('pool') == speed
