--- a/features/duties.feature
+++ b/features/duties.feature
@@ -1,62 +1,62 @@
-Feature: One router reports usage and orders upstreams, whoever it is
+Feature: One router at a time reports usage and orders upstreams
 
-  Scenario: Each window is reported once, with all routers' requests
+  Scenario: Each window is reported once, with the requests of all routers
     Given a fleet of 3 routers whose usage windows are 1 s long
     When 30 requests are sent to all routers within a window
-    Then that window's report says 30 for "noor"
+    Then the report of that window has 30 requests of "noor"
     And no two reports of a window differ
 
   Scenario: The holder is killed between two windows
     Given a fleet of 3 routers whose usage windows are 1 s long
-    When requests go on while the holder of the duties is killed
-    Then reports go on with a higher number
+    When requests are sent while the lease holder is killed
+    Then further reports have a higher fencing number
     And no two reports of a window differ
     And no call to the platform came with a lower number
 
-  # Seen: a report of usage with the former holder's number came 150 ms after the
-  # next holder's. How: the holder was cut off from the store. It saw that it had the
-  # duties, waited for the store until it was back, 2.7 s, and then sent what was due.
-  # Cause: whether it had them was looked at before it waited, not when it sent.
-  # Proof: with a store that answers the holder once another one has the duties, the
-  # platform gets a lower number after a higher one.
-  Scenario: A holder that waited for the store sends nothing once its time is over
+  # Guards against a check of the lease before waiting for the store instead of when
+  # sending. A holder that was cut off from the store saw that it held the lease, waited
+  # 2.7 s for the store, and then sent a report. It arrived 150 ms after a report of the
+  # next holder, with a lower fencing number. The scenario has a store that answers the
+  # former holder only once another router holds the lease.
+  Scenario: A holder that waited for the store sends nothing after its lease has ended
     Given a fleet of 3 routers whose usage windows are 1 s long
-    When the store keeps the holder waiting until another one has the duties
-    Then reports go on with a higher number
-    And the former holder has been answered by the store
+    When the store delays its answers to the holder until another router holds the lease
+    Then further reports have a higher fencing number
+    And the former holder has received an answer from the store
     And no call to the platform came with a lower number
 
-  Scenario: What is on its way when a call is given up does not arrive later
-    Given a platform that takes in little and answers nothing
-    When a report of 300000 bytes is given up after 300 ms
-    Then the platform never gets the whole of it
-
-  Scenario: The holder dies after it wrote a report down
-    Given a usage reporter that wrote window 7 down and died
-    When the next holder begins
-    Then it sends window 7 as it was written and goes on with window 8
-
-  Scenario: A report whose writing was not answered
-    Given a usage reporter whose next write is not answered
-    When two windows are over
-    Then each window was sent once, with what was written down
-
-  Scenario: A late window is not made up for
-    Given a usage reporter that was away for 20 windows
-    When the next holder begins
-    Then it reports only windows that can still be in time
-
-  Scenario: A router's counts outlive it
-    Given the usage of a router that was killed and started again
-    Then both runs' requests are in the window's total
-
-  # A window's report said 1526 of 1906 requests. Engines failed nearly half
-  # of what they got in it; in the next one the answers of a quarter were
-  # lost. Streams' runs without an event were left out, 645 and 377 attempts;
-  # elsewhere each attempt counted. What is asked for is how many requests of
-  # callers began to run: by the log 1902 had, each counted once.
-
-  Scenario Outline: What counts as begun where no event of a stream came
+  Scenario: A call that timed out does not arrive later
+    Given a platform that receives slowly and never answers
+    When a report of 300000 bytes times out after 300 ms
+    Then the platform never receives the whole report
+
+  Scenario: The holder is killed after it stored a report
+    Given a usage reporter that was killed after storing window 7
+    When the next holder starts
+    Then it sends window 7 as stored, and then window 8
+
+  Scenario: A store write without an answer does not duplicate a report
+    Given a usage reporter whose next write gets no answer
+    When two windows have ended
+    Then each window was sent once, with the stored counts
+
+  Scenario: Reports of windows that are too old are skipped
+    Given a usage reporter that reported nothing for 20 windows
+    When the next holder starts
+    Then it reports only windows whose report can still be in time
+
+  Scenario: A router's usage counts outlive its run
+    Given the usage counts of a router that was killed and started again
+    Then the window's total includes the requests of both runs
+
+  # Guards against counting only requests whose stream sent an event. A window's report
+  # had 1526 of 1906 requests: engines failed nearly half of the requests in it, and a
+  # quarter of the answers were lost in the next window. Attempts of streams without an
+  # event were left out (645 and 377), while for other requests each attempt counted.
+  # Usage is the number of callers' requests that started to run, each counted once:
+  # 1902 according to the log.
+
+  Scenario Outline: Requests without an event count if the upstream may have run them
     Given a fleet of 1 routers with one scripted engine
     And the upstream answers with "<what>"
     When a caller posts "letter" to "<path>"
@@ -71,7 +71,7 @@
       | a refusal that says not run     | /once/x | 0     |
       | another upstream's name         | /once/x | 0     |
 
-  Scenario: An answer that is lost counts when its request was sent
+  Scenario: A request whose answer is lost counts in the window in which it was sent
     Given a fleet of 1 routers with one scripted engine
     And the upstream answers with "a reset a window later"
     When a caller posts "letter" to "/once/x" early in a usage window
@@ -89,88 +89,88 @@
       | booking    | /pages/x |
       | draft-pool | /chat/x  |
 
-  Scenario: Of the others, the one that runs longest has the next turn
-    Given five routers that started one after the other
-    Then their turns at vacant duties are in that order
-    When the first one is stopped and started again
-    Then it has the last turn
-
-  # The run that followed the holder came in its turn, the last of all, and
-  # waited as its peers did: nobody had the duties for 9 s (feature lease).
-
-  Scenario: All are killed at once, and the holder's next run goes on
-    Given five routers that started one after the other
-    And the last of them had the duties when all were killed
-    When all start again and 1000 ms pass
-    Then the last one has the duties with the number 2
-    And each router has asked the store 4 times at most
-
-  Scenario: Where others tell of the holder the one that runs longest is next
-    Given five routers that started one after the other
-    And the last of them had the duties when all were killed
-    When all start again, the others remember the holder, and 5000 ms pass
-    Then the first one has the duties with the number 2
-
-  Scenario: Who has heard a holder does not ask whom it follows
-    Given five routers that started one after the other
-    And the last of them had the duties when all were killed
-    And the store is out for all
-    When all start again, the others remember the holder, and 5000 ms pass
-    Then the last one has not asked the store
-
-  # Seen: nobody had the duties for 6.5 s after their holder was lost, while half of
-  # the engines went. How: it had renewed its lease just before, and those who were
-  # next had not heard of that; they found a renewal that they did not know of in the
-  # store, and waited for a whole lease from then on. Proof: beacons that come seldom.
-  Scenario: The next one in turn knows of each renewal of the duties
-    Given five routers that started one after the other
-    When beacons come every 1400 ms, and the holder ends after a renewal
-    Then the next one has the duties 4800 ms later
-
-  # Seen: a holder that took the duties ordered 1 engine where the one before had
-  # ordered 14, 8 s earlier, which the platform's store had not told of yet: they were
-  # taken back. Cause: what was ordered was known to the one who did only.
-  Scenario: The next holder knows what the one before has found and ordered
-    Given five routers that started one after the other
-    When all start, and their first one finds 46 to be needed
-    And 1000 ms later it orders, and is killed 800 ms after that
-    Then the next one knows the 46, and of the order
-
-  Scenario: What was left is passed on by one that has not begun
-    Given five routers that started one after the other
-    When all start, and their first one finds 46 to be needed
-    And it is stopped, and the next one before it has begun
-    Then the one after them knows the 46
-
-  Scenario: A holder that loses the duties to nobody goes on from what it knows
-    Given five routers that started one after the other
-    When all start, and their first one finds 46 to be needed
-    And the store is out for 5000 ms
-    Then the first one has them again, and goes on from what it knows
-
-  Scenario: A fleet's first start costs one router's calls
-    Given five routers that started one after the other
-    When all start and 3000 ms pass
-    Then the first one has the duties with the number 1
-    And the others have not asked the store
-
-  Scenario: A router says where it stands when it takes the duties
+  Scenario: Routers contend in the order of their running time, longest first
+    Given five routers that started one after another
+    Then they contend for a vacant lease in that order
+    When the first router is stopped and started again
+    Then it contends last
+
+  # Guards against a gap without a holder (9 s) after all routers were killed: the
+  # former holder's next run contended last, and waited for its turn (see feature lease).
+
+  Scenario: After all routers were killed, the holder's next run takes over
+    Given five routers that started one after another
+    And the last of them held the lease when all were killed
+    When all start again, and 1000 ms pass
+    Then the last router holds the lease with fencing number 2
+    And each router has called the store at most 4 times
+
+  Scenario: If the former holder is known, the router that runs longest is next
+    Given five routers that started one after another
+    And the last of them held the lease when all were killed
+    When all start again with the former holder known, and 5000 ms pass
+    Then the first router holds the lease with fencing number 2
+
+  Scenario: A router that knows a holder does not read the lease
+    Given five routers that started one after another
+    And the last of them held the lease when all were killed
+    And the store is unavailable to all
+    When all start again with the former holder known, and 5000 ms pass
+    Then the last router has not called the store
+
+  # Guards against a gap without a holder (6.5 s, while half of the engines were lost).
+  # The holder was lost just after a renewal that the next contenders had not heard of.
+  # They found the unknown renewal in the store and waited for a whole lease from then
+  # on. The scenario has beacons that are sent seldom.
+  Scenario: The next contender is notified of each renewal of the lease
+    Given five routers that started one after another
+    When beacons are sent every 1400 ms, and the holder is killed after a renewal
+    Then the next router holds the lease 4800 ms later
+
+  # Guards against losing the pending orders of the previous holder, which only that
+  # holder knew. A new holder ordered 1 engine where the previous one had ordered 14,
+  # 8 s earlier, which were not in the platform's store yet and were cancelled by that.
+  Scenario: The next holder knows the required upstreams and the orders of the previous one
+    Given five routers that started one after another
+    When all start, and the first router requires 46 upstreams
+    And it orders upstreams after 1000 ms, and is killed 800 ms after that
+    Then the next holder knows the 46 required upstreams and the order
+
+  Scenario: A holder that has not run its duties passes the saved state on
+    Given five routers that started one after another
+    When all start, and the first router requires 46 upstreams
+    And it is stopped, and the next holder before it runs its duties
+    Then the holder after them knows the 46 required upstreams
+
+  Scenario: A holder that takes the lease again itself keeps its state
+    Given five routers that started one after another
+    When all start, and the first router requires 46 upstreams
+    And the store is unavailable for 5000 ms
+    Then the first router holds the lease again, and keeps its own state
+
+  Scenario: At the first start of a fleet only one router calls the store
+    Given five routers that started one after another
+    When all start, and 3000 ms pass
+    Then the first router holds the lease with fencing number 1
+    And the other routers have not called the store
+
+  Scenario: A router stores its network place with the lease
     Given a fleet of 2 routers
-    Then the lease on the duties names its holder's own place
+    Then the lease on the duties contains its holder's network place
 
-  Scenario: A clock that jumps moves no window
-    Given five routers' clocks of which two jump by an hour
-    Then the fleet's clock stays where it was
+  Scenario: A clock that jumps does not shift usage windows
+    Given the clocks of five routers, of which two jump by an hour
+    Then the fleet's clock does not jump
 
   Scenario: Firm engines are replaced by reclaimable ones
     Given a fleet of 3 routers whose scaling is "planner"
-    Then within 8000 ms all engines are reclaimable and as many are left as needed without any one failure domain
+    Then within 8000 ms all engines are reclaimable, and enough are left after losing any failure domain
 
-  Scenario: Reclaimed engines come back as what is to be had
+  Scenario: Reclaimed engines are replaced by firm ones if no others are available
     Given a fleet of 3 routers whose scaling is "planner"
-    And within 8000 ms all engines are reclaimable and as many are left as needed without any one failure domain
-    When no reclaimable engine is to be had and a failure domain is reclaimed
-    Then firm engines come in their place within 8000 ms
+    And within 8000 ms all engines are reclaimable, and enough are left after losing any failure domain
+    When no reclaimable engines are available, and a failure domain is reclaimed
+    Then firm engines replace them within 8000 ms
 
   Scenario: Without scaling nothing is ordered
     Given a fleet of 2 routers whose scaling is "fixed"
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -1,4 +1,4 @@
-"""Steps of usage reports and orders of upstreams."""
+"""Steps for the lease on the duties, usage reports and orders of upstreams."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @when('{count:d} requests are sent to all routers within a window')
-def within_a_window(context, count):
+def send_within_window(context, count):
     fleet = context.fleet
     clock = fleet.routers[0].knowledge.fleet_clock
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
@@ -47,8 +47,8 @@
     )
 
 
-@then('that window\'s report says {count:d} for "{team}"')
-def report_says(context, count, team):
+@then('the report of that window has {count:d} requests of "{team}"')
+def check_report(context, count, team):
     def reported():
         return [
             report
@@ -61,18 +61,18 @@
 
 
 @then('no two reports of a window differ')
-def none_differ(context):
+def reports_agree(context):
     assert not context.fleet.cloud.conflicting_reports()
 
 
-@given('five routers that started one after the other')
-def five_started(context):
+@given('five routers that started one after another')
+def five_routers(context):
     context.clock = clock_.ManualClock()
     context.starts = {f'r{number}': 1000 + number for number in range(5)}
 
 
-def turns(context):
-    """Return the routers in the order of their turns, as each sees it."""
+def contention_order(context):
+    """Return the routers in the order in which they contend."""
     found = {}
     for me in context.starts:
         members = members_.Members(member_of(context, me), context.clock, 1000)
@@ -93,47 +93,47 @@
     )
 
 
-@then('their turns at vacant duties are in that order')
-def in_that_order(context):
-    assert turns(context) == ['r0', 'r1', 'r2', 'r3', 'r4']
+@then('they contend for a vacant lease in that order')
+def check_contention_order(context):
+    assert contention_order(context) == ['r0', 'r1', 'r2', 'r3', 'r4']
 
 
-@when('the first one is stopped and started again')
-def first_again(context):
+@when('the first router is stopped and started again')
+def restart_first(context):
     context.starts['r0'] = 9000
 
 
-@then('it has the last turn')
-def last_turn(context):
-    assert turns(context) == ['r1', 'r2', 'r3', 'r4', 'r0']
+@then('it contends last')
+def contends_last(context):
+    assert contention_order(context) == ['r1', 'r2', 'r3', 'r4', 'r0']
 
 
-class Remembering:
-    """A duty that leaves something, and remembers what was left to it."""
+class RecordingDuty:
+    """A duty that saves some state, and records the state it receives."""
 
     def __init__(self):
         self.state_version = 0
-        self.needed = 0
-        self.left = []
+        self.required = 0
+        self.received = []
 
-    def start(self, left):
-        self.left.append(left)
+    def start(self, state):
+        self.received.append(state)
 
     def run(self, fencing):
         pass
 
-    def save(self, left):
-        left.needs['pool'] = self.needed
+    def save(self, state):
+        state.needs['pool'] = self.required
         for _ in range(self.state_version):
-            left.orders.add(service='pool', coming=5)
+            state.orders.add(service='pool', coming=5)
 
 
-class Contender:
-    """A run of a router that only contends for the duties."""
+class LeaseContender:
+    """A run of a router that only contends for the lease on the duties."""
 
     def __init__(self, context, name, run):
         self.name = name
-        self.duty = Remembering()
+        self.duty = RecordingDuty()
         self.store = MemoryStore()
         self.store.objects = context.objects
         self.store.out = 'store_out' in context
@@ -161,10 +161,10 @@
                 one.lease.hear(self.lease.hint())
 
     def stop(self):
-        """Give the duties up, as a planned stop does."""
+        """Release the lease, as a planned stop does."""
         self._holder.release()
 
-    def keep(self):
+    def tick(self):
         for peer in self._peers:
             self._members.hear(peer)
         self._holder.keep_lease()
@@ -174,22 +174,24 @@
 def start_all(context, run):
     context.objects = getattr(context, 'objects', {})
     context.runs = []
-    context.runs += [Contender(context, name, run) for name in context.starts]
+    context.runs += [
+        LeaseContender(context, name, run) for name in context.starts
+    ]
 
 
-def go_on(context, ms, beacon_ms=200):
-    for passed in range(0, ms, 200):
+def advance(context, ms, beacon_ms=200):
+    for elapsed in range(0, ms, 200):
         for one in context.runs:
             one.store.revision = max(
                 [found.revision for found in context.objects.values()] or [0]
             )
-            one.keep()
-        if (passed + 200) % beacon_ms == 0:
-            tell_all(context.runs)
+            one.tick()
+        if (elapsed + 200) % beacon_ms == 0:
+            exchange_hints(context.runs)
         context.clock.advance(200)
 
 
-def tell_all(runs):
+def exchange_hints(runs):
     for one in runs:
         hint = one.lease.known_holder()
         for other in runs:
@@ -197,151 +199,157 @@
                 other.lease.hear(hint)
 
 
-@given('the last of them had the duties when all were killed')
-def last_had(context):
+@given('the last of them held the lease when all were killed')
+def last_held(context):
     start_all(context, 1)
     context.runs[-1].lease.attempt()
     context.hint = context.runs[-1].lease.hint()
     context.clock.advance(1000)
 
 
-@when('all start again and {ms:d} ms pass')
-def all_again(context, ms):
+@when('all start again, and {ms:d} ms pass')
+def start_all_again(context, ms):
     start_all(context, 2)
-    go_on(context, ms)
+    advance(context, ms)
 
 
-@when('all start again, the others remember the holder, and {ms:d} ms pass')
-def some_remember(context, ms):
+@when('all start again with the former holder known, and {ms:d} ms pass')
+def start_with_known_holder(context, ms):
     start_all(context, 2)
     for one in context.runs:
         one.lease.hear(context.hint)
-    go_on(context, ms)
+    advance(context, ms)
 
 
-@when('all start and {ms:d} ms pass')
-def all_start(context, ms):
+@when('all start, and {ms:d} ms pass')
+def start_all_and_wait(context, ms):
     start_all(context, 1)
-    go_on(context, ms)
+    advance(context, ms)
 
 
-@when('beacons come every {ms:d} ms, and the holder ends after a renewal')
-def ends_after_renewal(context, ms):
+@when(
+    'beacons are sent every {ms:d} ms, and the holder is killed after a'
+    ' renewal'
+)
+def kill_after_renewal(context, ms):
     start_all(context, 1)
-    go_on(context, ms, ms)
-    holder = holder_now(context)
+    advance(context, ms, ms)
+    holder = current_holder(context)
     renewed = holder.lease.hint().revision + 1
     while holder.lease.hint().revision < renewed:
-        go_on(context, 200, 1 << 30)
+        advance(context, 200, 1 << 30)
     context.runs.remove(holder)
 
 
-@then('the next one has the duties {ms:d} ms later')
-def next_has(context, ms):
-    go_on(context, ms, 1400)
+@then('the next router holds the lease {ms:d} ms later')
+def next_holds(context, ms):
+    advance(context, ms, 1400)
     held = [one.name for one in context.runs if one.lease.held()]
     assert held == ['r1'], held
 
 
-@when('all start, and their first one finds {count:d} to be needed')
-def first_finds(context, count):
-    all_start(context, 3000)
+@when('all start, and the first router requires {count:d} upstreams')
+def first_requires(context, count):
+    start_all_and_wait(context, 3000)
     first = context.runs[0]
-    assert first.lease.held() and first.duty.left == [pb.DutiesLeft()]
-    first.duty.needed = count
+    assert first.lease.held() and first.duty.received == [pb.DutiesLeft()]
+    first.duty.required = count
 
 
-@when('{ms:d} ms later it orders, and is killed {later:d} ms after that')
-def orders_and_ends(context, ms, later):
-    go_on(context, ms)
+@when(
+    'it orders upstreams after {ms:d} ms, and is killed {later:d} ms after'
+    ' that'
+)
+def order_and_kill(context, ms, later):
+    advance(context, ms)
     context.runs[0].duty.state_version += 1
-    go_on(context, later)
+    advance(context, later)
     context.runs.pop(0)
 
 
-@then('the next one knows the {count:d}, and of the order')
+@then('the next holder knows the {count:d} required upstreams and the order')
 def next_knows(context, count):
-    left = left_to_next(context, 5000)
-    assert left.needs['pool'] == count, left
-    assert [order.coming for order in left.orders] == [5], left
+    state = state_of_next(context, 5000)
+    assert state.needs['pool'] == count, state
+    assert [order.coming for order in state.orders] == [5], state
 
 
-def left_to_next(context, ms):
-    """Let time pass; return the one thing that was left to who holds it."""
-    go_on(context, ms)
-    (left,) = holder_now(context).duty.left
-    return left
+def state_of_next(context, ms):
+    """Advance the time; return the state that the holder has received."""
+    advance(context, ms)
+    (state,) = current_holder(context).duty.received
+    return state
 
 
-def holder_now(context):
+def current_holder(context):
     (holder,) = [one for one in context.runs if one.lease.held()]
     return holder
 
 
-@when('it is stopped, and the next one before it has begun')
-def two_stopped(context):
-    go_on(context, 2000)
+@when('it is stopped, and the next holder before it runs its duties')
+def stop_two(context):
+    advance(context, 2000)
     first, second = context.runs[:2]
     first.stop()
     second.lease.attempt()
-    assert second.lease.held() and not second.duty.left
+    assert second.lease.held() and not second.duty.received
     second.stop()
     del context.runs[:2]
 
 
-@then('the one after them knows the {count:d}')
+@then('the holder after them knows the {count:d} required upstreams')
 def third_knows(context, count):
-    left = left_to_next(context, 6000)
-    assert left.needs['pool'] == count, left
+    state = state_of_next(context, 6000)
+    assert state.needs['pool'] == count, state
 
 
-@when('the store is out for {ms:d} ms')
-def store_out_for(context, ms):
+@when('the store is unavailable for {ms:d} ms')
+def store_unavailable(context, ms):
     for one in context.runs:
         one.store.out = True
-    go_on(context, ms)
+    advance(context, ms)
     for one in context.runs:
         one.store.out = False
-    go_on(context, 1000)
+    advance(context, 1000)
 
 
-@then('the first one has them again, and goes on from what it knows')
-def has_again(context):
+@then('the first router holds the lease again, and keeps its own state')
+def holds_again(context):
     first = context.runs[0]
     assert first.lease.held() and first.lease.fencing == 2, first.lease.fencing
-    assert first.duty.left[-1] is None, first.duty.left
+    assert first.duty.received[-1] is None, first.duty.received
 
 
-@then('the {which} one has the duties with the number {number:d}')
-def one_has(context, which, number):
+@then('the {which} router holds the lease with fencing number {number:d}')
+def check_holder(context, which, number):
     lease = context.runs[{'first': 0, 'last': -1}[which]].lease
     held = [(one.lease.held(), one.lease.fencing) for one in context.runs]
     assert lease.held() and lease.fencing == number, held
 
 
-@then('each router has asked the store {count:d} times at most')
-def asked_at_most(context, count):
+@then('each router has called the store at most {count:d} times')
+def check_call_count(context, count):
     calls = [one.store.calls for one in context.runs]
     assert max(calls) <= count, calls
 
 
-@given('the store is out for all')
-def out_for_all(context):
+@given('the store is unavailable to all')
+def store_unavailable_to_all(context):
     context.store_out = True
 
 
-@then('the last one has not asked the store')
-def last_not(context):
+@then('the last router has not called the store')
+def last_not_called(context):
     assert not context.runs[-1].store.calls
 
 
-@then('the others have not asked the store')
-def others_not(context):
+@then('the other routers have not called the store')
+def others_not_called(context):
     assert not any(one.store.calls for one in context.runs[1:])
 
 
-@then("the lease on the duties names its holder's own place")
-def names_place(context):
+@then("the lease on the duties contains its holder's network place")
+def check_place(context):
     def holder():
         routers = context.fleet.routers
         return next((one for one in routers if one.lease.held()), None)
@@ -353,24 +361,24 @@
     assert boot and net and address == found.beacons.address, stored
 
 
-@when('requests go on while the holder of the duties is killed')
-def holder_killed(context):
+@when('requests are sent while the lease holder is killed')
+def kill_holder(context):
     fleet = context.fleet
     helpers.wait_until(lambda: fleet.cloud.reports, 'a first report')
-    context.old = stop_steps.holder_of(context)
-    context.number = context.old.lease.fencing
-    others = [r for r in fleet.routers if r is not context.old]
-    context.old.stop()
+    context.former = stop_steps.holder_of(context)
+    context.fencing = context.former.lease.fencing
+    others = [r for r in fleet.routers if r is not context.former]
+    context.former.stop()
     for number in range(60):
         assert helpers.ask(others[number % 2].address).status == 200
         green.sleep_ms(20)
 
 
-@then('reports go on with a higher number')
-def go_on_higher(context):
+@then('further reports have a higher fencing number')
+def check_higher_fencing(context):
     helpers.wait_until(
         lambda: any(
-            report.fencing > context.number
+            report.fencing > context.fencing
             for report in context.fleet.cloud.reports
         ),
         'reports of the next holder',
@@ -378,47 +386,54 @@
     )
 
 
-@when('the store keeps the holder waiting until another one has the duties')
-def kept_waiting(context):
+@when(
+    'the store delays its answers to the holder until another router holds'
+    ' the lease'
+)
+def delay_store(context):
     fleet = context.fleet
     helpers.wait_until(lambda: fleet.cloud.reports, 'a first report')
-    context.old = stop_steps.holder_of(context)
-    context.number = context.old.lease.fencing
+    context.former = stop_steps.holder_of(context)
+    context.fencing = context.former.lease.fencing
     context.answered = 0
-    context.cut = False
-    store = context.old.store
+    context.is_cut_off = False
+    store = context.former.store
     read, write = store.read, store.write
 
-    def cut_write(kind, *args):
-        # The cut begins with what is written of a window that is due.
-        context.cut = context.cut or kind == usage_reporter.KIND
+    def failing_write(kind, *args):
+        # The store fails from the first write of a usage window on.
+        context.is_cut_off = context.is_cut_off or kind == usage_reporter.KIND
         return (
-            failures.unknown('silent') if context.cut else write(kind, *args)
+            failures.unknown('silent')
+            if context.is_cut_off
+            else write(kind, *args)
         )
 
-    def late_read(*args):
-        if context.cut:
-            helpers.wait_until(lambda: is_reported(context), 'another holder')
+    def delayed_read(*args):
+        if context.is_cut_off:
+            helpers.wait_until(
+                lambda: has_next_reported(context), 'another holder'
+            )
             context.answered += 1
         return read(*args)
 
-    store.read, store.write = late_read, cut_write
+    store.read, store.write = delayed_read, failing_write
 
 
-def is_reported(context):
-    """Return whether a next holder has sent a report."""
+def has_next_reported(context):
+    """Return whether the next holder has sent a report."""
     reports = context.fleet.cloud.reports
-    return any(report.fencing > context.number for report in reports)
+    return any(report.fencing > context.fencing for report in reports)
 
 
-@then('the former holder has been answered by the store')
-def former_answered(context):
+@then('the former holder has received an answer from the store')
+def check_former_answered(context):
     helpers.wait_until(lambda: context.answered, 'an answer')
     green.sleep_ms(500)
 
 
-@given('a platform that takes in little and answers nothing')
-def takes_little(context):
+@given('a platform that receives slowly and never answers')
+def slow_platform(context):
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(('127.0.0.1', 0))
@@ -427,8 +442,8 @@
     context.listener = listener
 
 
-@when('a report of {size:d} bytes is given up after {ms:d} ms')
-def given_up(context, size, ms):
+@when('a report of {size:d} bytes times out after {ms:d} ms')
+def report_times_out(context, size, ms):
     host, port = context.listener.getsockname()
     cloud = cloud_api.PlatformCloud(f'{host}:{port}', ms, 'router-1')
     context.size = size
@@ -436,23 +451,23 @@
     assert isinstance(failure, failures.Failure), failure
 
 
-@then('the platform never gets the whole of it')
-def never_whole(context):
+@then('the platform never receives the whole report')
+def check_incomplete(context):
     conn, _ = context.listener.accept()
     conn.settimeout(3)
-    got = 0
+    received = 0
     try:
         while data := conn.recv(65536):
-            got += len(data)
+            received += len(data)
     except ConnectionResetError:
         pass
     conn.close()
-    assert got < context.size, got
+    assert received < context.size, received
 
 
 @dataclasses.dataclass
-class Reports:
-    """Remembers what is reported."""
+class RecordingSink:
+    """Records usage reports."""
 
     sent: list = dataclasses.field(default_factory=list)
 
@@ -460,7 +475,7 @@
         self.sent.append((window, counts, fencing))
 
 
-def reporter(context):
+def make_reporter(context):
     registry = prometheus_client.CollectorRegistry()
     return usage_reporter.UsageReporter(
         context.usage,
@@ -472,51 +487,48 @@
     )
 
 
-def set_up(context, window):
+def set_up_usage(context, window):
     context.store = MemoryStore()
-    context.reports = Reports()
+    context.reports = RecordingSink()
     context.clock = clock_.ManualClock(window * WINDOW_MS)
     context.usage = usage_.Usage(context.clock.wall, WINDOW_MS)
 
 
-@given('a usage reporter that wrote window {window:d} down and died')
-def wrote_down(context, window):
-    set_up(context, window + 1)
+@given('a usage reporter that was killed after storing window {window:d}')
+def killed_after_store(context, window):
+    set_up_usage(context, window + 1)
     spec = {'window': window, 'counts': {'noor': 12}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
     context.usage.began('noor')
 
 
-@when('the next holder begins')
-def next_holder(context):
-    context.reporter = reporter(context)
+@when('the next holder starts')
+def start_next_holder(context):
+    context.reporter = make_reporter(context)
     context.reporter.start(None)
     for _ in range(4):
         context.reporter.run(2)
         context.clock.advance(WINDOW_MS // 2)
 
 
-@then(
-    'it sends window {first:d} as it was written and goes on with window'
-    ' {second:d}'
-)
-def sends_as_written(context, first, second):
+@then('it sends window {first:d} as stored, and then window {second:d}')
+def check_sent(context, first, second):
     sent = context.reports.sent
     assert sent[0] == (first, {'noor': 12}, 2), sent
     assert sent[1] == (second, {'noor': 1}, 2), sent
 
 
-@given('a usage reporter whose next write is not answered')
-def not_answered(context):
-    set_up(context, 10)
+@given('a usage reporter whose next write gets no answer')
+def lost_write_answer(context):
+    set_up_usage(context, 10)
     context.usage.began('noor')
-    context.reporter = reporter(context)
+    context.reporter = make_reporter(context)
     context.reporter.start(None)
     context.store.lose_next = 1
 
 
-@when('two windows are over')
-def two_over(context):
+@when('two windows have ended')
+def two_windows_pass(context):
     for number in range(40):
         context.clock.advance(400)
         if number == 15:
@@ -524,116 +536,124 @@
         context.reporter.run(1)
 
 
-@then('each window was sent once, with what was written down')
-def each_once(context):
+@then('each window was sent once, with the stored counts')
+def check_sent_once(context):
     windows = [window for window, _, _ in context.reports.sent]
     assert windows == sorted(set(windows)) and 10 in windows, windows
     assert context.reports.sent[0] == (10, {'noor': 1}, 1)
 
 
-@given('a usage reporter that was away for {count:d} windows')
-def was_away(context, count):
-    set_up(context, 10)
+@given('a usage reporter that reported nothing for {count:d} windows')
+def reporter_with_gap(context, count):
+    set_up_usage(context, 10)
     spec = {'window': 10, 'counts': {}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
     context.clock.advance(count * WINDOW_MS)
 
 
-@then('it reports only windows that can still be in time')
-def only_in_time(context):
+@then('it reports only windows whose report can still be in time')
+def check_windows(context):
     windows = [window for window, _, _ in context.reports.sent]
     assert 10 in windows and min(set(windows) - {10}) >= 26, windows
 
 
-@given('the usage of a router that was killed and started again')
-def killed_usage(context):
-    set_up(context, 10)
+@given('the usage counts of a router that was killed and started again')
+def usage_of_restarted(context):
+    set_up_usage(context, 10)
     for incarnation, count in ((1, 3), (2, 4)):
         other = usage_.Usage(context.clock.wall, WINDOW_MS)
         for _ in range(count):
             other.began('noor')
-        # Beacons repeat what they say; only the newest counts.
+        # Beacons repeat their counts; only the latest must be counted.
         for _ in range(3):
             context.usage.hear('router-2', incarnation, other.counts())
     context.usage.began('noor')
 
 
-@then("both runs' requests are in the window's total")
-def both_runs(context):
+@then("the window's total includes the requests of both runs")
+def check_total(context):
     assert context.usage.total(10) == {'noor': 8}, context.usage.total(10)
 
 
-class _Wall(clock_.ManualClock):
-    """A manual clock whose time of day may be off."""
+class _SkewedClock(clock_.ManualClock):
+    """A manual clock whose time of day has an offset."""
 
     def __init__(self):
         super().__init__()
-        self.off = 0
+        self.offset = 0
 
     def wall(self):
-        return super().wall() + self.off
+        return super().wall() + self.offset
 
 
-SINCE_MS = 1000
-"""Time after the jump at which the fleet's clock is asked."""
+ELAPSED_MS = 1000
+"""Time after the jump at which the fleet's clock is read."""
 
 
-@given("five routers' clocks of which two jump by an hour")
-def five_clocks(context):
-    context.own = _Wall()
+@given('the clocks of five routers, of which two jump by an hour')
+def skewed_clocks(context):
+    context.own = _SkewedClock()
     context.fleet_clock = fleet_clock.FleetClock(context.own)
     context.before = context.fleet_clock.now()
     walls = [0, 3, -2, 3_600_000]
-    for number, off in enumerate(walls):
-        context.fleet_clock.hear(f'router-{number}', context.own.boot() + off)
-    context.own.off = -3_600_000
-    context.own.advance(SINCE_MS)
+    for number, offset in enumerate(walls):
+        context.fleet_clock.hear(
+            f'router-{number}', context.own.boot() + offset
+        )
+    context.own.offset = -3_600_000
+    context.own.advance(ELAPSED_MS)
 
 
-@then("the fleet's clock stays where it was")
-def stays_put(context):
-    passed = context.fleet_clock.now() - context.before
-    assert abs(passed - SINCE_MS) <= 5, passed
+@then("the fleet's clock does not jump")
+def check_no_jump(context):
+    elapsed = context.fleet_clock.now() - context.before
+    assert abs(elapsed - ELAPSED_MS) <= 5, elapsed
 
 
-def counts(context):
+def count_engines(context):
     live = [
         guest
         for guest in helpers.guests(context, shape_.ENGINES)
         if guest.record.state == 1
     ]
-    spot = [g for g in live if g.record.reclaimable]
-    return len(live) - len(spot), spot
+    reclaimable = [g for g in live if g.record.reclaimable]
+    return len(live) - len(reclaimable), reclaimable
 
 
 @then(
-    'within {ms:d} ms all engines are reclaimable and as many are left as'
-    ' needed without any one failure domain'
+    'within {ms:d} ms all engines are reclaimable, and enough are left'
+    ' after losing any failure domain'
 )
 @given(
-    'within {ms:d} ms all engines are reclaimable and as many are left as'
-    ' needed without any one failure domain'
+    'within {ms:d} ms all engines are reclaimable, and enough are left'
+    ' after losing any failure domain'
 )
 def all_reclaimable(context, ms):
     def reached():
-        firm, spot = counts(context)
-        domains = [g.record.upstream.failure_domain for g in spot]
-        tallest = max((domains.count(d) for d in domains), default=0)
-        return firm == 0 and len(spot) - tallest >= 2
+        firm, reclaimable = count_engines(context)
+        domains = [g.record.upstream.failure_domain for g in reclaimable]
+        largest = max((domains.count(d) for d in domains), default=0)
+        return firm == 0 and len(reclaimable) - largest >= 2
 
-    helpers.wait_until(reached, f'all reclaimable: {counts(context)}', ms)
+    helpers.wait_until(
+        reached, f'all reclaimable: {count_engines(context)}', ms
+    )
 
 
-@when('no reclaimable engine is to be had and a failure domain is reclaimed')
-def dry_reclaim(context):
+@when(
+    'no reclaimable engines are available, and a failure domain is reclaimed'
+)
+def reclaim_without_capacity(context):
     context.fleet.dry.update(context.fleet.domains)
-    _, spot = counts(context)
-    context.fleet.reclaim(spot[0].record.upstream.failure_domain, 400)
+    _, reclaimable = count_engines(context)
+    context.fleet.reclaim(reclaimable[0].record.upstream.failure_domain, 400)
 
 
-@then('firm engines come in their place within {ms:d} ms')
-def firm_come(context, ms):
-    helpers.wait_until(lambda: counts(context)[0] > 0, 'a firm engine', ms)
+@then('firm engines replace them within {ms:d} ms')
+def check_firm(context, ms):
+    helpers.wait_until(
+        lambda: count_engines(context)[0] > 0, 'a firm engine', ms
+    )
 
 
 @then('nothing is ordered in {ms:d} ms')
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the proxies in front of links, and of what they excuse."""
+"""Steps for link faults of proxies, and for the requests they excuse."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 from peridotmast.standin import plain_service
 from peridotmast.wire import connection as connection_
 
-WAIT_MS = 30_000
+TIMEOUT_MS = 30_000
 ADDRESS = '127.0.0.1:1'
 CLOCK = clock_.SystemClock()
 
 
 class Exchange:
-    """One connection, and its last request."""
+    """A connection through the proxy, and its last request."""
 
     def __init__(self, proxy):
         self.conn = connection_.Connection(proxy.address, CLOCK)
-        self.failure = self.conn.connect(WAIT_MS)
+        self.failure = self.conn.connect(TIMEOUT_MS)
         self.id = self.body = None
 
     def send(self):
         self.id = uuid.uuid4().hex
         self.body = f'{"x" * 20_000}"request_id": "{self.id}"'.encode()
-        deadline = CLOCK.now() + WAIT_MS
+        deadline = CLOCK.now() + TIMEOUT_MS
         self.conn.send('POST', '/', [('Host', 'x')], self.body, deadline)
 
     def receive(self):
-        deadline = CLOCK.now() + WAIT_MS
+        deadline = CLOCK.now() + TIMEOUT_MS
         head = self.conn.read_head('POST', deadline)
         if isinstance(head, failures.Failure):
             return head
@@ -51,78 +51,86 @@
 
 
 @given('a connection through a proxy')
-def through_proxy(context):
+def connection_through_proxy(context):
     context.target = plain_service.PlainService('s')
-    context.noted = {}
-    context.proxy = link_proxy.LinkProxy(context.target.address, context.noted)
+    context.recorded = {}
+    context.proxy = link_proxy.LinkProxy(
+        context.target.address, context.recorded
+    )
     context.closing += [context.target.stop, context.proxy.close]
-    context.one = new_answered(context)
+    context.exchange = new_exchange(context)
 
 
-def new_answered(context):
-    new = Exchange(context.proxy)
-    new.send()
-    assert new.receive() == b'done:' + new.body
-    return new
+def new_exchange(context):
+    exchange = Exchange(context.proxy)
+    exchange.send()
+    assert exchange.receive() == b'done:' + exchange.body
+    return exchange
 
 
-@when('its link is {mode}, and a new connection is answered')
-def has_trouble(context, mode):
-    mode, _, hit = mode.partition(', ')
-    context.trouble = link_proxy.Trouble(
-        link_proxy.Mode(mode), hits_requests=hit == 'requests'
+@when('its link is {mode}, and a new connection gets an answer')
+def start_fault(context, mode):
+    mode, _, affected = mode.partition(', ')
+    context.fault = link_proxy.Trouble(
+        link_proxy.Mode(mode), hits_requests=affected == 'requests'
     )
-    context.proxy.begin(context.trouble, random.Random(1))
-    context.one.send()
-    new_answered(context)
+    context.proxy.begin(context.fault, random.Random(1))
+    context.exchange.send()
+    new_exchange(context)
 
 
-@then('nothing came back to it until that is over, and it {ends}')
-def until_over(context, ends):
-    assert context.one.conn.is_clean()
-    context.proxy.end(context.trouble)
+@then('it receives nothing until the fault ends, and then it {ends}')
+def wait_for_fault_end(context, ends):
+    assert context.exchange.conn.is_clean()
+    context.proxy.end(context.fault)
     context.execute_steps(f'Then it {ends}')
 
 
 @then('it gets its answer')
-def gets_answer(context):
-    assert context.one.receive() == b'done:' + context.one.body
+def check_answer(context):
+    assert context.exchange.receive() == b'done:' + context.exchange.body
 
 
-@then('it is reset, noted as {why}')
-def is_reset(context, why):
-    found = context.one.receive()
+@then('it is reset, recorded as {fault}')
+def check_reset(context, fault):
+    found = context.exchange.receive()
     assert isinstance(found, failures.Failure), found
     assert found.reason == 'broke_off', found
-    assert context.noted == {context.one.id: why}
+    assert context.recorded == {context.exchange.id: fault}
 
 
-@then('where its target ends a new one is reset, noted as {why}')
-def target_ends(context, why):
+@then(
+    'a new connection after the stop of its target is reset, recorded as'
+    ' {fault}'
+)
+def stop_target(context, fault):
     context.target.stop()
-    context.one = Exchange(context.proxy)
-    context.one.send()
-    is_reset(context, why)
+    context.exchange = Exchange(context.proxy)
+    context.exchange.send()
+    check_reset(context, fault)
 
 
-@then('the next one is refused, until the target listens again')
-def refused(context):
+@then('the next connection is refused until the target listens again')
+def check_refused(context):
     assert Exchange(context.proxy).failure.reason == 'no_connection'
     context.closing.append(context.target.again().stop)
     context.proxy.open()
-    new_answered(context)
+    new_exchange(context)
 
 
-@then("a planned stop's cut counts where no or another request is noted")
-def excused(context):
+@then(
+    'a cut by a planned stop counts unless the proxy has recorded a fault'
+    ' of that request'
+)
+def check_excused(context):
     context.fleet = fleet_.Fleet()
-    for noted, count in (('', 1), ('another', 1), ('its', 0)):
-        context.fleet.links.broken[noted] = 'reset'
-        assert cuts(context.fleet, 50, {ADDRESS: (0, 100)}) == count
+    for request_id, count in (('', 1), ('another', 1), ('its', 0)):
+        context.fleet.links.broken[request_id] = 'reset'
+        assert count_cuts(context.fleet, 50, {ADDRESS: (0, 100)}) == count
 
 
-def cuts(fleet, ended, drained):
-    """Return how many cuts by planned stops one broken answer counts as."""
+def count_cuts(fleet, ended, drained):
+    """Return the number of cuts by planned stops for one broken answer."""
     attempt = caller_.Attempt('its', ADDRESS, ended=ended)
     answer = caller_.Answer(failure=failures.unknown('broke_off'))
     answer.attempts.append(attempt)
@@ -132,8 +140,11 @@
     return judge.judge({}, drained, []).cut_by_planned_stop
 
 
-@then('what ended before the kill counts as cut, and what went with it not')
-def killed_in_stop(context):
+@then(
+    'an answer cut before the kill counts as cut by the stop, and one cut'
+    ' by the kill does not'
+)
+def check_kill_during_stop(context):
     context.fleet = fleet = fleet_.Fleet()
     driver = faults.FaultDriver(fleet, 0)
     fleet.add_router = lambda *args, **kwargs: None
@@ -149,6 +160,6 @@
     began, ended = driver.drained[ADDRESS]
     killed = ended + 1 + oracle.CUT_MS
     assert began <= killed <= CLOCK.now()
-    assert cuts(fleet, killed, driver.drained) == 0
+    assert count_cuts(fleet, killed, driver.drained) == 0
     driver.drained[ADDRESS] = killed - 9, ended
-    assert cuts(fleet, killed - 1, driver.drained) == 1
+    assert count_cuts(fleet, killed - 1, driver.drained) == 1
