--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the programs as processes of their own."""
+"""Steps that run the programs as separate processes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 {platform}"""
 
 
-def begin(context, program, text):
+def start_program(context, program, text):
     path = f'{context.folder}/{program}-{len(context.processes)}.ini'
     with open(path, 'w') as file:
         file.write(text)
@@ -61,13 +61,13 @@
 
 
 def wait_for(condition, what, seconds=20):
-    """Return what `condition` returns once it is true."""
+    """Wait until `condition` returns a true value; return that value."""
     for _ in range(seconds * 20):
         found = condition()
         if found:
             return found
         time.sleep(0.05)
-    raise AssertionError(f'not in {seconds} s: {what}')
+    raise AssertionError(f'not within {seconds} s: {what}')
 
 
 def log_of(process):
@@ -75,7 +75,7 @@
         return file.read()
 
 
-def in_log(process, pattern):
+def wait_for_log(process, pattern):
     return wait_for(
         lambda: re.search(pattern, log_of(process)),
         f'{pattern} in {log_of(process)[-2000:]}',
@@ -91,19 +91,23 @@
     )
 
 
-@given('a stand-in as a process')
+@given('a stand-in in a separate process')
 def standin_process(context):
     context.processes = []
-    standin = begin(context, 'standin', '[standin]\nlisten = 127.0.0.1:0\n')
-    found = in_log(standin, r'(?s)\[platform\]\nobjects = \S+\ncloud = \S+\n')
+    standin = start_program(
+        context, 'standin', '[standin]\nlisten = 127.0.0.1:0\n'
+    )
+    found = wait_for_log(
+        standin, r'(?s)\[platform\]\nobjects = \S+\ncloud = \S+\n'
+    )
     context.platform = found[0]
 
 
-@given('a stand-in and two routers, each a process')
+@given('a stand-in and two routers in separate processes')
 def separate_processes(context):
     standin_process(context)
     context.routers = [
-        begin(
+        start_program(
             context,
             'router',
             SETTINGS.format(number=number + 1, platform=context.platform),
@@ -111,25 +115,25 @@
         for number in range(2)
     ]
     started = [
-        in_log(router, r'event=started .*peer_address=(\S+)')
+        wait_for_log(router, r'event=started .*peer_address=(\S+)')
         for router in context.routers
     ]
     context.peers = [found[1] for found in started]
-    wait_for(lambda: is_whole(context), 'the fleet')
+    wait_for(lambda: is_fleet_complete(context), 'the fleet')
     context.addresses = chat_addresses(context)
 
 
-def is_whole(context):
+def is_fleet_complete(context):
     listed = command(context, 'upstream', 'list').stdout
     nodes = command(context, 'node', 'list').stdout
     return listed.count('engine') == 4 and nodes.count(' ready ') == 2
 
 
 def chat_addresses(context):
-    """Return the chat addresses of both routers, by their sockets."""
+    """Return the chat addresses of both routers, from their logs."""
     found = []
     for router in context.routers:
-        text = in_log(router, r'chat_address=(\S+)')
+        text = wait_for_log(router, r'chat_address=(\S+)')
         found.append(text[1])
     return found
 
@@ -148,42 +152,42 @@
     ]
 
 
-@when('an answer is asked for with the command line')
-def ask_by_command(context):
+@when('a request is sent with the command line')
+def send_request(context):
     context.run = command(context, *send_args(context, 12))
     context.sent = getattr(context, 'sent', 0) + 1
 
 
-def ids_of(router, event):
-    """Return the ids of the requests that a router's log has `event` of."""
-    # With what follows it, since a line may be written in two pieces.
+def logged_ids(router, event):
+    """Return the ids of the requests with `event` in a router's log."""
+    # Match up to the space after the id: a line may be written in two parts.
     pattern = rf'event={event} .*request=(\S+) '
     return set(re.findall(pattern, log_of(router)))
 
 
-def answered(context):
-    return set.union(*(ids_of(r, 'answered') for r in context.routers))
+def answered_ids(context):
+    return set.union(*(logged_ids(r, 'answered') for r in context.routers))
 
 
-@then('each request that was sent has an id of its own')
-def ids_differ(context):
-    # What a router decides is in its log a while later.
+@then('each request that was sent has a unique id')
+def check_unique_ids(context):
+    # A router writes its log with a delay.
     wait_for(
-        lambda: len(answered(context)) == context.sent,
-        f'{context.sent} ids among {answered(context)}',
+        lambda: len(answered_ids(context)) == context.sent,
+        f'{context.sent} ids among {answered_ids(context)}',
     )
 
 
-@then('the command ends with 0 and printed the answer of 12 tokens')
-def printed_tokens(context):
-    wanted = oracle.chat_text(PROMPT, 12)
+@then('the command exits with 0 and has printed the answer of 12 tokens')
+def check_printed_answer(context):
+    expected = oracle.chat_text(PROMPT, 12)
     assert context.run.returncode == 0, context.run
-    assert context.run.stdout.strip() == wanted.strip(), context.run
+    assert context.run.stdout.strip() == expected.strip(), context.run
 
 
 @then('the command line lists 2 routers and 4 engines')
-def lists_all(context):
-    assert is_whole(context)
+def check_lists(context):
+    assert is_fleet_complete(context)
     found = command(context, 'resolve', context.addresses[0]).stdout
     assert set(found.split()) == set(context.addresses), found
 
@@ -192,31 +196,33 @@
 def change_document(context):
     status = command(context, 'config', 'status').stdout
     context.base = re.search(r'router-1\s+\d+\s+(\d+)', status)[1]
-    context.run = apply(context, '# one\n', '--comment', 'first change')
+    context.run = apply_document(
+        context, '# one\n', '--comment', 'first change'
+    )
 
 
-def apply(context, text, *args):
+def apply_document(context, text, *args):
     path = f'{context.folder}/document.ini'
     with open(path, 'w') as file:
         file.write(shape_.DOCUMENT + text)
     return command(context, 'config', 'apply', path, *args)
 
 
-@then('it is committed and in force at 2 routers')
-def in_force(context):
+@then('the change is committed and in force at 2 routers')
+def check_in_force(context):
     assert context.run.returncode == 0, context.run
     assert 'in force at 2 routers' in context.run.stdout, context.run
     history = command(context, 'config', 'history').stdout
     assert 'first change' in history, history
 
 
-@when('it is changed again from the version before')
-def change_again(context):
-    context.run = apply(context, '# two\n', '--base', context.base)
+@when('the document is changed again, based on the previous version')
+def change_from_previous(context):
+    context.run = apply_document(context, '# two\n', '--base', context.base)
 
 
-@then('the command ends with 3 and shows the other change')
-def conflict_shown(context):
+@then('the command exits with 3 and shows the conflicting change')
+def check_conflict(context):
     assert context.run.returncode == 3, context.run
     assert '# one' in context.run.stderr, context.run
 
@@ -230,8 +236,8 @@
     )  # fmt: skip
 
 
-@then('it is listed and planned')
-def listed_and_planned(context):
+@then('the event is listed and planned')
+def check_event(context):
     assert context.run.returncode == 0, context.run
     assert 'opening' in command(context, 'event', 'list').stdout
     plan = command(context, 'event', 'plan').stdout
@@ -245,23 +251,23 @@
 
 
 @then('no event is listed')
-def none_listed(context):
+def check_no_event(context):
     assert not command(context, 'event', 'list').stdout.strip()
 
 
-@when('a request is asked about by its id')
-def asked_by_id(context):
+@when('a request is looked up by its id')
+def look_up_request(context):
     text = log_of(context.routers[0]) + log_of(context.routers[1])
     request_id = re.findall(r'event=answered .*request=(\S+)', text)[-1]
     context.run = command(context, 'request', 'show', request_id)
 
 
-@then('the command line shows where it went')
-def shows_where(context):
+@then('the command line shows the upstream of the request')
+def check_upstream_shown(context):
     assert 'upstream=engine-' in context.run.stdout, context.run
 
 
-@when('a router is killed while an answer streams')
+@when('a router is killed while it streams an answer')
 def kill_while_streaming(context):
     context.printed = pathlib.Path(context.folder, 'answer')
     errors = pathlib.Path(context.folder, 'answer.log')
@@ -274,50 +280,53 @@
     context.closing.append(context.answer.kill)
     wait_for(
         lambda: (
-            context.printed.read_text() and any(map(busy, context.routers))
+            context.printed.read_text()
+            and any(map(has_open_request, context.routers))
         ),
         'a stream',
     )
-    [context.busy] = filter(busy, context.routers)
-    context.busy.kill()
+    [context.killed_router] = filter(has_open_request, context.routers)
+    context.killed_router.kill()
 
 
-def busy(router):
-    """Return whether a request is at a router whose end it has not logged."""
-    ended = ids_of(router, 'answered') | ids_of(router, 'refused')
-    return bool(ids_of(router, 'attempt') - ended)
+def has_open_request(router):
+    """Return whether a router has not logged the end of some request."""
+    finished = logged_ids(router, 'answered') | logged_ids(router, 'refused')
+    return bool(logged_ids(router, 'attempt') - finished)
 
 
-@then('the whole answer comes from the other router')
-def whole_from_other(context):
-    [context.other] = [r for r in context.routers if r is not context.busy]
+@then('the other router sends the whole answer')
+def check_whole_answer(context):
+    [context.other] = [
+        r for r in context.routers if r is not context.killed_router
+    ]
     assert context.answer.wait(timeout=30) == 0, context.printed.read_text()
-    wanted = oracle.chat_text(PROMPT, 400)
+    expected = oracle.chat_text(PROMPT, 400)
     text = context.printed.read_text()
-    assert text.rstrip('\n').endswith(wanted), text[-200:]
-    # It began at the other one, which did not come to its end.
-    assert text.rstrip('\n') != wanted, text[-200:]
-    assert busy(context.busy)
+    assert text.rstrip('\n').endswith(expected), text[-200:]
+    # The printed text also has the start of the killed router's answer.
+    assert text.rstrip('\n') != expected, text[-200:]
+    assert has_open_request(context.killed_router)
     wait_for(
-        lambda: len(answered(context)) == context.sent + 1,
+        lambda: len(answered_ids(context)) == context.sent + 1,
         f'one more than {context.sent} answers',
     )
 
 
-@when('the other router is told to stop')
-def tell_to_stop(context):
+@when('the other router receives SIGTERM')
+def terminate_other(context):
     context.other.send_signal(signal.SIGTERM)
 
 
-@then('it ends with 0 after its drain')
-def ends_after_drain(context):
+@then('it exits with 0 after its drain')
+def check_drained_exit(context):
     assert context.other.wait(timeout=20) == 0
     assert 'event=drain_over' in log_of(context.other)
     assert 'event=stopped' in log_of(context.other)
 
 
-@when('a router gets SIGHUP with changed settings')
-def hup_router(context):
+@when('a router receives SIGHUP after a change of its settings')
+def reload_settings(context):
     router = context.routers[0]
     with open(router.config_path) as file:
         text = file.read()
@@ -326,47 +335,47 @@
     router.send_signal(signal.SIGHUP)
 
 
-@then('it goes on with them')
-def goes_on(context):
-    in_log(context.routers[0], 'event=settings_reloaded')
+@then('it reloads the settings and continues to serve')
+def check_reloaded(context):
+    wait_for_log(context.routers[0], 'event=settings_reloaded')
     assert context.routers[0].poll() is None
-    ask_by_command(context)
-    printed_tokens(context)
+    send_request(context)
+    check_printed_answer(context)
 
 
-@when('a router is frozen')
-def freeze(context):
-    context.frozen = context.routers[1]
-    context.frozen.send_signal(signal.SIGSTOP)
+@when('a router is suspended')
+def suspend(context):
+    context.suspended = context.routers[1]
+    context.suspended.send_signal(signal.SIGSTOP)
 
 
-@then('the directory names only the other within 5 s')
-def only_other(context):
+@then('the directory lists only the other router within 5 s')
+def check_only_other(context):
     wait_for(
         lambda: command(
             context, 'resolve', context.addresses[0]
         ).stdout.split() == [context.addresses[0]],
-        'the frozen router is out', 5,
+        'the suspended router is not listed', 5,
     )  # fmt: skip
 
 
-@when('the frozen router goes on')
-def thaw(context):
-    context.frozen.send_signal(signal.SIGCONT)
+@when('the suspended router is resumed')
+def resume(context):
+    context.suspended.send_signal(signal.SIGCONT)
 
 
-@then('both are named again')
-def both_named(context):
+@then('the directory lists both routers again')
+def check_both_listed(context):
     wait_for(
         lambda: set(command(
             context, 'resolve', context.addresses[0]
         ).stdout.split()) == set(context.addresses),
-        'both are named', 10,
+        'both routers are listed', 10,
     )  # fmt: skip
 
 
-@then('the log is one line of key=value pairs an event')
-def log_lines(context):
+@then('the log has one line of key=value pairs for each event')
+def check_log_lines(context):
     lines = log_of(context.routers[0]).splitlines()
     assert len(lines) > 5
     for line in lines:
@@ -375,28 +384,30 @@
 
 
 @when(
-    'a router stands still for {seconds:d} s while it is asked which there are'
+    'a router receives a directory request while it is suspended for'
+    ' {seconds:d} s'
 )
-def stand_still(context, seconds):
+def request_while_suspended(context, seconds):
     router, address = context.routers[0], context.addresses[0]
     router.send_signal(signal.SIGSTOP)
     try:
-        # The kernel takes it; it is answered before any beacon is read.
+        # The kernel accepts the request. The resumed router answers it before
+        # it reads any beacon.
         conn = http.client.HTTPConnection(address, timeout=20)
         conn.request('GET', '/resolve')
         time.sleep(seconds)
     finally:
         router.send_signal(signal.SIGCONT)
-    context.named = json.loads(conn.getresponse().read())['addresses']
+    context.listed = json.loads(conn.getresponse().read())['addresses']
     conn.close()
 
 
-@then('it names both')
-def names_both(context):
-    assert set(context.named) == set(context.addresses), context.named
+@then('its answer lists both routers')
+def check_answer_lists_both(context):
+    assert set(context.listed) == set(context.addresses), context.listed
 
 
-@when('two fleets of stand-ins are told to take free ports')
+@when('two fleets of stand-ins are started on free ports')
 def start_standins(context):
     context.fleets = []
     for _ in range(2):
@@ -408,8 +419,8 @@
         context.fleets.append(fleet)
 
 
-@then('no address is listened at by both')
-def share_none(context):
+@then('the fleets share no address')
+def check_no_shared_address(context):
     found = [
         [fleet.store.address, fleet.cloud.address]
         + [guest.record.upstream.address for guest in fleet.guests]
@@ -419,37 +430,40 @@
     assert not set(found[0]) & set(found[1]), found
 
 
-@when('two routers are started at one address')
+@when('two routers are started with the same address')
 def start_at_one_address(context):
-    # Of all that lead to this machine, so that no other run has the same.
-    own = ipaddress.IPv4Address('127.1.0.0') + random.randrange(1 << 16)
+    # A random loopback address, so that concurrent test runs do not collide.
+    host = ipaddress.IPv4Address('127.1.0.0') + random.randrange(1 << 16)
     context.routers = [
-        begin(
+        start_program(
             context,
             'router',
             SETTINGS.format(
                 number=number + 1, platform=context.platform
-            ).replace('\nlisten = 127.0.0.1:0', f'\nlisten = {own}:8700'),
+            ).replace('\nlisten = 127.0.0.1:0', f'\nlisten = {host}:8700'),
         )
         for number in range(2)
     ]
 
 
-@then('one serves, and one ends with 1 and says that the address is taken')
-def one_ends(context):
-    ended = wait_for(
+@then(
+    'one serves, and the other exits with 1 and reports that the address'
+    ' is in use'
+)
+def check_one_exits(context):
+    exited = wait_for(
         lambda: [r for r in context.routers if r.poll() is not None],
-        'a router that ends',
+        'a router that exits',
     )
-    assert [router.returncode for router in ended] == [1], ended
-    text = log_of(ended[0])
+    assert [router.returncode for router in exited] == [1], exited
+    text = log_of(exited[0])
     assert re.search(r'event=cannot_start .*:8700\b.*in use', text), text
-    other = next(r for r in context.routers if r not in ended)
-    in_log(other, 'event=ready ')
+    other = next(r for r in context.routers if r not in exited)
+    wait_for_log(other, 'event=ready ')
     assert other.poll() is None
 
 
-@given('a fleet whose router is a process')
+@given('a fleet with one router in a separate process')
 def fleet_of_process(context):
     shape = shape_.FleetShape(routers=1, domains=1, services=0)
     context.processes = process_fleet.ProcessFleet(shape, 0, context.folder)
@@ -457,10 +471,8 @@
     context.processes.start()
 
 
-@when(
-    'it is killed, and its ports on this machine are given to another program'
-)
-def ports_given(context):
+@when('it is killed, and another program binds its ports at 127.0.0.1')
+def kill_and_bind_ports(context):
     [context.killed] = context.processes.routers
     context.killed.stop()
     addresses = (
@@ -475,8 +487,8 @@
         other.listen()
 
 
-@then('it comes back at its address')
-def comes_back(context):
+@then('it restarts at its address')
+def check_restarted(context):
     context.processes.restart(context.killed)
     [router] = context.processes.serving()
     assert router.address == context.killed.address, router.address
