--- a/src/peridotmast/duties/capacity_plan.py
+++ b/src/peridotmast/duties/capacity_plan.py
@@ -39,7 +39,7 @@
         return self.total - max(self.reclaimable.values(), default=0)
 
     def without_one(self, domain: str, reclaimable: bool) -> Mix:
-        """Return a copy with one upstream less in `domain`."""
+        """Return a copy with one upstream fewer in `domain`."""
         kinds = [dict(self.firm), dict(self.reclaimable)]
         kinds[reclaimable][domain] -= 1
         return Mix(kinds[True], kinds[False])
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -216,7 +216,7 @@
 
     def _contenders(self) -> list[pb.Member]:
         """Return the routers that may hold the lease, in order."""
-        return sorted(self._members.serving(), key=_age)
+        return sorted(self._members.serving(), key=_start_order)
 
 
 def _parse_state(
@@ -233,5 +233,5 @@
         return pb.DutiesLeft()
 
 
-def _age(member: pb.Member) -> tuple[int, str]:
+def _start_order(member: pb.Member) -> tuple[int, str]:
     return member.incarnation, member.name
