--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -33,11 +33,11 @@
 @when('{count:d} requests are sent to all routers within a window')
 def send_within_window(context, count):
     fleet = context.fleet
-    clock = fleet.routers[0].knowledge.fleet_clock
+    clock = fleet.routers[0].fleet_state.fleet_clock
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
     context.window = fleet.routers[0].serving.usage.window_now()
     tasks = [
-        green.spawn(helpers.ask, fleet.routers[n % 3].address)
+        green.spawn(helpers.send_request, fleet.routers[n % 3].address)
         for n in range(count)
     ]
     for task in tasks:
@@ -77,7 +77,7 @@
     for me in context.starts:
         members = members_.Members(member_of(context, me), context.clock, 1000)
         for other in context.starts:
-            members.hear(member_of(context, other))
+            members.receive(member_of(context, other))
         lease = lease_.Lease(None, 'l', me, me, 4000, 600, context.clock)
         holder = duty_holder.DutyHolder(lease, members, (), context.clock)
         found[holder._rank()] = me
@@ -136,12 +136,12 @@
         self.duty = RecordingDuty()
         self.store = MemoryStore()
         self.store.objects = context.objects
-        self.store.out = 'store_out' in context
+        self.store.is_down = 'store_out' in context
         clock = context.clock
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
         )
-        self.lease.bind(f'boot:net:{name}')
+        self.lease.set_endpoint(f'boot:net:{name}')
         self._members = members_.Members(member_of(context, name), clock, 1000)
         self._peers = [member_of(context, other) for other in context.starts]
         self._runs = context.runs if 'runs' in context else []
@@ -158,7 +158,7 @@
         names = {member.name for member in successors}
         for one in self._runs:
             if one.name in names:
-                one.lease.hear(self.lease.hint())
+                one.lease.receive_hint(self.lease.hint())
 
     def stop(self):
         """Release the lease, as a planned stop does."""
@@ -166,7 +166,7 @@
 
     def tick(self):
         for peer in self._peers:
-            self._members.hear(peer)
+            self._members.receive(peer)
         self._holder.keep_lease()
         self._holder.run_duties()
 
@@ -196,7 +196,7 @@
         hint = one.lease.known_holder()
         for other in runs:
             if hint is not None and other is not one:
-                other.lease.hear(hint)
+                other.lease.receive_hint(hint)
 
 
 @given('the last of them held the lease when all were killed')
@@ -217,7 +217,7 @@
 def start_with_known_holder(context, ms):
     start_all(context, 2)
     for one in context.runs:
-        one.lease.hear(context.hint)
+        one.lease.receive_hint(context.hint)
     advance(context, ms)
 
 
@@ -244,7 +244,7 @@
 @then('the next router holds the lease {ms:d} ms later')
 def next_holds(context, ms):
     advance(context, ms, 1400)
-    held = [one.name for one in context.runs if one.lease.held()]
+    held = [one.name for one in context.runs if one.lease.is_held()]
     assert held == ['r1'], held
 
 
@@ -252,7 +252,7 @@
 def first_requires(context, count):
     start_all_and_wait(context, 3000)
     first = context.runs[0]
-    assert first.lease.held() and first.duty.received == [pb.DutiesLeft()]
+    assert first.lease.is_held() and first.duty.received == [pb.DutiesLeft()]
     first.duty.required = count
 
 
@@ -282,7 +282,7 @@
 
 
 def current_holder(context):
-    (holder,) = [one for one in context.runs if one.lease.held()]
+    (holder,) = [one for one in context.runs if one.lease.is_held()]
     return holder
 
 
@@ -292,7 +292,7 @@
     first, second = context.runs[:2]
     first.stop()
     second.lease.attempt()
-    assert second.lease.held() and not second.duty.received
+    assert second.lease.is_held() and not second.duty.received
     second.stop()
     del context.runs[:2]
 
@@ -306,25 +306,27 @@
 @when('the store is unavailable for {ms:d} ms')
 def store_unavailable(context, ms):
     for one in context.runs:
-        one.store.out = True
+        one.store.is_down = True
     advance(context, ms)
     for one in context.runs:
-        one.store.out = False
+        one.store.is_down = False
     advance(context, 1000)
 
 
 @then('the first router holds the lease again, and keeps its own state')
 def holds_again(context):
     first = context.runs[0]
-    assert first.lease.held() and first.lease.fencing == 2, first.lease.fencing
+    assert first.lease.is_held() and first.lease.fencing == 2, (
+        first.lease.fencing
+    )
     assert first.duty.received[-1] is None, first.duty.received
 
 
 @then('the {which} router holds the lease with fencing number {number:d}')
 def check_holder(context, which, number):
     lease = context.runs[{'first': 0, 'last': -1}[which]].lease
-    held = [(one.lease.held(), one.lease.fencing) for one in context.runs]
-    assert lease.held() and lease.fencing == number, held
+    held = [(one.lease.is_held(), one.lease.fencing) for one in context.runs]
+    assert lease.is_held() and lease.fencing == number, held
 
 
 @then('each router has called the store at most {count:d} times')
@@ -352,7 +354,7 @@
 def check_place(context):
     def holder():
         routers = context.fleet.routers
-        return next((one for one in routers if one.lease.held()), None)
+        return next((one for one in routers if one.lease.is_held()), None)
 
     helpers.wait_until(holder, 'a holder')
     found = holder()
@@ -370,7 +372,7 @@
     others = [r for r in fleet.routers if r is not context.former]
     context.former.stop()
     for number in range(60):
-        assert helpers.ask(others[number % 2].address).status == 200
+        assert helpers.send_request(others[number % 2].address).status == 200
         green.sleep_ms(20)
 
 
@@ -499,7 +501,7 @@
     set_up_usage(context, window + 1)
     spec = {'window': window, 'counts': {'noor': 12}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
 
 
 @when('the next holder starts')
@@ -521,10 +523,10 @@
 @given('a usage reporter whose next write gets no answer')
 def lost_write_answer(context):
     set_up_usage(context, 10)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
     context.reporter = make_reporter(context)
     context.reporter.start(None)
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
 
 
 @when('two windows have ended')
@@ -532,7 +534,7 @@
     for number in range(40):
         context.clock.advance(400)
         if number == 15:
-            context.usage.began('noor')
+            context.usage.count_started('noor')
         context.reporter.run(1)
 
 
@@ -563,11 +565,11 @@
     for incarnation, count in ((1, 3), (2, 4)):
         other = usage_.Usage(context.clock.wall, WINDOW_MS)
         for _ in range(count):
-            other.began('noor')
+            other.count_started('noor')
         # Beacons repeat their counts; only the latest must be counted.
         for _ in range(3):
-            context.usage.hear('router-2', incarnation, other.counts())
-    context.usage.began('noor')
+            context.usage.merge_router('router-2', incarnation, other.counts())
+    context.usage.count_started('noor')
 
 
 @then("the window's total includes the requests of both runs")
@@ -597,7 +599,7 @@
     context.before = context.fleet_clock.now()
     walls = [0, 3, -2, 3_600_000]
     for number, offset in enumerate(walls):
-        context.fleet_clock.hear(
+        context.fleet_clock.record_peer(
             f'router-{number}', context.own.boot() + offset
         )
     context.own.offset = -3_600_000
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -19,15 +19,15 @@
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
 from peridotmast.coordination import fleet_clock
-from peridotmast.coordination import gaps as gaps_
+from peridotmast.coordination import fleet_counts
 from peridotmast.coordination import groups
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
-from peridotmast.coordination import tally
+from peridotmast.coordination import report_gaps as report_gaps_
+from peridotmast.coordination import router_selector
 from peridotmast import green
 from peridotmast.router import catch_up as catch_up_
 from peridotmast.router import peering as peering_
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import shared_totals as shared_totals_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import demand as demand_
@@ -77,7 +77,9 @@
             state=members_.ALIVE,
             ready=True,
         )
-        members = members_.Members(me, self.clock, 1250, groups.WHOLE)
+        members = members_.Members(
+            me, self.clock, 1250, groups.FULL_MESH_LIMIT
+        )
         self.members = members
         self.time = fleet_clock.FleetClock(self.clock)
         self.table = upstreams_.UpstreamTable(self.clock)
@@ -94,7 +96,7 @@
             quota=quota_.Quota(self.clock),
             demand=demand_.Demand(self.clock),
             usage=usage_.Usage(self.time.now, WINDOW_MS),
-            budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
+            retry_budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
             crashes=crash_tracker_.CrashTracker(self.clock, self.name),
             limits=upstream_limits.UpstreamLimits(self.clock, self.name),
         )
@@ -106,10 +108,10 @@
             self.clock,
             knowledge,
             self.serving,
-            sharing_.Sharing(self.serving, self.table),
+            shared_totals_.SharedTotals(self.serving, self.table),
             types.SimpleNamespace(
                 hint=lambda: None,
-                hear=lambda hint: None,
+                receive_hint=lambda hint: None,
                 known_holder=lambda: None,
             ),
             catch_up_.CatchUp(self.clock, knowledge, None, self._spawn),
@@ -126,13 +128,13 @@
         version = types.SimpleNamespace(version=1)
         return types.SimpleNamespace(
             members=self.members,
-            config=types.SimpleNamespace(routes=version, own=version),
-            table=self.table,
+            config=types.SimpleNamespace(routes=version, product=version),
+            upstream_table=self.table,
             fleet_clock=self.time,
-            outage=types.SimpleNamespace(is_felt=lambda: False),
+            outage=types.SimpleNamespace(is_suspected=lambda: False),
             is_watching=lambda what: False,
-            overtaken=lambda what: None,
-            doubt_store=lambda: None,
+            refresh=lambda what: None,
+            check_store=lambda: None,
         )
 
     def spent(self):
@@ -140,7 +142,7 @@
         return BURST - bucket.level
 
     def look(self):
-        return self.peering._groups.look()
+        return self.peering._groups.snapshot()
 
 
 class Fleet:
@@ -161,7 +163,7 @@
         if not starts:
             # They have run for long, and know what is left of the limit.
             for node in self.nodes.values():
-                node.serving.quota.hear_levels({'noor': BURST})
+                node.serving.quota.adopt_levels({'noor': BURST})
 
     def add(self, count):
         fresh = [Node(next(self.numbers), self.clock) for _ in range(count)]
@@ -182,7 +184,7 @@
             for node in list(self.nodes.values()):
                 node.peering.tick()
                 node.serving.demand.tick()
-                for beacon, peers in list(node.peering.rounds.due()):
+                for beacon, peers in list(node.peering.rounds.next_round()):
                     self.hand_over(node, beacon, peers)
             self.clock.advance(ROUND_MS)
 
@@ -196,7 +198,7 @@
             if self.is_cut(beacon):
                 continue
             self.got[there.name] += 1
-            there.peering.take(pb.Beacon.FromString(data))
+            there.peering.receive(pb.Beacon.FromString(data))
 
     def run_apart(self, ms):
         """Pass time while each router has rounds at moments of its own.
@@ -213,16 +215,18 @@
                     late = self.draws.randrange(0, LATE_MS, STEP_MS)
                     node.next_at = passed + ROUND_MS + late
                     node.peering.tick()
-                    for beacon, peers in list(node.peering.rounds.due()):
+                    for beacon, peers in list(
+                        node.peering.rounds.next_round()
+                    ):
                         self.hand_over(node, beacon, peers)
             self.clock.advance(STEP_MS)
             yield
 
     def heads(self):
-        return [node for node in self.nodes.values() if node.look().leads]
+        return [node for node in self.nodes.values() if node.look().is_head]
 
     def member(self):
-        return next(n for n in self.nodes.values() if not n.look().leads)
+        return next(n for n in self.nodes.values() if not n.look().is_head)
 
 
 def copy_of(member):
@@ -266,14 +270,14 @@
     for me in everyone[:some]:
         members = members_.Members(copy_of(me), clock, 1250)
         for member in everyone:
-            members.hear(copy_of(member))
-        context.directories.append(nearest.Nearest(members, 64))
+            members.receive(copy_of(member))
+        context.directories.append(router_selector.RouterSelector(members, 64))
 
 
 @when('callers of each failure domain ask them {times:d} times each')
 def callers_ask(context, times):
     context.answers = [
-        (domain, directory.of(domain))
+        (domain, directory.select(domain))
         for domain in sorted(context.domains)
         for directory in context.directories
         for _ in range(times)
@@ -314,7 +318,7 @@
     """Check that each router but some hears all the others."""
     nodes = context.groups.nodes
     for node in (n for n in nodes.values() if n.name not in left_out):
-        heard = {peer.member.name for peer in node.members.heard()}
+        heard = {peer.member.name for peer in node.members.live_peers()}
         missing = nodes.keys() - heard - {node.name}
         assert not missing, (node.name, missing)
 
@@ -358,11 +362,11 @@
 def each_works(context, tokens):
     for node in context.groups.nodes.values():
         assert not node.serving.quota.take('noor', tokens)
-        node.serving.usage.began('noor')
-        node.serving.demand.offered('pool', 3000)
-        if not node.table.my_loads():
+        node.serving.usage.count_started('noor')
+        node.serving.demand.count_request('pool', 3000)
+        if not node.table.local_loads():
             view = node.table.get('u-1')
-            view.take_on(upstream_view.Load(1, 10, 100))
+            view.add_load(upstream_view.Load(1, 10, 100))
 
 
 @then("at each of them {tokens:d} tokens are off the team's limit")
@@ -390,7 +394,7 @@
 @then('each of them knows the work of all {count:d} at "u-1"')
 def knows_work(context, count):
     for node in context.groups.nodes.values():
-        load = node.table.get('u-1').load()
+        load = node.table.get('u-1').total_load()
         assert load == upstream_view.Load(count, 10 * count, 100 * count), (
             node.name,
             load,
@@ -413,7 +417,7 @@
 
 
 def tell_news(fleet, node):
-    fleet.hand_over(node, node.peering.news.fill(), node.members.peers())
+    fleet.hand_over(node, node.peering.updates.build(), node.members.peers())
 
 
 @then('for {ms:d} ms each hears all the others, whose rounds are not at once')
@@ -424,7 +428,7 @@
 
 @then('only the heads lead')
 def only_heads_lead(context):
-    groups_led = [node.look().mine for node in context.groups.heads()]
+    groups_led = [node.look().own_group for node in context.groups.heads()]
     assert len(groups_led) == len(set(groups_led)), groups_led
 
 
@@ -532,7 +536,7 @@
     context.ended = node.name
     node.members.change_me(state=members_.LEAVING, ready=False)
     context.groups.hand_over(
-        node, node.peering.news.fill(), node.members.peers()
+        node, node.peering.updates.build(), node.members.peers()
     )
 
 
@@ -649,13 +653,13 @@
 @given('a member that hears of {a:d} and then {b:d} from one head')
 def hears_from_one(context, a, b):
     context.counted = collections.Counter()
-    context.tally = tally.Tally(dict, context.counted.update)
+    context.tally = fleet_counts.FleetCounts(dict, context.counted.update)
     hears_from(context, 'first', a, b)
 
 
 def hears_from(context, head, *counts):
     for count in counts:
-        context.tally.follow(head, 1, {'noor': count}, True)
+        context.tally.receive_fleet(head, 1, {'noor': count}, True)
 
 
 @when('it hears of {a:d} and then {b:d} from another one')
@@ -749,7 +753,7 @@
 def pass_there(context, count, tokens):
     quota = context.came[0].serving.quota
     for _ in range(count):
-        assert not quota.take('noor', tokens), quota.state('noor')
+        assert not quota.take('noor', tokens), quota.describe('noor')
 
 
 @when('one starts anew and lets {tokens:d} pass before it is told')
@@ -886,7 +890,7 @@
     passed = 0
     for _ in range(offered // tokens):
         size = round(tokens * draws.uniform(0.4, 1.6))
-        if not draws.choice(nodes).peering.borrowing.take('noor', size):
+        if not draws.choice(nodes).peering.borrowing.acquire('noor', size):
             passed += size
         elif refused is not None:
             refused.append(size)
@@ -921,7 +925,7 @@
         while due >= 1:
             due -= 1
             node = fleet.draws.choice(nodes)
-            if node.peering.borrowing.take('noor', tokens):
+            if node.peering.borrowing.acquire('noor', tokens):
                 refused += 1
             else:
                 passed += 1
@@ -959,7 +963,7 @@
 def repeats_before(context, most):
     sent = 0
     for node in context.came:
-        while node.serving.budget.take('pool'):
+        while node.serving.retry_budget.take('pool'):
             sent += 1
     assert sent <= most, sent
 
@@ -1012,21 +1016,23 @@
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
-    context.gaps = gaps_.Gaps(context.clock, context.quota.worth)
-    context.gaps.hear('half', ('first', 1), 0.5)
+    context.gaps = report_gaps_.ReportGaps(
+        context.clock, context.quota.max_spends
+    )
+    context.gaps.on_report('half', ('first', 1), 0.5)
 
 
 @given('nothing is left of a burst of {burst:d}')
 def nothing_left(context, burst):
     all_left(context, burst)
-    context.quota.spent_elsewhere({'noor': burst})
+    context.quota.subtract_peer_spends({'noor': burst})
 
 
 @given('all is left of a burst of {burst:d}')
 def all_left(context, burst):
     team = pb.Team(name='noor', rate=context.rate, burst=burst)
     context.quota.configure([team])
-    context.quota.hear_levels({'noor': burst})
+    context.quota.adopt_levels({'noor': burst})
 
 
 @when('{ms:d} ms later {which} head tells')
@@ -1034,7 +1040,7 @@
     context.clock.advance(ms)
     # The first word of another one, and then the next of that one.
     assert which in ('another', 'the same'), which
-    context.reckoned = context.gaps.hear('half', ('second', 1), 0.5)
+    context.reckoned = context.gaps.on_report('half', ('second', 1), 0.5)
 
 
 @then('{count:d} tokens are reckoned')
@@ -1045,8 +1051,8 @@
 @when('one request crashes an upstream at a member of each of three groups')
 def crashes_in_groups(context):
     fleet = context.groups
-    members = [n for n in fleet.nodes.values() if not n.look().leads]
-    by_group = {node.look().mine: node for node in members}
+    members = [n for n in fleet.nodes.values() if not n.look().is_head]
+    by_group = {node.look().own_group: node for node in members}
     assert len(by_group) >= 3, by_group
     for number, node in enumerate(list(by_group.values())[:3]):
         fleet.clock.advance(ROUND_MS)
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -5,10 +5,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import fleet_steps
 import helpers
 import raw_upstream
+import store_outage_steps
 import stream_steps
 
 from peridotmast import clock as clock_
@@ -31,7 +31,7 @@
         upstream=pb.Upstream(
             name='a',
             address='10.0.0.1:1',
-            service=doubt_steps.SERVICE,
+            service=store_outage_steps.SERVICE,
             slots=4,
             failure_domain='fd-1',
             born=born,
@@ -45,7 +45,7 @@
 def born_at(context, born):
     context.upstreams = upstreams_.UpstreamTable(clock_.ManualClock())
     context.ended = []
-    context.upstreams.listen_ends(context.ended.append)
+    context.upstreams.listen_replacements(context.ended.append)
     context.upstreams.merge(record(born, 10))
     context.before = context.upstreams.get('a')
 
@@ -54,17 +54,17 @@
     load = pb.UpstreamLoad(
         upstream='a', running=3, unread=900, memory=1000, born=born
     )
-    context.upstreams.take_loads('router-2', [load])
+    context.upstreams.set_peer_loads('router-2', [load])
 
 
 @given('it has work of two routers, fails and holds copies')
 def has_work(context):
     view = context.before
-    view.take_on(upstream_view.Load(1, 100, 200))
+    view.add_load(upstream_view.Load(1, 100, 200))
     tell_load(context, view.born)
     for _ in range(3):
-        view.health.failed()
-    assert not view.health.lets_through()
+        view.health.record_failure()
+    assert not view.health.allows_request()
     context.homes = homes_of(view)
 
 
@@ -90,20 +90,20 @@
 def begins_anew(context):
     view = context.upstreams.get('a')
     assert view is not context.before
-    assert view.load() == upstream_view.Load(), view.load()
-    assert view.health.lets_through() and not view.health.failing_share()
+    assert view.total_load() == upstream_view.Load(), view.total_load()
+    assert view.health.allows_request() and not view.health.failure_share()
     assert homes_of(view) != context.homes
     # What still ends at the earlier run is none of its business.
-    context.before.hand_back(upstream_view.Load(1, 100, 200))
-    context.before.health.failed()
-    assert view.load() == upstream_view.Load()
-    assert not context.upstreams.my_loads()
+    context.before.remove_load(upstream_view.Load(1, 100, 200))
+    context.before.health.record_failure()
+    assert view.total_load() == upstream_view.Load()
+    assert not context.upstreams.local_loads()
 
 
 @then('what it was before is over')
 def is_over(context):
     assert context.ended == [context.before]
-    assert not context.before.is_there
+    assert not context.before.is_available
 
 
 @when('the run that was born at {born:d} says later that it leaves')
@@ -113,7 +113,7 @@
 
 @then('"a" may get new work and was born at {born:d}')
 def may_get_work(context, born):
-    (view,) = context.upstreams.live(doubt_steps.SERVICE)
+    (view,) = context.upstreams.live(store_outage_steps.SERVICE)
     assert view.born == born, view.born
 
 
@@ -124,12 +124,12 @@
 
 @then('"a" has no work')
 def no_work(context):
-    assert not context.upstreams.get('a').load().running
+    assert not context.upstreams.get('a').total_load().running
 
 
 @then('"a" has that work')
 def has_that_work(context):
-    assert context.upstreams.get('a').load().running == 3
+    assert context.upstreams.get('a').total_load().running == 3
 
 
 @given('a peer that has taken that over')
@@ -199,7 +199,10 @@
 )
 def once_again(context, path):
     task = green.spawn(
-        helpers.ask, fleet_steps.front(context), path, request_id='seat-1'
+        helpers.send_request,
+        fleet_steps.router_address(context),
+        path,
+        request_id='seat-1',
     )
 
     def running():
@@ -231,7 +234,7 @@
         context.fleet.begin_again(guest)
         for guest in helpers.guests(context, service)
     ]
-    table = context.fleet.routers[0].table
+    table = context.fleet.routers[0].upstream_table
     helpers.wait_until(
         lambda: all(
             table.get(guest.name).born == guest.record.upstream.born
@@ -244,7 +247,9 @@
 @then('{count:d} requests to "{path}" are answered by the later runs')
 def answered_by_later(context, count, path):
     for _ in range(count):
-        answer = helpers.ask(fleet_steps.front(context), path)
+        answer = helpers.send_request(
+            fleet_steps.router_address(context), path
+        )
         assert answer.status == 200, answer
     runs = sum(
         sum(guest.upstream.app.runs.values()) for guest in context.later
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -131,7 +131,7 @@
 
 def count_cuts(fleet, ended, drained):
     """Return the number of cuts by planned stops for one broken answer."""
-    attempt = caller_.Attempt('its', ADDRESS, ended=ended)
+    attempt = caller_.Attempt('its', ADDRESS, ended_at=ended)
     answer = caller_.Answer(failure=failures.unknown('broke_off'))
     answer.attempts.append(attempt)
     arrival = arrivals.draw(soak.WORKLOADS[-1:], 9, 1)[0]
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies
 
 from peridotmast import clock as clock_
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.duties import capacity_plan
 from peridotmast.duties import event_plan
 from peridotmast.duties import order_tracker
@@ -24,7 +24,7 @@
 from peridotmast.duties import service_reconciler
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import demand as demand_
-from peridotmast.serving import reading
+from peridotmast.serving import prefill_rate
 from peridotmast.serving import upstream_limits
 from peridotmast.serving import upstreams as upstreams_
 
@@ -394,14 +394,14 @@
     clock = clock_.ManualClock()
     context.demands = [demand_.Demand(clock) for _ in range(2)]
     tallies = [
-        tally.Tally(demand.counts, demand.offered_elsewhere)
+        fleet_counts.FleetCounts(demand.counts, demand.count_from_peers)
         for demand in context.demands
     ]
     exchange_counts(context.demands, tallies)
     for _ in range(s * 4):
         for demand, tokens in zip(context.demands, (a, b)):
             demand.tick()
-            demand.offered('pool', tokens // (s * 4))
+            demand.count_request('pool', tokens // (s * 4))
         exchange_counts(context.demands, tallies)
         clock.advance(250)
 
@@ -409,7 +409,7 @@
 def exchange_counts(demands, tallies):
     for number, known in enumerate(tallies):
         other = 1 - number
-        known.hear(f'r{other}', 1, demands[other].counts(), True)
+        known.receive(f'r{other}', 1, demands[other].counts(), True)
 
 
 @then('both measure {rate:d} tokens per second')
@@ -428,7 +428,7 @@
 
 @when('it receives a request for {tokens:d} tokens, and {ms:d} ms pass')
 def receive_request(context, tokens, ms):
-    context.demand.offered('pool', tokens)
+    context.demand.count_request('pool', tokens)
     context.clock.advance(ms)
 
 
@@ -476,10 +476,10 @@
     def quantile(self, service, share):
         return max(self.value, self.peak)
 
-    def is_known(self, service):
+    def has_full_window(self, service):
         return self.known
 
-    def reading(self, service):
+    def prefill_rate(self, service):
         return self.speed
 
     def mean_request_tokens(self, service):
@@ -851,7 +851,7 @@
     for rate, seconds in ((low, long), (high, short)):
         for _ in range(4 * seconds):
             clock.advance(250)
-            context.demand.offered('pool', rate // 4)
+            context.demand.count_request('pool', rate // 4)
             context.demand.tick()
 
 
@@ -957,27 +957,29 @@
     'engines that prefill {speed:g} tokens per ms, with some slower requests'
 )
 def measure_requests(context, speed):
-    context.reading = reading.Reading()
+    context.prefill_rates = prefill_rate.PrefillRates()
     draws = random.Random(5)
     for number in range(60):
         tokens = draws.randint(1000, 9000)
         slow = 1 if draws.random() < 0.6 else draws.uniform(1, 8)
-        context.reading.note('pool', tokens, 20 + tokens / speed * slow)
-        context.reading.note('pool', 100, 22)
+        context.prefill_rates.add_sample(
+            'pool', tokens, 20 + tokens / speed * slow
+        )
+        context.prefill_rates.add_sample('pool', 100, 22)
 
 
 @then('the measured prefill speed is {speed:g}, within a tenth')
 def check_measured_speed(context, speed):
-    found = context.reading.speed('pool')
+    found = context.prefill_rates.tokens_per_ms('pool')
     assert abs(found - speed) < 0.1 * speed, found
 
 
 @then('fewer than 12 samples give no measurement')
 def no_measurement(context):
-    empty = reading.Reading()
+    empty = prefill_rate.PrefillRates()
     for _ in range(11):
-        empty.note('pool', 5000, 100)
-    assert empty.speed('pool') is None
+        empty.add_sample('pool', 5000, 100)
+    assert empty.tokens_per_ms('pool') is None
 
 
 @then(
@@ -1001,14 +1003,14 @@
 def two_measurements(context, a, b):
     context.demand = demand_.Demand(clock_.ManualClock())
     for name, speed in (('r-a', a), ('r-b', b)):
-        context.demand.hear_readings(name, {'pool': float(speed)})
+        context.demand.set_peer_prefill_rates(name, {'pool': float(speed)})
 
 
 @when('the router that measured {speed:d} is removed')
 def remove_router(context, speed):
-    context.demand.forget({'r-b'})
+    context.demand.retain_routers({'r-b'})
 
 
 @then('the prefill speed is {speed:d} tokens per ms')
 def check_prefill_speed(context, speed):
-    assert context.demand.reading('pool') == speed
+    assert context.demand.prefill_rate('pool') == speed
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -159,11 +159,11 @@
             world.sleep_ms(STORE_MS)
             return failures.unavailable('silent')
         if kind != names.CONFIG_KIND:
-            return objects.Stored(name, 0)
+            return objects.StoredObject(name, 0)
         world.reads += 1
         spec = world.stored
         world.carry((self._address,), len(json.dumps(spec)), LONG_MS)
-        return objects.Stored(name, spec['version'], spec)
+        return objects.StoredObject(name, spec['version'], spec)
 
 
 class Node:
@@ -202,12 +202,12 @@
         table = upstreams_.UpstreamTable(world.clock)
         self.asked = 0
         self.knowledge = knowledge = types.SimpleNamespace(
-            is_from_store=False,
+            is_synced_with_store=False,
             members=members,
             config=self.config,
-            table=table,
+            upstream_table=table,
             is_watching=lambda what: False,
-            overtaken=lambda *what: None,
+            refresh=lambda *what: None,
         )
         self.catch_up = catch_up_.CatchUp(
             world.clock, knowledge, self, self._spawn
@@ -345,7 +345,7 @@
 def know_behind(context):
     others = [n for n in context.world.nodes if n not in context.first]
     assert others
-    assert all(node.catch_up.config.is_behind() for node in others)
+    assert all(node.catch_up.config_fetcher.is_behind() for node in others)
 
 
 @when('one says again and again that it has what the store has not')
@@ -368,7 +368,7 @@
     found = []
     for _ in range(200):
         world.run(100)
-        found += [node.catch_up.config.is_behind() for node in others]
+        found += [node.catch_up.config_fetcher.is_behind() for node in others]
     assert sum(found) * 100 <= share * len(found), sum(found) / len(found)
 
 
@@ -424,7 +424,7 @@
 def unreadable_behind(context):
     node = context.world.nodes[0]
     assert node.version == OLD
-    assert node.catch_up.config.is_behind()
+    assert node.catch_up.config_fetcher.is_behind()
 
 
 @then('no link of those has carried more than {most:d} bytes')
@@ -447,21 +447,27 @@
     )
     newer = router.config.routes.version + 1
     beacon = pb.Beacon(member=member, config_version=newer, news_only=True)
-    router._peering.take(beacon)
+    router._peering.receive(beacon)
 
 
 @then(
     'a caller of an unknown route is told to come back, and that nothing ran'
 )
 def told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
+    is_promise(
+        helpers.send_request(context.fleet.routers[0].address, '/nowhere/x')
+    )
 
 
 @then(
     'a caller with an unknown key is told to come back, and that nothing ran'
 )
 def key_told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, key='Bearer new'))
+    is_promise(
+        helpers.send_request(
+            context.fleet.routers[0].address, key='Bearer new'
+        )
+    )
 
 
 def is_promise(answer):
@@ -475,7 +481,9 @@
 
     def is_final():
         nonlocal answer
-        answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+        answer = helpers.send_request(
+            context.fleet.routers[0].address, '/nowhere/x'
+        )
         return answer.status == 404
 
     helpers.wait_until(is_final, 'the word is forgotten')
@@ -483,7 +491,9 @@
 
 @then('a caller of an unknown route is told that there is none')
 def told_none(context):
-    answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+    answer = helpers.send_request(
+        context.fleet.routers[0].address, '/nowhere/x'
+    )
     assert answer.status == 404, answer
 
 
@@ -501,7 +511,7 @@
 @when('the store has told each of platform and fleet')
 def store_has_told(context):
     for node in context.world.nodes:
-        node.knowledge.is_from_store = True
+        node.knowledge.is_synced_with_store = True
 
 
 @then('none of them has asked a seed')
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -62,7 +62,7 @@
         for body in context.bodies
     ]  # fmt: skip
     green.sleep_ms(150)
-    assert context.stopping.serving.gateway.in_work == count
+    assert context.stopping.serving.gateway.in_flight == count
     context.drain = green.spawn(context.stopping.drain)
     green.sleep_ms(100)
 
@@ -71,7 +71,7 @@
 def all_whole(context):
     for body, task in zip(context.bodies, context.tasks):
         answer = task.wait()
-        assert fleet_steps.is_whole(answer, body, context.tokens), answer
+        assert fleet_steps.is_complete(answer, body, context.tokens), answer
 
 
 @then('it is out of the directory and not ready at once')
@@ -83,7 +83,7 @@
 
 @then('new connections are served while it lasts, one request each')
 def served_meanwhile(context):
-    answer = helpers.ask(context.stopping.address)
+    answer = helpers.send_request(context.stopping.address)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
 
@@ -92,13 +92,13 @@
 def empty_in_time(context):
     with green.Timeout(8):
         context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
+    assert context.stopping.serving.gateway.in_flight == 0
 
 
 @then('after {ms:d} ms a stream that may last longer than it is refused')
 def long_one_refused(context, ms):
     green.sleep_ms(ms)
-    answer = helpers.ask(context.stopping.address, '/chat/x')
+    answer = helpers.send_request(context.stopping.address, '/chat/x')
     assert answer.status == 503, answer
     assert answer.body == b'leaving', answer
     assert float(answer.header(names.RETRY_AFTER)) < 0.1, answer
@@ -106,7 +106,7 @@
 
 @then('a request that ends in time is served')
 def short_one_served(context):
-    answer = helpers.ask(context.stopping.address, deadline_ms=1000)
+    answer = helpers.send_request(context.stopping.address, deadline_ms=1000)
     assert answer.status == 200, answer
 
 
@@ -114,20 +114,20 @@
 def request_at_end(context):
     router = context.fleet.routers[0]
     router.drain()
-    context.last = helpers.ask(router.address)
+    context.last = helpers.send_request(router.address)
 
 
 @then('it is refused as not run, and no upstream got it')
 def refused_not_run(context):
     assert context.last.status == 503, context.last
     assert context.last.body == b'leaving', context.last
-    assert not helpers.arrivals_of(context, context.last.request_id)
+    assert not helpers.arrival_count(context, context.last.request_id)
 
 
 @then('it is empty by the time its stop is over')
 def empty_when_over(context):
     context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
+    assert context.stopping.serving.gateway.in_flight == 0
     all_whole(context)
 
 
@@ -136,7 +136,7 @@
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
-    assert helpers.ask('', conn=context.conn).status == 200
+    assert helpers.send_request('', conn=context.conn).status == 200
     green.spawn(router.drain)
 
 
@@ -145,7 +145,7 @@
     keep_connection(context)
     # No other task runs between these two.
     send_on_kept(context, 'crossing-2')
-    context.fleet.routers[0]._faces.close_idle()
+    context.fleet.routers[0]._http_servers.close_idle()
 
 
 @when('a request comes on a kept connection right after it was shut')
@@ -155,7 +155,7 @@
     context.closing.append(lambda: setattr(server_, '_shut', real))
     # A kernel may still take in what comes, and nothing goes out any more.
     server_._shut = lambda sock: sock.shutdown(socket.SHUT_WR)
-    context.fleet.routers[0]._faces.close_idle()
+    context.fleet.routers[0]._http_servers.close_idle()
     send_on_kept(context, 'crossing-2')
 
 
@@ -180,7 +180,7 @@
 def nothing_back(context):
     # The connection's end comes at once, what is passed on some ms later.
     green.sleep_ms(500)
-    assert not helpers.arrivals_of(context, 'crossing-2')
+    assert not helpers.arrival_count(context, 'crossing-2')
     try:
         rest = helpers.read_rest(context.sock, 2000)
     except ConnectionResetError:
@@ -208,7 +208,7 @@
 
 @then("the caller's first request is answered, and its connection closed")
 def first_answered(context):
-    answer = helpers.ask('', conn=context.conn)
+    answer = helpers.send_request('', conn=context.conn)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
     context.drain.wait()
@@ -220,7 +220,9 @@
 
 
 def holder_of(context):
-    return next((r for r in context.fleet.serving() if r.lease.held()), None)
+    return next(
+        (r for r in context.fleet.serving() if r.lease.is_held()), None
+    )
 
 
 @when('the holder of the duties is told to stop')
@@ -304,7 +306,7 @@
 @when('the file names another store')
 def another_store(context):
     write_settings(context, SETTINGS.format(port=9))
-    context.watch.look()
+    context.watch.reload_if_changed()
 
 
 @then('the new one is applied')
@@ -315,7 +317,7 @@
 @when('the file becomes malformed')
 def malformed_file(context):
     write_settings(context, '[router]\nlisten = nowhere\n')
-    context.watch.look()
+    context.watch.reload_if_changed()
 
 
 @then('the last good settings stay in force')
@@ -400,23 +402,23 @@
 
 def bare_peering(clock, watches, asked):
     """Return a peering that only compares what peers know."""
-    knowledge = types.SimpleNamespace(
+    fleet_state = types.SimpleNamespace(
         members=members_.Members(
             pb.Member(name='me', incarnation=1), clock, 1000
         ),
         config=types.SimpleNamespace(
             routes=types.SimpleNamespace(version=3),
-            own=types.SimpleNamespace(version=0),
+            product=types.SimpleNamespace(version=0),
         ),
-        table=upstreams_.UpstreamTable(clock),
+        upstream_table=upstreams_.UpstreamTable(clock),
         is_watching=lambda what: watches,
-        doubt_store=lambda: None,
+        check_store=lambda: None,
     )
     catch_up = catch_up_.CatchUp(
-        clock, knowledge, None, lambda name, *rest: asked.append(name)
+        clock, fleet_state, None, lambda name, *rest: asked.append(name)
     )
-    serving = helpers.bare_limits(clock)
-    return peering_.Peering(clock, knowledge, serving, None, None, catch_up)
+    serving = helpers.make_limits(clock)
+    return peering_.Peering(clock, fleet_state, serving, None, None, catch_up)
 
 
 @given('a router that does not watch and one that does')
@@ -435,7 +437,7 @@
             name='peer', incarnation=1, peer_address='10.0.0.1:1'
         )
         beacon = pb.Beacon(member=member, config_version=4, news_only=True)
-        peering.take(beacon)
+        peering.receive(beacon)
 
 
 @when('both hear that a peer is ahead, twice within {ms:d} ms')
@@ -475,7 +477,7 @@
 @then('every router knows it within {ms:d} ms')
 def all_know(context, ms):
     def known(router):
-        view = router.table.get(context.leaver.name)
+        view = router.upstream_table.get(context.leaver.name)
         return view.record.state == upstreams_.LEAVING
 
     helpers.wait_until(
@@ -486,9 +488,9 @@
 @when("one router's upstreams go up to a revision without a record")
 def revision_without_record(context):
     ahead, context.behind = context.fleet.routers
-    ahead.table.revision += 100
+    ahead.upstream_table.revision += 100
     context.begun = []
-    for watch in context.behind.knowledge._watches:
+    for watch in context.behind.fleet_state._watches:
         watch._wait.fire = lambda: context.begun.append(1)
 
 
@@ -496,7 +498,10 @@
 def is_level(context, ms):
     ahead = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: context.behind.table.revision >= ahead.table.revision,
+        lambda: (
+            context.behind.upstream_table.revision
+            >= ahead.upstream_table.revision
+        ),
         'the same revision',
         ms,
     )
@@ -538,7 +543,7 @@
     for me in everyone:
         members = members_.Members(me, clock, 1000)
         for other in everyone:
-            members.hear(other)
+            members.receive(other)
         context.members.append(members)
 
 
@@ -559,14 +564,14 @@
     context.members = context.members[count:]
     for members in context.members:
         for other in context.everyone[count:]:
-            members.hear(other)
+            members.receive(other)
 
 
 def watching(context, kind):
     return [
         members
         for members in context.members
-        if watchers.Watchers(members).is_due(kind)
+        if watchers.Watchers(members).should_watch(kind)
     ]
 
 
@@ -583,7 +588,7 @@
     context.members = context.members[:half]
     for members in context.members:
         for other in context.everyone[:half]:
-            members.hear(other)
+            members.receive(other)
 
 
 @then('{count:d} of the others watch each kind')
@@ -594,7 +599,7 @@
 @when('a caller asks one router and an operator asks the other for its id')
 def operator_asks(context):
     first, second = context.fleet.routers
-    context.last = helpers.ask(first.address)
+    context.last = helpers.send_request(first.address)
     client = rpc.RpcClient(pb_grpc.OperatorsStub)
     context.closing.append(client.close)
     request = pb.RequestShowRequest(request_id=context.last.request_id)
@@ -643,7 +648,7 @@
     reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
     assert reply.status == 200
     assert reply.json()['config'] == router.config.routes.version > 0
-    assert reply.json()['document'] == router.config.own.version > 0
+    assert reply.json()['document'] == router.config.product.version > 0
 
 
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -36,7 +36,9 @@
 
 def ask(context, router):
     body = f'prompt {next(context.numbers)}'.encode()
-    return helpers.ask(router.address, '/chat/tag', body=body, headers=TOKENS)
+    return helpers.send_request(
+        router.address, '/chat/tag', body=body, headers=TOKENS
+    )
 
 
 @given('one engine states a limit of {rate} request a second')
@@ -187,7 +189,7 @@
         for sender, receiver in (context.pair, context.pair[::-1]):
             updates = sender.updates()
             context.clock.advance(2)
-            receiver.hear(updates)
+            receiver.merge_updates(updates)
 
 
 @when(
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -31,7 +31,7 @@
     def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
         """Restore the blocked requests of the previous holder."""
         if state is not None:
-            self._crashes.hear(state.crash_suspects)
+            self._crashes.merge_updates(state.crash_suspects)
 
     def run(self, fencing: int) -> None:
         """Do nothing: this duty has no periodic work."""
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -91,7 +91,7 @@
         self._saved_version = 0
         self._renewed_at = 0
         self._started_fencing = 0
-        lease.leave = self._save_state
+        lease.make_handover = self._save_state
         self._lease_ms = lease.length_ms
         self._vacant_since = 0
         self._retry_at = 0
@@ -101,13 +101,15 @@
 
     def keep_lease(self) -> None:
         """Take or renew the lease if that is due."""
-        if self._lease.held():
-            is_due = self._lease.left_ms < _RENEW_FRACTION * self._lease_ms
+        if self._lease.is_held():
+            is_due = (
+                self._lease.remaining_ms < _RENEW_FRACTION * self._lease_ms
+            )
             if is_due or self._must_save_state():
                 self._renew()
         elif self._is_vacant():
             self._contend()
-        if self._is_active and not self._lease.held():
+        if self._is_active and not self._lease.is_held():
             self._is_active = False
             self._log.warning('duties_lost', fencing=self._lease.fencing)
 
@@ -117,7 +119,7 @@
             return
         if not self._is_active:
             self._is_active = True
-            state = _parse_state(self._lease.left)
+            state = _parse_state(self._lease.received_handover)
             for duty in self._duties:
                 duty.start(state)
             self._saved_version = self._state_version()
@@ -133,7 +135,7 @@
 
     def _save_state(self) -> objects.Json:
         """Return the state for the next holder, as stored with the lease."""
-        previous = self._lease.left
+        previous = self._lease.received_handover
         if (
             previous is not None
             and self._started_fencing != self._lease.fencing
@@ -158,10 +160,10 @@
         An accepted order is saved at once: the next holder must neither
         order the same upstreams again nor cancel those that are booting.
         """
-        left_ms, version = self._lease.left_ms, self._state_version()
+        left_ms, version = self._lease.remaining_ms, self._state_version()
         self._renewed_at = self._clock.boot()
         self._lease.attempt()
-        if self._lease.left_ms > left_ms:
+        if self._lease.remaining_ms > left_ms:
             self._saved_version = version
             me = self._members.me.name
             successors = [m for m in self._contenders() if m.name != me]
@@ -171,7 +173,7 @@
         if self._may_contend():
             outcome = self._lease.attempt()
         elif self._may_read_lease():
-            outcome = self._lease.succeed()
+            outcome = self._lease.take_over()
             self._may_succeed = outcome is lease_.Outcome.UNREACHED
         else:
             return
--- a/src/peridotmast/duties/required_capacity.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -147,7 +147,7 @@
         now = self._clock.now()
         for view in self._table.all():
             initial = self._initial[view.service]
-            if view.record.reclaimable or not view.is_there:
+            if view.record.reclaimable or not view.is_available:
                 continue
             if view.name not in initial:
                 self._last_started_at = now
@@ -217,7 +217,7 @@
     def _prefill_speed(self, service: str, rated_speed: float) -> float:
         """Return the prefill speed of an upstream, in tokens per second."""
         speed = rated_speed * _MAX_SPEED_FACTOR
-        measured = self._demand.reading(service)
+        measured = self._demand.prefill_rate(service)
         if measured is not None:
             low, high = speed / _MAX_SLOWDOWN, speed * _MAX_SPEEDUP
             # The geometric mean: the measured speed is that of idle engines,
@@ -256,7 +256,7 @@
             for_events,
             self._upstreams_for(service, rate, rated_speed),
         )
-        is_measured = self._demand.is_known(service)
+        is_measured = self._demand.has_full_window(service)
         if not self.startup_complete:
             return RequiredCapacity(needed, now, is_measured)
         required = self._required.get(service)
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -50,7 +50,7 @@
         Usage counts of all routers.
     reports : UsageSink
         Destination of the reports.
-    store : objects.Objects
+    store : objects.ObjectStore
         Store that the counts are written to before they are sent.
     window_ms : int
         Length of a window, in ms.
@@ -64,7 +64,7 @@
         self,
         usage: usage_.Usage,
         reports: UsageSink,
-        store: objects.Objects,
+        store: objects.ObjectStore,
         window_ms: int,
         fleet_now: ty.Callable[[], int],
         checks: invariants_.Invariants,
@@ -76,7 +76,7 @@
         self._fleet_now = fleet_now
         self._checks = checks
         self._first_window = usage.window_now()
-        self._stored: ty.Optional[objects.Stored] = None
+        self._stored: ty.Optional[objects.StoredObject] = None
         self._is_current = False
         self._is_send_pending = False
         self._log = logs.get('usage')
@@ -135,11 +135,11 @@
             return False
         previous = (self._stored.spec if self._stored else None) or {}
         self._checks.check(
-            invariants_.Promise.ONE_REPORT,
+            invariants_.Invariant.ONE_REPORT,
             window > int(previous.get('window') or 0),
             str(window),
         )
-        self._stored = objects.Stored(NAME, result.revision, spec)
+        self._stored = objects.StoredObject(NAME, result.revision, spec)
         self._is_send_pending = True
         return True
 
--- a/src/peridotmast/router/knowledge.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -13,7 +13,7 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import outage as outage_
 from peridotmast.coordination import registry as registry_
-from peridotmast.coordination import store_check
+from peridotmast.coordination import store_prober
 from peridotmast.coordination import upstream_feed
 from peridotmast.coordination import watchers as watchers_
 from peridotmast import green
@@ -57,7 +57,7 @@
 in which an upstream that leaves may still get work."""
 
 
-class Knowledge:
+class FleetState:
     """The platform's store, and what is known from it.
 
     Parameters
@@ -79,7 +79,7 @@
         cfg, platform, bounds = file.router, file.platform, file.bounds
         lapse_ms = int(bounds.lapse_s * 1000)
         self._clock = clock
-        self.outage = outage_.Outage(clock, lapse_ms)
+        self.outage = outage_.OutageTracker(clock, lapse_ms)
         """Whether the store answers."""
         self.store = store_.PlatformStore(
             platform.objects, platform.timeout_ms, self.outage
@@ -98,10 +98,12 @@
                 clock, max(_LATE_MS, _LATE_BEACONS * cfg.beacon_ms)
             ),
             _SILENT_BEACONS * cfg.beacon_ms,
-            groups_.WHOLE,
+            groups_.FULL_MESH_LIMIT,
         )
         """The routers, this one too."""
-        self.table = upstreams_.UpstreamTable(clock, bounds.drain_ms, lapse_ms)
+        self.upstream_table = upstreams_.UpstreamTable(
+            clock, bounds.drain_ms, lapse_ms
+        )
         """The upstreams."""
         self.config = config_feed.ConfigFeed(
             self.store,
@@ -116,7 +118,7 @@
         self.watchers = watchers_.Watchers(self.members)
         """Which routers watch the store."""
         self._upstreams = upstream_feed.UpstreamFeed(
-            self.table, upstream_codec.read_upstream
+            self.upstream_table, upstream_codec.read_upstream
         )
         self._registry = registry_.Registry(self.store, self.members)
         self._watches: list[kind_watch.KindWatch] = []
@@ -125,16 +127,16 @@
         self._spawn: ty.Callable[..., None] = lambda name, func: None
 
     @property
-    def is_enough(self) -> bool:
+    def has_config_and_upstreams(self) -> bool:
         """Whether it is known what to do with callers."""
-        return bool(self.config.routes.version and self.table.all())
+        return bool(self.config.routes.version and self.upstream_table.all())
 
     @property
-    def is_from_store(self) -> bool:
+    def is_synced_with_store(self) -> bool:
         """Whether the store has told of platform and fleet, all of it."""
         return self._is_entered and all(w.is_listed for w in self._watches)
 
-    def begin(
+    def start(
         self,
         tasks: green.Tasks,
         is_outage_felt: ty.Callable[[], bool],
@@ -150,7 +152,7 @@
             Called once news was taken in.
         """
         # Those that watch may be just the ones that the store turns away.
-        self.watchers.is_outage_felt = is_outage_felt
+        self.watchers.is_outage_suspected = is_outage_felt
         for kind, follower in (
             (names.CONFIG_KIND, self.config),
             (config_feed.KIND, self.config),
@@ -170,9 +172,9 @@
         self._spawn = tasks.spawn
         # What the store had to say meanwhile is lost on connections that may
         # live on: a watch that waits there hears nothing for 25 s.
-        self.outage.on_back = self._watch_anew
+        self.outage.on_recovery = self._watch_anew
         tasks.spawn('register', self._register)
-        check = store_check.StoreCheck(self.store, self.outage)
+        check = store_prober.StoreProber(self.store, self.outage)
         tasks.every('check_store', _CHECK_MS, check.tick)
 
     def is_watching(self, what: str) -> bool:
@@ -183,9 +185,9 @@
         what : str
             ``config`` or ``upstreams``.
         """
-        return all(map(self.watchers.is_due, _KINDS[what]))
+        return all(map(self.watchers.should_watch, _KINDS[what]))
 
-    def overtaken(self, what: str) -> None:
+    def refresh(self, what: str) -> None:
         """Ask the store anew: a peer had news that no watch has brought.
 
         Watches of other kinds go on: it was not theirs to bring.
@@ -197,21 +199,23 @@
         """
         for watch in self._watches:
             if watch.kind in _KINDS[what]:
-                watch.overtaken()
+                watch.on_peer_ahead()
 
-    def doubt_store(self) -> None:
+    def check_store(self) -> None:
         """Find out whether the store answers here: a peer gets no answer.
 
         Nothing that waits here need ever fail, or be answered.
         """
         self._watch_anew()
-        if any(self.watchers.is_due(watch.kind) for watch in self._watches):
+        if any(
+            self.watchers.should_watch(watch.kind) for watch in self._watches
+        ):
             self._spawn('probe_store', self.store.probe)
 
     def tick(self) -> None:
         """Give up and forget the upstreams whose time is over."""
         self._upstreams.tick()
-        self.table.forget_gone()
+        self.upstream_table.remove_gone()
 
     def _is_due(self, kind: str) -> bool:
         """Return whether this router is to watch a kind.
@@ -222,14 +226,14 @@
         waits = self._clock.now() - self._began < _ALONE_MS
         if waits and not self._is_entered:
             return False
-        return self.watchers.is_due(kind)
+        return self.watchers.should_watch(kind)
 
     def _watch_anew(self) -> None:
         """Ask for what may have waited through an outage of the store."""
         for watch in self._watches:
-            watch.doubt()
+            watch.on_outage()
 
     def _register(self) -> None:
-        while not self._registry.enter():
+        while not self._registry.register():
             green.sleep_ms(_REGISTER_MS)
         self._is_entered = True
--- a/src/peridotmast/router/sharing.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -4,12 +4,12 @@
 
 import typing as ty
 
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.router import serving as serving_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 
-FLEET = '|fleet'
+_FLEET = '|fleet'
 """Whom the work of all others is entered for, where a head tells of it; no
 router has such a name."""
 
@@ -24,7 +24,7 @@
 _NOTHING = (0, 0, 0)
 
 
-class Sharing:
+class SharedTotals:
     """Counts of this router, of those it hears, and of all.
 
     Parameters
@@ -44,11 +44,11 @@
         self._demand = serving.demand
         self._usage = serving.usage
         self._table = table
-        self._spends = tally.Tally(
-            self._quota.spent, self._quota.spent_elsewhere
+        self._spends = fleet_counts.FleetCounts(
+            self._quota.spent, self._quota.subtract_peer_spends
         )
-        self._asked = tally.Tally(
-            self._demand.counts, self._demand.offered_elsewhere
+        self._asked = fleet_counts.FleetCounts(
+            self._demand.counts, self._demand.count_from_peers
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
         self._group_loads: dict[int, list[pb.UpstreamLoad]] = {}
@@ -57,21 +57,23 @@
         """Return what this router itself counts and has in work."""
         return pb.Totals(
             spends=_spends(self._quota.spent()),
-            loads=self._table.my_loads(),
+            loads=self._table.local_loads(),
             usage=self._usage.counts(),
-            demand=_demand(self._demand.counts(), self._demand.own_readings()),
+            demand=_demand(
+                self._demand.counts(), self._demand.own_prefill_rates()
+            ),
         )
 
     def group(self) -> pb.Totals:
         """Return what this router and the members that it heads have."""
         return pb.Totals(
-            spends=_spends(self._spends.group()),
+            spends=_spends(self._spends.group_total()),
             loads=_listed(_add_up(self._members_loads())),
-            usage=self._usage.group(),
-            demand=_demand(self._asked.group(), self._readings()),
+            usage=self._usage.group_counts(),
+            demand=_demand(self._asked.group_total(), self._readings()),
         )
 
-    def others(
+    def totals_for_members(
         self, members: ty.Sequence[str]
     ) -> ty.Iterator[tuple[str, pb.Totals]]:
         """Yield for each of some members what all but that one have.
@@ -84,9 +86,9 @@
         readings = self._readings()
         told = zip(
             members,
-            self._spends.others(members),
-            self._asked.others(members),
-            self._usage.others(members),
+            self._spends.totals_without(members),
+            self._asked.totals_without(members),
+            self._usage.others_counts(members),
             strict=True,
         )
         for member, spent, asked, used in told:
@@ -101,7 +103,7 @@
                 ),
             )
 
-    def hear(
+    def update_peer(
         self, router: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in what another router counts and has in work.
@@ -112,54 +114,56 @@
             Whether it is counted by this way; else it is kept for the time
             when this router is the head.
         """
-        self._spends.hear(router, run, _by_team(totals), counted)
-        self._asked.hear(router, run, _by_service(totals), counted)
-        self._usage.hear(router, run, totals.usage)
+        self._spends.receive(router, run, _by_team(totals), counted)
+        self._asked.receive(router, run, _by_service(totals), counted)
+        self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
-            self._table.take_loads(router, totals.loads)
+            self._table.set_peer_loads(router, totals.loads)
             self._hear_readings(router, totals)
 
-    def hear_group(
+    def update_group(
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from another head what its group has."""
-        self._spends.hear_group(group, head, run, _by_team(totals), counted)
-        self._asked.hear_group(group, head, run, _by_service(totals), counted)
-        self._usage.hear_group(group, totals.usage)
+        self._spends.receive_group(group, head, run, _by_team(totals), counted)
+        self._asked.receive_group(
+            group, head, run, _by_service(totals), counted
+        )
+        self._usage.merge_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
-            self._table.take_loads(_group_name(group), totals.loads)
+            self._table.set_peer_loads(_group_name(group), totals.loads)
             self._hear_readings(head, totals)
 
-    def follow(
+    def update_fleet(
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Take in from the own head what all others have."""
-        self._spends.follow(head, run, _by_team(totals), counted)
-        self._asked.follow(head, run, _by_service(totals), counted)
-        self._usage.follow(totals.usage)
+        self._spends.receive_fleet(head, run, _by_team(totals), counted)
+        self._asked.receive_fleet(head, run, _by_service(totals), counted)
+        self._usage.merge_fleet(totals.usage)
         if counted:
-            self._table.take_loads(FLEET, totals.loads)
+            self._table.set_peer_loads(_FLEET, totals.loads)
             self._hear_readings(head, totals)
 
-    def reckon(self, spends: dict[str, int]) -> None:
+    def add_estimates(self, spends: dict[str, int]) -> None:
         """Take in what others may have spent while nobody told of it."""
         if spends:
-            self._spends.reckon(spends)
+            self._spends.add_estimate(spends)
 
-    def regroup(self, is_member: ty.Callable[[str], bool]) -> None:
+    def retain_members(self, is_member: ty.Callable[[str], bool]) -> None:
         """Begin anew with groups that are not those of before."""
         self._group_loads = {}
         self._loads = {r: v for r, v in self._loads.items() if is_member(r)}
         self._usage.regroup(is_member)
 
-    def switch(self) -> None:
+    def change_source(self) -> None:
         """Count what others do by another way from now on."""
-        self._spends.switch()
-        self._asked.switch()
+        self._spends.reset_sources()
+        self._asked.reset_sources()
 
-    def forget(
+    def prune(
         self,
         known: ty.Collection[str],
         heard: ty.Collection[str],
@@ -179,29 +183,31 @@
         follows : bool
             Whether a head tells of the work of all others.
         """
-        self._spends.forget(known)
-        self._asked.forget(known)
-        self._demand.forget(known)
+        self._spends.retain(known)
+        self._asked.retain(known)
+        self._demand.retain_routers(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({FLEET})
+            self._table.retain_peer_loads({_FLEET})
             return
         names = {_group_name(group) for group in self._group_loads}
-        self._table.forget_loads({*self._loads, *names})
+        self._table.retain_peer_loads({*self._loads, *names})
 
     def _members_loads(self) -> list[Loads]:
-        return [self._table.my_loads(), *self._loads.values()]
+        return [self._table.local_loads(), *self._loads.values()]
 
     def _readings(self) -> dict[str, float]:
-        found = {s: self._demand.reading(s) for s in self._demand.counts()}
+        found = {
+            s: self._demand.prefill_rate(s) for s in self._demand.counts()
+        }
         return {service: speed for service, speed in found.items() if speed}
 
     def _hear_readings(self, teller: str, totals: pb.Totals) -> None:
         speeds = {d.service: d.reading for d in totals.demand}
-        self._demand.hear_readings(teller, speeds)
+        self._demand.set_peer_prefill_rates(teller, speeds)
 
 
 def _group_name(group: int) -> str:
