--- a/features/duties.feature
+++ b/features/duties.feature
@@ -154,9 +154,9 @@
     Then the first router holds the lease with fencing number 1
     And the other routers have not called the store
 
-  Scenario: A router stores its network place with the lease
+  Scenario: A router stores its endpoint with the lease
     Given a fleet of 2 routers
-    Then the lease on the duties contains its holder's network place
+    Then the lease on the duties contains its holder's endpoint
 
   Scenario: A clock that jumps does not shift usage windows
     Given the clocks of five routers, of which two jump by an hour
--- a/features/planner.feature
+++ b/features/planner.feature
@@ -197,19 +197,19 @@
     Then fewer than 5 upstreams are needed for the demand of 6
 
   Scenario: Measurements of a removed router are discarded
-    Given two routers that measured prefill speeds of 20 and 60 tokens per ms
-    Then the prefill speed is 40 tokens per ms
+    Given two routers that measured prefill rates of 20 and 60 tokens per ms
+    Then the prefill rate is 40 tokens per ms
     When the router that measured 20 is removed
-    Then the prefill speed is 60 tokens per ms
+    Then the prefill rate is 60 tokens per ms
 
   Scenario: A measured speed is bounded relative to the expected speed
     Given a scaler with 6 upstreams
     When its engines are measured to prefill 50 times as fast as expected
     Then as many upstreams are needed as with 3 times the expected speed
 
-  Scenario: The prefill speed is measured from undisturbed requests
+  Scenario: The prefill rate is measured from undisturbed requests
     Given engines that prefill 40 tokens per ms, with some slower requests
-    Then the measured prefill speed is 40, within a tenth
+    Then the measured prefill rate is 40, within a tenth
     And fewer than 12 samples give no measurement
 
   Scenario: The reserve is ordered as reclaimable upstreams only
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -350,8 +350,8 @@
     assert not any(one.store.calls for one in context.runs[1:])
 
 
-@then("the lease on the duties contains its holder's network place")
-def check_place(context):
+@then("the lease on the duties contains its holder's endpoint")
+def check_endpoint(context):
     def holder():
         routers = context.fleet.routers
         return next((one for one in routers if one.lease.is_held()), None)
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -968,7 +968,7 @@
         context.prefill_rates.add_sample('pool', 100, 22)
 
 
-@then('the measured prefill speed is {speed:g}, within a tenth')
+@then('the measured prefill rate is {speed:g}, within a tenth')
 def check_measured_speed(context, speed):
     found = context.prefill_rates.tokens_per_ms('pool')
     assert abs(found - speed) < 0.1 * speed, found
@@ -998,7 +998,7 @@
 
 
 @given(
-    'two routers that measured prefill speeds of {a:d} and {b:d} tokens per ms'
+    'two routers that measured prefill rates of {a:d} and {b:d} tokens per ms'
 )
 def two_measurements(context, a, b):
     context.demand = demand_.Demand(clock_.ManualClock())
@@ -1011,6 +1011,6 @@
     context.demand.retain_routers({'r-b'})
 
 
-@then('the prefill speed is {speed:d} tokens per ms')
-def check_prefill_speed(context, speed):
+@then('the prefill rate is {speed:d} tokens per ms')
+def check_prefill_rate(context, speed):
     assert context.demand.prefill_rate('pool') == speed
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -52,8 +52,8 @@
 
     After all routers were killed at once, no running router knows the holder.
     Each new run then reads the lease once. If the previous run at the same
-    network address was the holder, the new run takes over the lease without
-    waiting for its turn.
+    endpoint was the holder, the new run takes over the lease without waiting
+    for its turn.
 
     Parameters
     ----------
@@ -160,10 +160,10 @@
         An accepted order is saved at once: the next holder must neither
         order the same upstreams again nor cancel those that are booting.
         """
-        left_ms, version = self._lease.remaining_ms, self._state_version()
+        remaining_ms, version = self._lease.remaining_ms, self._state_version()
         self._renewed_at = self._clock.boot()
         self._lease.attempt()
-        if self._lease.remaining_ms > left_ms:
+        if self._lease.remaining_ms > remaining_ms:
             self._saved_version = version
             me = self._members.me.name
             successors = [m for m in self._contenders() if m.name != me]
--- a/src/peridotmast/duties/required_capacity.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -28,7 +28,7 @@
 """Share of prompt tokens that engines prefill; the rest is in their caches."""
 
 _MAX_SPEED_FACTOR = 1.2
-"""Maximum prefill speed of an engine, relative to its rated speed, at which
+"""Maximum prefill rate of an engine, relative to its rated speed, at which
 first tokens still meet their target."""
 
 _MAX_SPEEDUP = 3.0
@@ -208,14 +208,12 @@
         that a small fleet has more spare capacity per upstream than a large
         one (square-root staffing, Halfin and Whitt, 1981).
         """
-        load = (
-            rate * _PREFILL_SHARE / self._prefill_speed(service, rated_speed)
-        )
+        load = rate * _PREFILL_SHARE / self._prefill_rate(service, rated_speed)
         margin = _STALE_LOAD_MARGIN if self.is_load_stale() else _LOAD_MARGIN
         return math.ceil(load + margin * math.sqrt(load))
 
-    def _prefill_speed(self, service: str, rated_speed: float) -> float:
-        """Return the prefill speed of an upstream, in tokens per second."""
+    def _prefill_rate(self, service: str, rated_speed: float) -> float:
+        """Return the prefill rate of an upstream, in tokens per second."""
         speed = rated_speed * _MAX_SPEED_FACTOR
         measured = self._demand.prefill_rate(service)
         if measured is not None:
@@ -237,7 +235,7 @@
         size = self._demand.mean_request_tokens(service) if limits else 0
         if not size:
             return 0
-        speed = self._prefill_speed(service, rated_speed)
+        speed = self._prefill_rate(service, rated_speed)
         capacity = speed / (_PREFILL_SHARE * size)
         return round(sum(max(0, 1 - limit / capacity) for limit in limits))
 
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -138,7 +138,7 @@
             required.reserve,
             fencing,
             int(self._demand.rate(service.name)),
-            prefill_speed=self._demand.prefill_rate(service.name) or 0,
+            prefill_rate=self._demand.prefill_rate(service.name) or 0,
             limit_shortfall=required.limit_shortfall,
             allow_reclaimable=policy.scaling != REACTIVE,
         )
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -65,8 +65,8 @@
     demand : int
         Demand that `needed` was computed from, in tokens per second, for the
         log.
-    prefill_speed : float
-        Measured prefill speed of an engine, in tokens per ms, for the log; 0
+    prefill_rate : float
+        Measured prefill rate of an engine, in tokens per ms, for the log; 0
         if unknown.
     limit_shortfall : int
         Upstreams of `needed` that compensate for the rate limits of others,
@@ -86,7 +86,7 @@
         reserve: int,
         fencing: int,
         demand: int,
-        prefill_speed: float = 0,
+        prefill_rate: float = 0,
         limit_shortfall: int = 0,
         allow_reclaimable: bool = True,
     ) -> None:
@@ -100,7 +100,7 @@
         self._reserve = max(needed, reserve)
         self._fencing = fencing
         self._demand = demand
-        self._prefill_speed = prefill_speed
+        self._prefill_rate = prefill_rate
         self._limit_shortfall = limit_shortfall
         self._allow_reclaimable = allow_reclaimable
         self._log = logs.get('scaler')
@@ -281,7 +281,7 @@
             needed=self._needed,
             reserve=self._reserve,
             demand=self._demand,
-            reading=round(self._prefill_speed, 1),
+            reading=round(self._prefill_rate, 1),
             limit_shortfall=self._limit_shortfall,
             fencing=self._fencing,
             outcome='given' if failure is None else failure.reason,
