--- a/src/peridotmast/coordination/__init__.py
+++ b/src/peridotmast/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts, for the daemons and for others to embed."""
+"""Coordination between routers, for the programs and for embedding."""
--- a/src/peridotmast/coordination/beacon_check.py
+++ b/src/peridotmast/coordination/beacon_check.py
@@ -1,4 +1,4 @@
-"""What a peer's beacon must say, so that it can be taken in."""
+"""Validation of beacons from peers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from peridotmast import findings as findings_
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_ADDRESSES = ('address', 'peer_address', 'beacon_address')
+_ADDRESS_FIELDS = ('address', 'peer_address', 'beacon_address')
 
-_LONGEST_NAME = 200
-"""Characters of a router's name; it stands in logs and answers."""
+_MAX_NAME_LENGTH = 200
+"""Most characters in a name: names appear in logs and answers."""
 
 
 def check(beacon: pb.Beacon) -> findings_.Findings:
-    """Return what is wrong with a beacon.
+    """Return the findings on a beacon; none if it is valid.
 
-    One in which anything is wrong is of nobody's whose other words could be
-    believed, so it is not taken in at all.
+    A beacon with any finding is rejected as a whole: the other fields of a
+    sender that writes an invalid one cannot be trusted either.
     """
     found = findings_.Findings()
     if beacon.HasField('load_news'):
@@ -51,16 +51,16 @@
 def _check_member(
     found: findings_.Findings, place: str, member: pb.Member
 ) -> None:
-    if not 0 < len(member.name) <= _LONGEST_NAME:
+    if not 0 < len(member.name) <= _MAX_NAME_LENGTH:
         found.add(f'{place} name', 'is missing or too long')
-    for name in _ADDRESSES:
+    for name in _ADDRESS_FIELDS:
         text = getattr(member, name)
         if text and not addresses.is_usable(text):
             found.add(f'{place} {name}', 'must be IP:port')
 
 
 def _check_limit(found: findings_.Findings, limit: pb.UpstreamLimit) -> None:
-    if not 0 < len(limit.upstream) <= _LONGEST_NAME:
+    if not 0 < len(limit.upstream) <= _MAX_NAME_LENGTH:
         found.add('upstream_limits', 'a name is missing or too long')
     if not 0 <= limit.rate < math.inf or min(limit.born, limit.ago_ms) < 0:
         found.add('upstream_limits', 'must be finite and not negative')
@@ -70,7 +70,7 @@
     found: findings_.Findings, suspect: pb.CrashSuspect
 ) -> None:
     names = [suspect.fingerprint, *(crash.run for crash in suspect.crashes)]
-    if not all(0 < len(name) <= _LONGEST_NAME for name in names):
+    if not all(0 < len(name) <= _MAX_NAME_LENGTH for name in names):
         found.add(
             'crash_suspects', 'a fingerprint or run is missing or too long'
         )
@@ -82,7 +82,7 @@
 
 
 def _counts(beacon: pb.Beacon) -> ty.Iterator[int]:
-    """Yield the numbers that count something."""
+    """Yield the fields that must not be negative."""
     yield from (beacon.config_version, beacon.document_version)
     yield from (beacon.upstreams_revision, beacon.upstreams_since)
     yield beacon.wall_ms
@@ -92,7 +92,7 @@
 
 
 def _totals(totals: pb.Totals) -> ty.Iterator[int]:
-    # What a team has spent falls where a request did not run.
+    # Without `spends`: a spend decreases when a request did not run.
     return itertools.chain(
         itertools.chain.from_iterable(
             (load.running, load.unread, load.memory) for load in totals.loads
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -1,4 +1,4 @@
-"""Beacons: what each router tells its peers several times a second."""
+"""Beacons: state that each router sends its peers several times a second."""
 
 from __future__ import annotations
 
@@ -16,20 +16,22 @@
 from peridotmast import packing
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_SHOWN = 200
-"""Characters of a wrong beacon that are logged."""
+_MAX_LOGGED = 200
+"""Most characters of an invalid beacon that are logged."""
 
 _DATAGRAM_BYTES = 65_000
 _TAG_BYTES = 16
 
-_BEACON_BYTES = 1 << 20
-"""Most that a datagram may unpack to: ten times the state of 330 routers."""
+_MAX_BEACON_BYTES = 1 << 20
+"""Most bytes that a datagram may unpack to: ten times the state of 330
+routers."""
 
 
 _BURST_BYTES = 16 << 10
 _PAUSE_MS = 15
-"""What a round sends at once, and the pause after it: together less than the
-thinnest link, 10 Mbit/s, takes. A head's round is up to 160 kB."""
+"""Bytes of a round that are sent at once, and the pause after them: together
+less than the slowest link, 10 Mbit/s, transfers. A head's round is up to
+160 kB."""
 
 
 Round = ty.Iterable[tuple[pb.Beacon, ty.Sequence[members_.Peer]]]
@@ -37,27 +39,26 @@
 
 
 class Beacons:
-    """Sends this router's beacon to its peers and takes theirs in.
+    """Sends this router's beacons to its peers and receives theirs.
 
-    Datagrams, since all in them is state: a lost one is made good by the
-    next, a silent connection can't hold them up, and one costs a twentieth
-    of a call's processor time (20 us against 400 us, `peridotmast-load
-    slopes`).
+    Datagrams, since a beacon only carries state: the next one replaces a lost
+    one, a silent connection can't delay them, and one costs a twentieth of a
+    call's processor time (20 us against 400 us, `peridotmast-load slopes`).
 
     Parameters
     ----------
     address : str
-        ``IP:port`` that beacons come to; port 0 takes a free one.
+        ``IP:port`` to receive beacons at; port 0 binds a free one.
     members : members.Members
-        Whom to send to.
+        The peers to send to.
     due : callable
         Returns the beacons of a round, each with the peers that it goes to.
     fill_news : callable
-        Returns the short one that says only how new one's knowledge is.
+        Returns the short beacon that tells peers of changes in between rounds.
     take : callable
-        Called with each beacon that comes.
+        Called with each valid beacon that arrives.
     secret : bytes
-        Shared by all routers to sign beacons with; empty for none.
+        Key shared by all routers to sign beacons with; empty for none.
     """
 
     def __init__(
@@ -81,27 +82,27 @@
         self._sock.setblocking(False)
         self._sock.bind((host.strip('[]'), int(port)))
         self.address = f'{host}:{self._sock.getsockname()[1]}'
-        """Address that beacons come to, with the real port."""
+        """Address that beacons are received at, with the bound port."""
         self.sent = 0
-        """Beacons sent so far."""
+        """Number of datagrams sent so far."""
         self.sent_bytes = 0
-        """Their bytes."""
+        """Total size of the datagrams sent so far."""
 
     def start(self) -> None:
-        """Begin to take beacons in."""
+        """Start to receive beacons."""
         green.add_reader(self._sock.fileno(), self._receive)
 
     def stop(self) -> None:
-        """Send and take in nothing any more."""
+        """Close the socket; nothing is sent or received after that."""
         if self._sock.fileno() >= 0:
             green.remove_reader(self._sock.fileno())
             self._sock.close()
 
     def send_round(self) -> None:
-        """Send the beacons that are due, a few at a time.
+        """Send the beacons that are due, in bursts of limited size.
 
-        Datagrams that a full link drops are the last ones of a round, and so
-        the same members' each time.
+        A full link drops the last datagrams of a round sent at once, so the
+        same members would miss theirs each time.
         """
         sent = self.sent_bytes
         for beacon, peers in list(self._due()):
@@ -118,26 +119,26 @@
             return
         data = self._pack(beacon)
         for peer in peers:
-            self._send(data, peer.member.beacon_address)
+            self._send_to(data, peer.member.beacon_address)
 
     def send_news(self) -> None:
-        """Tell all peers at once what is new of this router.
+        """Send changes at this router to all peers immediately.
 
-        By heads, news takes a second or two in a large fleet; these 100
-        bytes each bring it to everybody at once, and it comes a few hundred
-        times an hour.
+        By way of heads, a change takes a second or two to spread in a large
+        fleet. These beacons of 100 bytes reach all peers at once, and there
+        are only a few hundred changes an hour.
         """
         self.send(self._fill_news(), self._members.peers())
 
-    def _send(self, data: bytes, address: str) -> None:
+    def _send_to(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(':')
         if not port.isdigit():
             return
         try:
             self._sock.sendto(data, (host.strip('[]'), int(port)))
         except OSError as exc:
-            # As good as lost on the way; the next one follows soon.
-            self._log.debug('beacon_unsent', to=address, error=str(exc))
+            # Same as a loss in the network: the next beacon follows soon.
+            self._log.debug('beacon_send_failed', to=address, error=str(exc))
             return
         self.sent += 1
         self.sent_bytes += len(data)
@@ -149,16 +150,16 @@
             except BlockingIOError:
                 return
             except OSError as exc:
-                # A peer's closed port comes back as an error here.
-                self._log.debug('beacon_error', error=str(exc))
+                # A beacon sent to a peer's closed port causes an error here.
+                self._log.debug('beacon_receive_failed', error=str(exc))
                 return
             beacon = self._unpack(data)
             if beacon is not None:
                 self._take(beacon)
 
     def _pack(self, beacon: pb.Beacon) -> bytes:
-        # One of 1.8 kB takes half the bytes, which are paid for between
-        # failure domains, for 46 us a round and 15 us at each peer.
+        # Compression halves a beacon of 1.8 kB, and traffic between failure
+        # domains is billed. It costs 46 us a round and 15 us at each peer.
         data = packing.pack(beacon.SerializeToString())
         return self._tag(data) + data
 
@@ -166,19 +167,21 @@
         size = _TAG_BYTES if self._secret else 0
         tag, body = data[:size], data[size:]
         if not hmac.compare_digest(tag, self._tag(body)):
-            self._log.warning('beacon_unsigned', size=len(data))
+            self._log.warning('beacon_signature_invalid', size=len(data))
             return None
         try:
-            beacon = pb.Beacon.FromString(packing.unpack(body, _BEACON_BYTES))
+            beacon = pb.Beacon.FromString(
+                packing.unpack(body, _MAX_BEACON_BYTES)
+            )
         except (packing.Unpackable, message.DecodeError) as exc:
-            self._log.warning('beacon_garbled', error=str(exc))
+            self._log.warning('beacon_undecodable', error=str(exc))
             return None
         found = beacon_check.check(beacon)
         if found:
             self._log.warning(
                 'beacon_malformed',
-                peer=beacon.member.name[:_SHOWN],
-                error=str(found)[:_SHOWN],
+                peer=beacon.member.name[:_MAX_LOGGED],
+                error=str(found)[:_MAX_LOGGED],
             )
             return None
         return beacon
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one router: no version of it ever falls."""
+"""The configuration in force at one router; its versions never decrease."""
 
 from __future__ import annotations
 
@@ -14,66 +14,66 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 KIND = 'peridotmast-config'
-"""Kind of the product's own document."""
+"""Kind of the product document."""
 NAME = 'current'
 
 _HISTORY_LENGTH = 100
-_SHOWN = 500
-"""Characters of the findings on a document that are logged."""
-_TRIES = 4
-"""Reads after a commit whose reply was lost."""
+_MAX_LOGGED = 500
+"""Most characters of the findings on a document that are logged."""
+_RESOLVE_READS = 4
+"""Most reads after a commit whose reply was lost."""
 
 Listener = ty.Callable[[pb.Config], None]
 
 
 @dataclasses.dataclass
 class ConfigPart:
-    """One of the two documents that a configuration is made from."""
+    """One of the two documents that make up the configuration."""
 
     version: int = 0
     """Version in force; 0 before the first."""
     document: objects.Json = dataclasses.field(default_factory=dict)
-    """As it was stored."""
+    """The document as stored."""
     config: pb.Config = dataclasses.field(default_factory=pb.Config)
-    """What it says."""
+    """The configuration read from it."""
 
 
 class Reader(ty.Protocol):
-    """Reads the configuration that the platform has."""
+    """Reads the platform's configuration object."""
 
     def read_version(self, spec: ty.Any) -> int:
-        """Return the version of a document; 0 where it tells none."""
+        """Return the version of a document; 0 if it has none."""
 
     def read_config(self, spec: ty.Any) -> pb.Config:
-        """Return what a document says.
+        """Return the configuration in a document.
 
         Raises
         ------
         ValueError
-            If it is malformed, with all that is wrong with it.
+            If the document is malformed; the message has all findings.
         """
 
 
 class ConfigFeed:
-    """Joins the operators' routes and the product's own document.
+    """Merges the platform's configuration object and the product document.
 
     Routes, services, teams and limits come from the platform's object;
-    models, events, policy and operators from a document of our own beside
-    it. Either may come from the store or from a peer, and in any order:
-    only a higher version of a part replaces it.
+    models, events, policy and operators from the product document beside
+    it. Both may come from the store or from a peer, and in any order: only a
+    higher version replaces the one in force.
 
     Parameters
     ----------
     store : objects.ObjectStore
-        The platform's store, which the own document is committed to.
+        The platform's store, which the product document is committed to.
     kind : str
         Kind of the platform's object.
     name : str
-        Its name.
+        Name of the platform's object.
     reader : Reader
         Reads the platform's object.
     checks : invariants.Invariants
-        Where a reversal would be reported.
+        Reports a version that is not higher than the one it replaces.
     """
 
     def __init__(
@@ -92,28 +92,33 @@
         self._listeners: list[Listener] = []
         self._log = logs.get('config')
         self.routes = ConfigPart()
-        """What the operators wrote to the platform's object."""
-        self.product = ConfigPart(config=_read_own('')[0])
-        """The product's own document."""
-        self.config = _join(self.routes, self.product)
+        """The platform's object, which the operators write."""
+        self.product = ConfigPart(config=_parse_product('')[0])
+        """The product document."""
+        self.config = _merge(self.routes, self.product)
         """The configuration in force."""
 
     def subscribe(self, listener: Listener) -> None:
-        """Call `listener` with each configuration that comes into force."""
+        """Call `listener` with each configuration put into force."""
         self._listeners.append(listener)
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
-        """Take in what the store has."""
-        self._take(listing.objects)
+        """Process the objects that the store has."""
+        self._offer(listing.objects)
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Take in what has changed in the store."""
-        self._take(changes.objects)
+        """Process the objects that have changed in the store."""
+        self._offer(changes.objects)
 
     def offer_routes(self, document: objects.Json, source: str) -> bool:
-        """Put the platform's object into force where it is newer.
+        """Put the platform's object into force if it is newer.
 
-        A stale read or a peer that is behind offers an older one.
+        A stale read or a peer that is behind may offer an older one.
+
+        Returns
+        -------
+        bool
+            Whether it was put into force.
         """
         version = self._reader.read_version(document)
         if version <= self.routes.version:
@@ -125,42 +130,45 @@
                 'config_malformed',
                 version=version,
                 source=source,
-                error=str(exc)[:_SHOWN],
+                error=str(exc)[:_MAX_LOGGED],
             )
             return False
-        self.routes = self._grown(self.routes, version, document, config)
+        self.routes = self._newer_part(self.routes, version, document, config)
         self._put_into_force('config', version, source)
         return True
 
     def offer_product(
         self, version: int, document: objects.Json, source: str
     ) -> bool:
-        """Put the product's own document into force where it is newer."""
+        """Put the product document into force if it is newer."""
         if version <= self.product.version:
             return False
-        config, found = _read_stored(document)
+        config, found = _read_product(document)
         if found:
             self._log.error(
                 'document_malformed',
                 version=version,
                 source=source,
-                error=str(found)[:_SHOWN],
+                error=str(found)[:_MAX_LOGGED],
             )
             return False
-        self.product = self._grown(self.product, version, document, config)
+        self.product = self._newer_part(
+            self.product, version, document, config
+        )
         self._put_into_force('document', version, source)
         return True
 
     def commit(
         self, document: str, base_version: int, by: str, comment: str, at: int
     ) -> ty.Union[int, failures.Failure]:
-        """Commit the own document where its version is `base_version`.
+        """Commit the product document if its version is `base_version`.
 
         Returns
         -------
         int or Failure
-            The new version. A conflict where another change came first; an
-            unknown outcome where the reply was lost and nothing can be read.
+            The new version. A conflict if another change was committed first;
+            an unknown outcome if the reply was lost and the store can't be
+            read.
         """
         nonce = f'{by}:{at}:{base_version}'
         history = list(self.product.document.get('history') or ())
@@ -172,36 +180,36 @@
         }
         result = self._store.write(KIND, NAME, spec, base_version)
         if isinstance(result, failures.Failure):
-            return self._settle(result, nonce)
+            return self._resolve_commit(result, nonce)
         self.offer_product(result.revision, spec, 'commit')
         return result.revision
 
     def refresh(self, routes: bool) -> ty.Union[int, failures.Failure]:
-        """Read one part once: the platform's object, or the own document.
+        """Read the platform's object or the product document once.
 
         Returns
         -------
         int or Failure
-            The version that the store has, whether or not it can be put into
-            force here; 0 where it has none.
+            The version in the store, even if it can't be put into force
+            here; 0 if the store has none.
         """
         kind, name = (self._kind, self._name) if routes else (KIND, NAME)
         stored = self._store.read(kind, name)
         if isinstance(stored, failures.Failure):
             return stored
-        self._take([stored])
+        self._offer([stored])
         if stored.spec is None:
             return 0
         if routes:
             return self._reader.read_version(stored.spec)
         return stored.revision
 
-    def _settle(
+    def _resolve_commit(
         self, failure: failures.Failure, nonce: str
     ) -> ty.Union[int, failures.Failure]:
-        """Find out what came of a commit whose reply did not say."""
+        """Read the outcome of a commit whose reply was lost or a failure."""
         unknown = failures.FailureKind.OUTCOME_UNKNOWN
-        for _ in range(_TRIES):
+        for _ in range(_RESOLVE_READS):
             if not isinstance(self.refresh(False), failures.Failure):
                 if self.product.document.get('nonce') == nonce:
                     return self.product.version
@@ -210,7 +218,7 @@
             return failure
         return failures.conflict('config_changed', failure.detail)
 
-    def _take(self, stored: ty.Iterable[objects.StoredObject]) -> None:
+    def _offer(self, stored: ty.Iterable[objects.StoredObject]) -> None:
         for item in stored:
             if item.spec is None:
                 continue
@@ -219,7 +227,7 @@
             elif item.name == NAME:
                 self.offer_product(item.revision, item.spec, 'store')
 
-    def _grown(
+    def _newer_part(
         self,
         part: ConfigPart,
         version: int,
@@ -233,10 +241,10 @@
         )
         return ConfigPart(version, document, config)
 
-    def _put_into_force(self, what: str, version: int, source: str) -> None:
-        self.config = _join(self.routes, self.product)
+    def _put_into_force(self, part: str, version: int, source: str) -> None:
+        self.config = _merge(self.routes, self.product)
         self._log.info(
-            f'{what}_in_force',
+            f'{part}_in_force',
             version=version,
             source=source,
             routes=len(self.config.routes),
@@ -247,8 +255,8 @@
 
 
 def check(document: str) -> findings_.Findings:
-    """Return what is wrong with a document of the product's own."""
-    config, found = _read_own(document)
+    """Return the findings on a product document; none if it is valid."""
+    config, found = _parse_product(document)
     models = {model.name for model in config.models}
     for event in config.events:
         if event.model not in models:
@@ -270,32 +278,32 @@
 
 
 SCALING_MODES = ('planner', 'reactive', 'fixed')
-"""What ``[policy] scaling`` may name."""
+"""Allowed values of ``[policy] scaling``."""
 
 
-def _read_stored(
+def _read_product(
     document: ty.Any,
 ) -> tuple[pb.Config, findings_.Findings]:
-    """Read the own document as it is stored, with its history."""
+    """Read a product document as stored, with its history."""
     found = findings_.Findings()
     if not isinstance(document, dict):
         found.add('document', 'must be an object')
         return pb.Config(), found
     text, history = document.get('document', ''), document.get('history', [])
     if not isinstance(text, str):
-        found.add('document', 'must be a text')
+        found.add('document', 'must be a string')
     if not isinstance(history, list):
         found.add('history', 'must be a list')
-    return (pb.Config(), found) if found else _read_own(text)
+    return (pb.Config(), found) if found else _parse_product(text)
 
 
-def _read_own(document: str) -> tuple[pb.Config, findings_.Findings]:
+def _parse_product(document: str) -> tuple[pb.Config, findings_.Findings]:
     return ini.load_text(document, pb.Config)
 
 
-def _join(routes: ConfigPart, own: ConfigPart) -> pb.Config:
+def _merge(routes: ConfigPart, product: ConfigPart) -> pb.Config:
     config = pb.Config()
-    config.CopyFrom(own.config)
+    config.CopyFrom(product.config)
     for name in ('teams', 'routes', 'services'):
         config.ClearField(name)
         getattr(config, name).extend(getattr(routes.config, name))
--- a/src/peridotmast/coordination/endpoint_identity.py
+++ b/src/peridotmast/coordination/endpoint_identity.py
@@ -1,34 +1,35 @@
-"""Where a run of a router stands: what no two runs can have at one time."""
+"""Identity of a router's beacon socket, unique among concurrent runs."""
 
 from __future__ import annotations
 
 import os
 
-_BOOT = '/proc/sys/kernel/random/boot_id'
-"""Differs by each start of a VM."""
+_BOOT_ID_PATH = '/proc/sys/kernel/random/boot_id'
+"""Its content differs at each boot of a VM."""
 
-_NETWORK = '/proc/self/ns/net'
-"""Its inode tells containers apart that bind the same address."""
+_NETWORK_NAMESPACE_PATH = '/proc/self/ns/net'
+"""Its inode distinguishes containers that bind the same address."""
 
 
 def of_address(address: str) -> str:
-    """Return the place of who has bound `address`; empty if not known.
+    """Return the identity of the socket at `address`; empty if unknown.
 
-    One kernel gives an address in one of its networks to one datagram
-    socket only, as long as nobody sets that it may be shared. The socket is
-    open while its process lives, also where that is paused. So who has
-    bound it knows that each earlier run at the same place is dead.
+    Within one network namespace a kernel gives an address to a single
+    datagram socket, unless address sharing is enabled on it. The socket is
+    open while its process exists, even if that is paused. The process that
+    has bound it therefore knows that every earlier run with the same
+    identity is dead.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of a datagram socket that this process has bound and
-        keeps open as long as it acts.
+        keeps open as long as it acts on the lease.
     """
     try:
-        with open(_BOOT, encoding='ascii') as file:
-            boot = file.read().strip()
-        network = os.stat(_NETWORK).st_ino
+        with open(_BOOT_ID_PATH, encoding='ascii') as file:
+            boot_id = file.read().strip()
+        namespace = os.stat(_NETWORK_NAMESPACE_PATH).st_ino
     except OSError:
         return ''
-    return f'{boot}:{network}:{address}' if boot else ''
+    return f'{boot_id}:{namespace}:{address}' if boot_id else ''
--- a/src/peridotmast/coordination/fleet_counts.py
+++ b/src/peridotmast/coordination/fleet_counts.py
@@ -1,4 +1,4 @@
-"""Counts that routers add to, taken in from whoever tells of them."""
+"""Fleet-wide counts, summed from the cumulative counts of routers."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 import typing as ty
 
 Counts = dict[str, int]
-"""Counts by name, each since its source began."""
+"""Counts by name, each cumulative since its reporter started."""
 
 Apply = ty.Callable[[Counts], None]
 
 
 _OWN = -1
-"""Stands for this router's own group among those whose heads are known."""
+"""Key of this router's own group among the heads."""
 
 
 class DeltaTracker:
-    """What has been heard of counts that grow, by who tells them."""
+    """Converts cumulative counts into increments, by reporter."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, tuple[int, Counts]] = {}
+        self._reported: dict[str, tuple[int, Counts]] = {}
 
-    def update(self, teller: str, run: int, counts: Counts) -> Counts:
-        """Return by how much the counts have grown since they were told.
+    def update(self, reporter: str, run: int, counts: Counts) -> Counts:
+        """Return the increments since the reporter's last report.
 
-        What was counted before a teller is first heard is past; a new run of
-        it counts from 0.
+        The first report of a reporter is the baseline, so counts from before
+        it are ignored. A new run of a known reporter counts from 0.
         """
-        known = self._heard.get(teller)
+        known = self._reported.get(reporter)
         if known is not None and known[0] > run:
             return {}
-        self._heard[teller] = run, counts
+        self._reported[reporter] = run, counts
         if known is None:
             return {}
         before = known[1] if known[0] == run else {}
@@ -40,30 +40,33 @@
             if count != before.get(name, 0)
         }
 
-    def drop(self, teller: str) -> None:
-        """Forget one: what it counts from now on is new."""
-        self._heard.pop(teller, None)
+    def drop(self, reporter: str) -> None:
+        """Drop a reporter's baseline; its next report sets a new one."""
+        self._reported.pop(reporter, None)
 
-    def retain(self, tellers: ty.Collection[str]) -> None:
-        """Drop what was heard of all tellers but these."""
-        self._heard = {t: v for t, v in self._heard.items() if t in tellers}
+    def retain(self, reporters: ty.Collection[str]) -> None:
+        """Drop the baselines of all reporters but these."""
+        self._reported = {
+            r: v for r, v in self._reported.items() if r in reporters
+        }
 
 
 class FleetCounts:
-    """One kind of count over all routers, at one of them.
+    """One kind of count over all routers, kept at one of them.
 
-    A router of a small fleet hears every other. In a large one a head hears
-    its members and the other heads, each of which tells for its group; a
-    member hears from its head what all others count. What grows is told to
-    `apply`, once, whichever way it comes; what a router hears beside, as the
-    one that would be head next, is kept for when it is.
+    In a small fleet every router receives the counts of every other. In a
+    large one a head receives those of its members and, from each other head,
+    the sum of that group; a member receives from its head the sum over all
+    other routers. Each increment is passed to `apply` once, whichever way it
+    arrives. Counts that a router receives for other reasons, such as those
+    that the head's successor gets, are kept until it becomes head.
 
     Parameters
     ----------
     own : callable
-        Returns this router's own counts, in all its run.
+        Returns this router's own counts, cumulative over its run.
     apply : callable
-        Told by how much the others' counts have grown.
+        Called with the increments of the other routers' counts.
     """
 
     def __init__(self, own: ty.Callable[[], Counts], apply: Apply) -> None:
@@ -73,76 +76,81 @@
         self._groups = DeltaTracker()
         self._fleet = DeltaTracker()
         self._heads: dict[int, str] = {}
-        self._grown: dict[str, collections.Counter[str]] = {}
-        self._gone: collections.Counter[str] = collections.Counter()
+        self._by_router: dict[str, collections.Counter[str]] = {}
+        self._departed: collections.Counter[str] = collections.Counter()
         self._elsewhere: collections.Counter[str] = collections.Counter()
 
     def receive(
         self, router: str, run: int, counts: Counts, counted: bool
     ) -> None:
-        """Take in what another router counts.
+        """Process the counts of another router.
 
         Parameters
         ----------
         counted : bool
-            Whether this is the way by which this router hears of it.
+            Whether this router gets the other's counts by this path, so that
+            the increments are passed to `apply`.
         """
-        grown = self._routers.update(router, run, counts)
-        _add(self._grown.setdefault(router, collections.Counter()), grown)
+        increments = self._routers.update(router, run, counts)
+        _add(
+            self._by_router.setdefault(router, collections.Counter()),
+            increments,
+        )
         if counted:
-            self._apply(grown)
+            self._apply(increments)
 
     def receive_group(
         self, group: int, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
-        """Take in what another group counts."""
+        """Process the sum of another group, from its head."""
         if self._heads.get(group) != head:
-            # Another one has told of it meanwhile, or nobody has.
+            # Another head has reported the group in between, or none has.
             self._heads[group] = head
             self._groups.drop(head)
-        grown = self._groups.update(head, run, counts)
-        _add(self._elsewhere, grown)
+        increments = self._groups.update(head, run, counts)
+        _add(self._elsewhere, increments)
         if counted:
-            self._apply(grown)
+            self._apply(increments)
 
     def receive_fleet(
         self, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
-        """Take in from the own head what all others count."""
+        """Process the sum over all other routers, from this group's head."""
         if self._heads.get(_OWN) != head:
             self._heads[_OWN] = head
             self._fleet.drop(head)
-        grown = self._fleet.update(head, run, counts)
+        increments = self._fleet.update(head, run, counts)
         if counted:
-            self._apply(grown)
+            self._apply(increments)
 
     def add_estimate(self, counts: Counts) -> None:
-        """Take in what others may have counted while nobody told of it."""
+        """Add estimated counts of routers whose reports are missing."""
         _add(self._elsewhere, counts)
         self._apply(counts)
 
     def group_total(self) -> Counts:
-        """Return what this router and its members count."""
-        total = collections.Counter(self._gone)
+        """Return the sum over this router and its members."""
+        total = collections.Counter(self._departed)
         _add(total, self._own())
-        for grown in self._grown.values():
-            _add(total, grown)
+        for counts in self._by_router.values():
+            _add(total, counts)
         return dict(total)
 
     def totals_without(self, members: ty.Iterable[str]) -> ty.Iterator[Counts]:
-        """Yield for each of some members what all but that one count."""
-        everybody = collections.Counter(self.group_total())
-        _add(everybody, self._elsewhere)
+        """Yield for each member the sum over all routers but that member."""
+        fleet_total = collections.Counter(self.group_total())
+        _add(fleet_total, self._elsewhere)
         for member in members:
-            total = dict(everybody)
-            for name, count in self._grown.get(member, {}).items():
+            total = dict(fleet_total)
+            for name, count in self._by_router.get(member, {}).items():
                 total[name] -= count
             yield total
 
     def reset_sources(self) -> None:
-        """Begin to count by another way.
+        """Forget all baselines, as the paths of reports change.
 
-        What was told by that way until now has come by the one before.
+        Counts reported by the new paths until now have already arrived by
+        the previous ones.
         """
         self._routers = DeltaTracker()
         self._groups = DeltaTracker()
@@ -150,13 +158,14 @@
         self._heads = {}
 
     def retain(self, routers: ty.Collection[str]) -> None:
-        """Keep no more of all routers but these than their sum."""
+        """Merge the counts of all routers but these into a single sum."""
         self._routers.retain(routers)
-        for router in self._grown.keys() - set(routers):
-            _add(self._gone, self._grown.pop(router))
+        for router in self._by_router.keys() - set(routers):
+            _add(self._departed, self._by_router.pop(router))
 
 
 def _add(total: collections.Counter[str], counts: Counts) -> None:
-    # Not `update`: what a team has spent may fall, and then does here too.
+    # A plain sum, since increments may be negative: a team's spend decreases
+    # when a request did not run.
     for name, count in counts.items():
         total[name] += count
--- a/src/peridotmast/coordination/groups.py
+++ b/src/peridotmast/coordination/groups.py
@@ -1,4 +1,4 @@
-"""Groups of routers, each with a head that speaks for it."""
+"""Groups of routers, each with a head that exchanges state for the group."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from peridotmast.coordination import rank
 
 FULL_MESH_LIMIT = 17
-"""Fleet size up to which every router tells every other: it reaches 16 peers
-with one round of beacons."""
+"""Fleet size up to which every router sends beacons to every other: one round
+of beacons then goes to 16 peers."""
 
-_Sorted = dict[int, list[members_.Peer]]
+_PeersByGroup = dict[int, list[members_.Peer]]
 """Peers by the number of their group."""
 
 
 class Groups:
-    """Sorts the routers of a large fleet into groups by their names.
+    """Assigns the routers of a large fleet to groups by their names.
 
-    Nobody need agree: each router reckons from whom it has heard, and what
-    is sent to one that is no head any more is lost for one round. About as
-    many groups as members in one, so that neither a head's peers nor its
-    members are many.
+    No agreement is needed: each router computes the groups from the peers
+    that it knows, and a beacon to a former head is only lost for one round.
+    There are about as many groups as members in each, to keep both a head's
+    peers and its members few.
 
     Parameters
     ----------
@@ -33,24 +33,24 @@
     def __init__(self, members: members_.Members) -> None:
         self._members = members
         self._me = members.me.name
-        self._sorted: _Sorted = {}
-        self._sorted_at = -1, 0
+        self._assigned: _PeersByGroup = {}
+        self._assigned_for = -1, 0
 
     def is_grouped(self) -> bool:
-        """Return whether the fleet is so large that it has groups."""
+        """Return whether the fleet is large enough to have groups."""
         return len(self._members.peers()) + 1 > FULL_MESH_LIMIT
 
     def snapshot(self) -> GroupSnapshot:
         """Return the groups as this router sees them now."""
-        # Also those that are silent now: else a gap in what is heard would
-        # sort all routers anew.
-        count = _groups_of(len(self._members.peers()) + 1)
-        at = self._members.version, count
-        if self._sorted_at != at:
-            self._sorted = self._sort(count)
-            self._sorted_at = at
+        # Silent peers count too, or a gap in their beacons would change the
+        # number of groups and so reassign all routers.
+        count = _group_count(len(self._members.peers()) + 1)
+        key = self._members.version, count
+        if self._assigned_for != key:
+            self._assigned = self._assign(count)
+            self._assigned_for = key
         peers = self._members.live_peers()
-        heard = {peer.member.name for peer in peers}
+        live = {peer.member.name for peer in peers}
         leaving = {
             peer.member.name
             for peer in peers
@@ -60,19 +60,19 @@
             group: [
                 peer
                 for peer in peers
-                if peer.member.name in heard
+                if peer.member.name in live
                 or self._members.is_newly_discovered(peer)
             ]
-            for group, peers in self._sorted.items()
+            for group, peers in self._assigned.items()
         }
-        there = (heard | self._members.starting_names()) - leaving
+        eligible = (live | self._members.starting_names()) - leaving
         if self._members.me.state != members_.LEAVING:
-            there.add(self._me)
-        return GroupSnapshot(self._me, known, heard, there, count)
+            eligible.add(self._me)
+        return GroupSnapshot(self._me, known, live, eligible, count)
 
-    def _sort(self, count: int) -> _Sorted:
-        """Return all peers by group, who is head before others first."""
-        found: _Sorted = {}
+    def _assign(self, count: int) -> _PeersByGroup:
+        """Return all peers by group, in their order of election as head."""
+        found: _PeersByGroup = {}
         for peer in self._members.peers():
             group = rank.of('group', peer.member.name) % count
             found.setdefault(group, []).append(peer)
@@ -89,30 +89,30 @@
     me : str
         Name of this router.
     groups : dict
-        The peers that may be there by the number of their group, who is head
-        before others first.
-    heard : collection of str
-        Names of those that are.
-    there : collection of str
-        Names of those that may be heads, this router too: they are heard, or
-        about to speak, and do not leave.
+        The live and newly discovered peers by the number of their group, in
+        their order of election as head.
+    live : collection of str
+        Names of the live peers.
+    eligible : collection of str
+        Names of the routers that may be heads, this one included: live or
+        starting, and not leaving.
     count : int
-        Groups that there are.
+        Number of groups.
     """
 
     def __init__(
         self,
         me: str,
-        groups: _Sorted,
-        heard: ty.Collection[str],
-        there: ty.Collection[str],
+        groups: _PeersByGroup,
+        live: ty.Collection[str],
+        eligible: ty.Collection[str],
         count: int,
     ) -> None:
         self._me = me
         self.count = count
-        """Groups that there are."""
-        self._heard = heard
-        self._there = there
+        """Number of groups."""
+        self._live = live
+        self._eligible = eligible
         self._groups = groups
         self.own_group = self.group_of(me)
         """Number of this router's group."""
@@ -121,14 +121,15 @@
     def is_head(self) -> bool:
         """Whether this router is the head of its group.
 
-        One that leaves hands that over as soon as it says so: the next one
-        has its members' counts, and they follow it before this one ends.
+        A head that leaves stops being one as soon as it announces that: its
+        successor already has the members' counts, and the members follow the
+        successor before the leaving head ends.
         """
-        mine = rank.of('head', self._me)
+        own_rank = rank.of('head', self._me)
         return not any(
-            rank.of('head', name) < mine or self._me not in self._there
+            rank.of('head', name) < own_rank or self._me not in self._eligible
             for name in self.names_in(self.own_group)
-            if name in self._there
+            if name in self._eligible
         )
 
     def members(self) -> list[members_.Peer]:
@@ -136,16 +137,16 @@
         return self._groups.get(self.own_group, [])
 
     def live_member_names(self) -> set[str]:
-        """Return the names of the other members that are heard."""
-        return set(self._heard_in(self.own_group))
+        """Return the names of the group's other live members."""
+        return set(self._live_names(self.own_group))
 
     def head_and_successor(self) -> list[members_.Peer]:
-        """Return who is told for this router's group: head and next one.
+        """Return the peers that get this group's counts: head and successor.
 
-        The next one takes the head's place as soon as that falls silent, and
-        knows by then what the members count.
+        The successor replaces the head as soon as that falls silent, and has
+        the members' counts by then.
         """
-        return self._first(self.own_group, 2)
+        return self._first_eligible(self.own_group, 2)
 
     def other_heads(self) -> list[members_.Peer]:
         """Return the heads of the other groups."""
@@ -153,7 +154,7 @@
             peer
             for group in self._groups
             if group != self.own_group
-            for peer in self._first(group, 1)
+            for peer in self._first_eligible(group, 1)
         ]
 
     def group_of(self, name: str) -> int:
@@ -165,26 +166,26 @@
         return [peer.member.name for peer in self._groups.get(group, [])]
 
     def live_count(self, group: int) -> int:
-        """Return how many peers in a group are heard."""
-        return len(self._heard_in(group))
+        """Return the number of live peers in a group."""
+        return len(self._live_names(group))
 
     def is_member(self, name: str) -> bool:
-        """Return whether a router is of this router's group."""
+        """Return whether a router belongs to this router's group."""
         return self.group_of(name) == self.own_group
 
-    def _first(self, group: int, count: int) -> list[members_.Peer]:
+    def _first_eligible(self, group: int, count: int) -> list[members_.Peer]:
         peers = self._groups.get(group, [])
-        there = [p for p in peers if p.member.name in self._there]
-        return (there or peers)[:count]
+        eligible = [p for p in peers if p.member.name in self._eligible]
+        return (eligible or peers)[:count]
 
-    def _heard_in(self, group: int) -> list[str]:
-        return [n for n in self.names_in(group) if n in self._heard]
+    def _live_names(self, group: int) -> list[str]:
+        return [n for n in self.names_in(group) if n in self._live]
 
 
-def _groups_of(routers: int) -> int:
-    """Return the number of groups: a power of two near the root.
+def _group_count(routers: int) -> int:
+    """Return the number of groups: a power of two near the square root.
 
-    Powers of two, so that a router that comes or goes seldom sorts all the
-    others anew.
+    Powers of two, so that a router that joins or leaves rarely causes all
+    others to be reassigned.
     """
     return 1 << round(math.log2(routers) / 2)
--- a/src/peridotmast/coordination/members.py
+++ b/src/peridotmast/coordination/members.py
@@ -1,4 +1,4 @@
-"""Which routers there are, as far as one of them has heard."""
+"""The routers of the fleet, as this router knows them from beacons."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 ALIVE = pb.MEMBER_STATE_ALIVE
 LEAVING = pb.MEMBER_STATE_LEAVING
 
-_GROUP_SHARE = 1.2
-"""In a fleet with groups, silence that is allowed as a multiple of the usual
-one: beacons go half as often there, and two of three may be lost."""
+_GROUPED_SILENCE_FACTOR = 1.2
+"""Factor on the silence timeout in a fleet with groups: beacons are sent half
+as often there, and two of three may be lost."""
 
-_TOLD_SHARE = 2.2
-"""The same for members of whom only their head tells: when that is lost, the
-next one takes its place within the first time, and tells again within this."""
+_REPORTED_SILENCE_FACTOR = 2.2
+"""The same for members known only from a head's reports: if the head fails,
+its successor takes over within the timeout above and reports within this."""
 
-_COMING_MS = 1500
-"""How long one that was never heard counts as one that is about to speak:
-three rounds of a large fleet."""
+_STARTING_MS = 1500
+"""How long a peer that was never heard counts as starting: three rounds of a
+large fleet."""
 
-_NEW_MS = 5000
-"""How long a router that was never heard counts as one that may be there."""
+_DISCOVERED_MS = 5000
+"""How long a peer that was never heard counts as possibly running."""
 
 _FORGET_MS = 60_000
-"""How long a silent member is kept: longer than any cut that heals, since
-nobody else would tell of it then."""
+"""How long a silent member is kept: longer than any network partition that
+heals, since no other router would report the member after one."""
 
 
 @dataclasses.dataclass
@@ -37,22 +37,22 @@
     """Another router."""
 
     member: pb.Member
-    """The newest that it said of itself."""
+    """Its newest known entry."""
     last_beacon_at: int = 0
-    """Moment of its last beacon, in ms; 0 where there was none yet."""
+    """Time of its last beacon, in ms; 0 before the first."""
     last_reported_at: int = 0
-    """Moment at which a head last said that it is there, in ms; 0 where none
+    """Time at which a head last reported it alive, in ms; 0 if no head
     does."""
     changed_at: int = 0
-    """Moment at which its entry last changed, in ms."""
+    """Time at which its entry last changed, in ms."""
     was_seen: bool = False
-    """Whether it was ever heard, or heard of from a head."""
+    """Whether a beacon of it or a head's report has ever arrived."""
     discovered_at: int = 0
-    """Moment at which it was first heard of, in ms."""
+    """Time at which its entry was first received, in ms."""
 
 
 class Members:
-    """This router and its peers; only beacons prove that a peer is there.
+    """This router and its peers; only beacons prove that a peer is alive.
 
     Parameters
     ----------
@@ -61,9 +61,9 @@
     clock : clock.Clock
         Times silence.
     silent_ms : int
-        Silence after which callers are not sent to a peer any more.
+        Silence after which callers are no longer sent to a peer.
     full_mesh_limit : int
-        Fleet size up to which every router tells every other.
+        Fleet size up to which every router sends beacons to every other.
     """
 
     def __init__(
@@ -80,9 +80,9 @@
         self._silent_ms = silent_ms
         self._full_mesh_limit = full_mesh_limit
         self._peers: dict[str, Peer] = {}
-        self._was_heard: set[str] = set()
+        self._live_names: set[str] = set()
         self.version = 0
-        """Grows with each peer that is new or forgotten."""
+        """Increases when a peer is added or removed."""
         self._log = logs.get('members', router=me.name)
 
     def change_me(self, **values: ty.Any) -> None:
@@ -92,7 +92,7 @@
         self.me.revision += 1
 
     def learn(self, member: pb.Member) -> None:
-        """Take in what a third side says of a member."""
+        """Merge an entry that did not come from the member itself."""
         if member.name == self.me.name:
             return
         known = self._peers.get(member.name)
@@ -102,54 +102,65 @@
                 member, discovered_at=now, changed_at=now
             )
             self.version += 1
-        elif _rank(member) > _rank(known.member):
+        elif _version_of(member) > _version_of(known.member):
             known.member = member
             known.changed_at = self.clock.now()
 
     def receive(self, member: pb.Member) -> bool:
-        """Take in a member's own beacon; say whether it is its newest run."""
+        """Process the entry in a member's own beacon.
+
+        Returns
+        -------
+        bool
+            Whether the entry is the newest known one of the member.
+        """
         if member.name == self.me.name:
             return False
         self.learn(member)
         peer = self._peers[member.name]
-        if _rank(member) < _rank(peer.member):
+        if _version_of(member) < _version_of(peer.member):
             return False
         peer.member = member
         peer.last_beacon_at = self.clock.now()
-        self._note_there(peer)
+        self._mark_live(peer)
         return True
 
     def apply_head_report(
-        self, names: ty.Iterable[str], of: ty.Iterable[str]
+        self, alive: ty.Iterable[str], covered: ty.Iterable[str]
     ) -> None:
-        """Take in from a head who is there.
+        """Process a head's report of live members.
 
         Parameters
         ----------
-        of : iterable of str
-            All that it tells of: those who are not named are not there.
+        alive : iterable of str
+            Names of the members that are alive.
+        covered : iterable of str
+            Names of all members in the report's scope: those that are not
+            in `alive` are not alive.
         """
-        now, there = self.clock.now(), set(names)
-        for name in of:
-            if name not in there and name in self._peers:
+        now, live = self.clock.now(), set(alive)
+        for name in covered:
+            if name not in live and name in self._peers:
                 self._peers[name].last_reported_at = 0
-        for peer in (self._peers[n] for n in there & self._peers.keys()):
+        for peer in (self._peers[n] for n in live & self._peers.keys()):
             peer.last_reported_at = now
-            self._note_there(peer)
+            self._mark_live(peer)
 
     def peer_names(self) -> list[str]:
         """Return the names of all other members."""
         return list(self._peers)
 
-    def recently_changed(self, within_ms: int, most: int) -> list[pb.Member]:
-        """Return the entries that have changed of late, the newest first."""
+    def recently_changed(
+        self, within_ms: int, max_count: int
+    ) -> list[pb.Member]:
+        """Return the entries changed within a time, the newest first."""
         limit = self.clock.now() - within_ms
-        late = [p for p in self._peers.values() if p.changed_at >= limit]
-        late.sort(key=lambda peer: -peer.changed_at)
-        return [peer.member for peer in late[:most]]
+        recent = [p for p in self._peers.values() if p.changed_at >= limit]
+        recent.sort(key=lambda peer: -peer.changed_at)
+        return [peer.member for peer in recent[:max_count]]
 
     def peers(self) -> list[Peer]:
-        """Return all other members that may still be there."""
+        """Return all other members, silent ones included."""
         return list(self._peers.values())
 
     def get(self, name: str) -> ty.Optional[Peer]:
@@ -157,33 +168,36 @@
         return self._peers.get(name)
 
     def live_peers(self) -> list[Peer]:
-        """Return the peers that were heard lately."""
-        split = len(self._peers) + 1 > self._full_mesh_limit
+        """Return the peers whose silence is within the timeout."""
+        grouped = len(self._peers) + 1 > self._full_mesh_limit
         now = self.clock.now()
-        limit = now - self._silent_ms * (_GROUP_SHARE if split else 1)
-        told = now - self._silent_ms * _TOLD_SHARE
+        beacon_limit = now - self._silent_ms * (
+            _GROUPED_SILENCE_FACTOR if grouped else 1
+        )
+        report_limit = now - self._silent_ms * _REPORTED_SILENCE_FACTOR
         return [
             peer
             for peer in self._peers.values()
-            if (peer.last_beacon_at and peer.last_beacon_at >= limit)
+            if (peer.last_beacon_at and peer.last_beacon_at >= beacon_limit)
             or (
-                split
+                grouped
                 and peer.last_reported_at
-                and peer.last_reported_at >= told
+                and peer.last_reported_at >= report_limit
             )
         ]
 
     def serving(self) -> list[pb.Member]:
         """Return the members that callers may be sent to, this one too."""
-        everyone = [self.me, *(peer.member for peer in self.live_peers())]
-        return [m for m in everyone if m.ready and m.state == ALIVE]
+        live = [self.me, *(peer.member for peer in self.live_peers())]
+        return [m for m in live if m.ready and m.state == ALIVE]
 
     def sharer_count(self) -> int:
-        """Return how many routers share what is shared, this one too.
+        """Return how many routers share the fleet's limits, this one too.
 
-        A peer counts until it is forgotten or says that it leaves: one
-        that is only silent may be serving callers beyond a cut. For a router
-        that starts, so do those that it has only heard of yet.
+        A peer counts until it is removed or announces that it is leaving: a
+        silent one may still serve callers on the other side of a network
+        partition. While this router starts, peers that it has discovered but
+        not heard yet count as well.
         """
         return len(self.sharer_names())
 
@@ -200,17 +214,18 @@
         ]
 
     def is_newly_discovered(self, peer: Peer) -> bool:
-        """Return whether a peer may be there that was never heard."""
-        limit = self.clock.now() - _NEW_MS
+        """Return whether a peer that was never heard may be running."""
+        limit = self.clock.now() - _DISCOVERED_MS
         return not peer.last_beacon_at and peer.discovered_at > limit
 
     def starting_names(self) -> set[str]:
-        """Return the names of those that are about to speak.
+        """Return the names of peers whose first beacon is still expected.
 
-        A fleet that starts as a whole sorts itself by them: else each takes
-        itself for a head until it hears the one before it.
+        When the whole fleet starts at once, groups are formed with these
+        peers included; otherwise each router would take itself for a head
+        until it heard one that ranks before it.
         """
-        limit = self.clock.now() - _COMING_MS
+        limit = self.clock.now() - _STARTING_MS
         return {
             name
             for name, peer in self._peers.items()
@@ -218,13 +233,13 @@
         }
 
     def tick(self) -> None:
-        """Note who has fallen silent; forget who has been for long."""
-        heard = {peer.member.name for peer in self.live_peers()}
-        for name in sorted(self._was_heard - heard):
-            self._was_heard.discard(name)
+        """Log peers that became silent; remove peers silent for too long."""
+        live = {peer.member.name for peer in self.live_peers()}
+        for name in sorted(self._live_names - live):
+            self._live_names.discard(name)
             self._log.info('peer_silent', peer=name)
         limit = self.clock.now() - _FORGET_MS
-        old = [
+        expired = [
             name
             for name, peer in self._peers.items()
             if max(
@@ -232,17 +247,17 @@
             )
             < limit
         ]
-        for name in old:
+        for name in expired:
             del self._peers[name]
             self.version += 1
 
-    def _note_there(self, peer: Peer) -> None:
+    def _mark_live(self, peer: Peer) -> None:
         name = peer.member.name
         peer.was_seen = True
-        if name not in self._was_heard:
-            self._was_heard.add(name)
+        if name not in self._live_names:
+            self._live_names.add(name)
             self._log.info('peer_heard', peer=name)
 
 
-def _rank(member: pb.Member) -> tuple[int, int]:
+def _version_of(member: pb.Member) -> tuple[int, int]:
     return member.incarnation, member.revision
--- a/src/peridotmast/coordination/objects.py
+++ b/src/peridotmast/coordination/objects.py
@@ -1,4 +1,4 @@
-"""Objects with revisions, as coordination parts expect them of a store."""
+"""Interface of a store that keeps objects with revisions."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
     name: str
     revision: int
-    """Of its last change; 0 where there is no object."""
+    """Revision of its last change; 0 if the object does not exist."""
     spec: ty.Optional[Json] = None
-    """Its value; None where there is no object."""
+    """Its value; None if the object does not exist."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -31,22 +31,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """What happened to the objects of a kind since a revision."""
+    """The changes of a kind's objects since a revision."""
 
     objects: list[StoredObject]
-    """Changed ones, in order; removed ones without a value."""
+    """Changed objects, in order; removed ones without a value."""
     revision: int
-    """From which the next question goes on."""
+    """Revision from which the next watch continues."""
 
 
 HISTORY_GONE = 'history_gone'
-"""Reason of a failure that says: the changes are forgotten, list anew."""
+"""Failure reason: the store no longer has the changes; list the kind again."""
 
 
 class ObjectStore(ty.Protocol):
-    """The store that the platform runs.
+    """The platform's store.
 
-    Reads are of the newest state. A conditional write names the revision
+    Reads return the newest state. A write is conditional on the revision
     that it replaces. A failure of kind OUTCOME_UNKNOWN means that a write
     may have taken effect, or may do so later if its condition still holds.
     """
@@ -54,7 +54,7 @@
     def read(
         self, kind: str, name: str
     ) -> ty.Union[StoredObject, failures.Failure]:
-        """Return an object; one without a value where there is none."""
+        """Return an object; one without a value if it does not exist."""
 
     def list(self, kind: str) -> ty.Union[Listing, failures.Failure]:
         """Return all objects of a kind."""
@@ -71,13 +71,13 @@
         Parameters
         ----------
         on_bytes : callable, optional
-            Called as bytes of the answer come.
+            Called whenever bytes of the answer arrive.
         """
 
     def write(
         self, kind: str, name: str, spec: Json, revision: int
     ) -> ty.Union[StoredObject, failures.Failure]:
-        """Write where the object is still at `revision` (0: not there).
+        """Write an object that is still at `revision` (0: not existing).
 
         A failure of kind CONFLICT means that nothing was written.
         """
@@ -85,4 +85,4 @@
     def remove(
         self, kind: str, name: str, revision: int
     ) -> ty.Optional[failures.Failure]:
-        """Remove an object that is still at `revision`."""
+        """Remove an object if it is still at `revision`."""
--- a/src/peridotmast/coordination/outage_reports.py
+++ b/src/peridotmast/coordination/outage_reports.py
@@ -1,4 +1,4 @@
-"""What peers say of outages of the store."""
+"""Peers' reports that the platform's store does not answer them."""
 
 from __future__ import annotations
 
@@ -6,62 +6,64 @@
 
 from peridotmast import clock as clock_
 
-_FELT_MS = 1000
-"""How long a peer's word of a store that fails it holds: a few beacons."""
+_VALID_MS = 1000
+"""How long a report is valid: a few beacons."""
 
 
 class OutageReports:
-    """Takes in who says that the store does not answer.
+    """Records which peers report an outage of the store.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times what was said.
-    doubt : callable
-        Called once peers begin to say so.
+        Times the reports.
+    on_outage : callable
+        Called when peers begin to report an outage.
     """
 
     def __init__(
-        self, clock: clock_.Clock, doubt: ty.Callable[[], None]
+        self, clock: clock_.Clock, on_outage: ty.Callable[[], None]
     ) -> None:
         self._clock = clock
-        self._doubt = doubt
-        self._at = self._member_at = -_FELT_MS
-        self._doubted_at = -_FELT_MS
-        self._felt: dict[str, int] = {}
+        self._on_outage = on_outage
+        self._reported_at = self._member_reported_at = -_VALID_MS
+        self._notified_at = -_VALID_MS
+        self._reports: dict[str, int] = {}
 
     def record(self, peer: str, from_member: bool) -> None:
-        """Take in that the store does not answer a peer.
+        """Record that a peer reports an outage.
 
         Parameters
         ----------
         from_member : bool
-            Whether the peer speaks for itself, to a router that may have to
-            pass it on.
+            Whether the peer reports its own failed calls, which this router
+            passes on if it is the head of a group.
         """
         now = self._clock.now()
-        limit = now - _FELT_MS
-        is_first = self._felt.get(peer, limit) <= limit
-        self._felt[peer] = now
-        # Once for many that say so at the same time.
-        if is_first and self._doubted_at <= limit:
-            self._doubted_at = now
-            self._doubt()
-        self._at = now
+        limit = now - _VALID_MS
+        is_first = self._reports.get(peer, limit) <= limit
+        self._reports[peer] = now
+        # Notify once if many peers begin to report at the same time.
+        if is_first and self._notified_at <= limit:
+            self._notified_at = now
+            self._on_outage()
+        self._reported_at = now
         if from_member:
-            self._member_at = now
+            self._member_reported_at = now
 
     def discard_before(self, before: int) -> None:
-        """Forget the peers that have not said so since a moment, in ms."""
-        self._felt = {p: at for p, at in self._felt.items() if at >= before}
+        """Discard the reports older than a time, in ms."""
+        self._reports = {
+            p: at for p, at in self._reports.items() if at >= before
+        }
 
     def has_recent(self) -> bool:
-        """Return whether any peer has said so just now."""
-        return self._is_recent(self._at)
+        """Return whether any peer has reported an outage recently."""
+        return self._is_recent(self._reported_at)
 
     def has_recent_from_member(self) -> bool:
-        """Return whether a peer has said so of itself just now."""
-        return self._is_recent(self._member_at)
+        """Return whether a peer has recently reported its own failures."""
+        return self._is_recent(self._member_reported_at)
 
     def _is_recent(self, moment: int) -> bool:
-        return self._clock.now() - moment < _FELT_MS
+        return self._clock.now() - moment < _VALID_MS
--- a/src/peridotmast/coordination/rank.py
+++ b/src/peridotmast/coordination/rank.py
@@ -1,24 +1,25 @@
-"""Rendezvous hashing: an order of names that all routers agree on."""
+"""Rendezvous hashing: an order of names that is the same at all routers."""
 
 from __future__ import annotations
 
 import functools
 import hashlib
 
-_KEPT = 8192
-"""Hashes that are kept: five for each of 330 routers, and runs before."""
+_CACHE_SIZE = 8192
+"""Hashes that are cached: five for each of 330 routers, with room for names
+that are no longer in use."""
 
 
-@functools.lru_cache(maxsize=_KEPT)
-def of(what: str, name: str) -> int:
-    """Return the place of `name` among others, for one purpose.
+@functools.lru_cache(maxsize=_CACHE_SIZE)
+def of(purpose: str, name: str) -> int:
+    """Return the rank of `name` in the order for one purpose.
 
     Parameters
     ----------
-    what : str
-        The purpose: each has an order of its own.
+    purpose : str
+        What the order is for; each purpose has an independent order.
     name : str
-        Whose place it is; the lowest comes first.
+        The name to rank; the lowest rank comes first.
     """
-    digest = hashlib.blake2b(f'{what}|{name}'.encode(), digest_size=8)
+    digest = hashlib.blake2b(f'{purpose}|{name}'.encode(), digest_size=8)
     return int.from_bytes(digest.digest(), 'big')
--- a/src/peridotmast/coordination/watchers.py
+++ b/src/peridotmast/coordination/watchers.py
@@ -1,4 +1,4 @@
-"""Which routers watch the platform's store on behalf of all."""
+"""Selection of the routers that watch the platform's store for the fleet."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import rank
 
-_EVERYBODY = 8
-"""Fleet size up to which each router watches for itself: the news of a peer
-comes later than the store's, and so few watches cost little."""
+_ALL_WATCH_BELOW = 8
+"""Smaller fleets watch with every router: changes arrive later from a peer
+than from the store, and so few watches cost little."""
 
 _WATCHERS = 6
-"""Routers that watch in larger fleets, so that calls do not grow with them:
-enough that some are left when a failure domain is cut off."""
+"""Watchers of one kind in larger fleets, to keep the number of calls
+independent of the fleet's size: enough that some remain when a failure domain
+is cut off."""
 
 
-_IN_DOUBT = 2
-"""Times as many watch while somebody is not answered: a store that turns away
-a third of the routers turns away all of six once in 700 times, and all of
-twelve once in half a million. No more: each asks again and again in an
-outage."""
+_OUTAGE_FACTOR = 2
+"""Factor on the number of watchers while the store does not answer some
+router: a store that rejects a third of the routers rejects all of six once in
+700 times, and all of twelve once in half a million. Not more, since each
+watcher retries again and again during an outage."""
 
 
 class Watchers:
-    """Chooses watchers by rendezvous hashing over the routers heard.
+    """Selects watchers by rendezvous hashing over the live routers.
 
-    Nobody need agree: when a watcher falls silent the next in order takes
-    its place, and one that hears nobody watches for itself.
+    No agreement is needed: when a watcher falls silent the next one in order
+    replaces it, and a router that hears no peer watches for itself.
 
     Parameters
     ----------
@@ -38,24 +39,24 @@
     def __init__(self, members: members_.Members) -> None:
         self._members = members
         self.is_outage_suspected: ty.Callable[[], bool] = lambda: False
-        """Says whether the store does not answer some router."""
+        """Returns whether the store fails to answer some router."""
 
     def all_watch(self) -> bool:
         """Return whether the fleet is so small that every router watches."""
-        return len(self._there()) < _EVERYBODY
+        return len(self._candidates()) < _ALL_WATCH_BELOW
 
     def should_watch(self, kind: str) -> bool:
         """Return whether this router is to watch `kind`."""
-        there = self._there()
-        if len(there) < _EVERYBODY:
+        candidates = self._candidates()
+        if len(candidates) < _ALL_WATCH_BELOW:
             return True
-        what = f'watch|{kind}'
-        mine = rank.of(what, self._members.me.name)
-        before = sum(rank.of(what, name) < mine for name in there)
-        times = _IN_DOUBT if self.is_outage_suspected() else 1
-        return before < times * _WATCHERS
-
-    def _there(self) -> set[str]:
-        """Return the names of the routers that watch, or may in a moment."""
-        heard = {peer.member.name for peer in self._members.live_peers()}
-        return heard | self._members.starting_names()
+        purpose = f'watch|{kind}'
+        own_rank = rank.of(purpose, self._members.me.name)
+        before = sum(rank.of(purpose, name) < own_rank for name in candidates)
+        factor = _OUTAGE_FACTOR if self.is_outage_suspected() else 1
+        return before < factor * _WATCHERS
+
+    def _candidates(self) -> set[str]:
+        """Return the names of the peers that are live or starting."""
+        live = {peer.member.name for peer in self._members.live_peers()}
+        return live | self._members.starting_names()
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -73,10 +73,10 @@
         'duties',
     ),
     Mutation(
-        'watch the store until others have spoken',
+        'ignore starting peers when selecting watchers',
         COORDINATION + 'watchers.py',
-        'return heard | self._members.starting_names()',
-        'return heard',
+        'return live | self._members.starting_names()',
+        'return live',
         'fleet',
     ),
     Mutation(
@@ -94,7 +94,7 @@
         'fleet',
     ),
     Mutation(
-        'send a whole round at once',
+        'send a whole round of beacons at once',
         COORDINATION + 'beacons.py',
         'green.sleep_ms(_PAUSE_MS)',
         'pass',
@@ -185,17 +185,17 @@
         'fleet',
     ),
     Mutation(
-        'lead until the one before has spoken',
+        'act as head until a higher-ranked starting peer is heard',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.starting_names()) - leaving',
-        'there = heard - leaving',
+        'eligible = (live | self._members.starting_names()) - leaving',
+        'eligible = live - leaving',
         'groups',
     ),
     Mutation(
-        'lead a group until the end',
+        'stay head of a group while leaving',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.starting_names()) - leaving',
-        'there = heard | self._members.starting_names()',
+        'eligible = (live | self._members.starting_names()) - leaving',
+        'eligible = live | self._members.starting_names()',
         'groups',
     ),
     Mutation(
@@ -411,7 +411,7 @@
         'upstreams',
     ),
     Mutation(
-        'take an older configuration',
+        'put an older configuration into force',
         COORDINATION + 'config_feed.py',
         'if version <= self.routes.version:',
         'if False:',
@@ -575,7 +575,7 @@
         'limits',
     ),
     Mutation(
-        'believe a beacon that nobody signed',
+        'accept a beacon with an invalid signature',
         COORDINATION + 'beacons.py',
         'if not hmac.compare_digest(tag, self._tag(body)):',
         'if False:',
@@ -652,7 +652,7 @@
         'entries',
     ),
     Mutation(
-        'take in a beacon with wrong numbers',
+        'accept a beacon with negative numbers',
         COORDINATION + 'beacon_check.py',
         'if any(number < 0 for number in _counts(beacon)):',
         'if False:',
@@ -743,7 +743,7 @@
         'groups',
     ),
     Mutation(
-        'tell no member what its head missed',
+        "leave a head's estimate out of its members' totals",
         COORDINATION + 'fleet_counts.py',
         """        _add(self._elsewhere, counts)
         self._apply(counts)""",
@@ -758,10 +758,10 @@
         'limits',
     ),
     Mutation(
-        'let one peer that is refused speak for all',
+        'let one peer with long failures hide new outage reports',
         COORDINATION + 'outage_reports.py',
-        'is_first = self._felt.get(peer, limit) <= limit',
-        'is_first = self._at <= limit',
+        'is_first = self._reports.get(peer, limit) <= limit',
+        'is_first = self._reported_at <= limit',
         'store_reads',
     ),
     Mutation(
@@ -800,7 +800,7 @@
         'limits',
     ),
     Mutation(
-        'count only the routers that were heard',
+        'count only routers that were heard as limit sharers',
         COORDINATION + 'members.py',
         'and (peer.was_seen or self.is_newly_discovered(peer))',
         'and peer.was_seen',
@@ -814,9 +814,9 @@
         'store_reads',
     ),
     Mutation(
-        'let watches wait on when a peer is not answered',
+        'keep waiting watches when a peer reports an outage',
         COORDINATION + 'outage_reports.py',
-        'self._doubt()',
+        'self._on_outage()',
         'pass',
         'store_reads',
     ),
@@ -849,26 +849,26 @@
         'upstreams',
     ),
     Mutation(
-        'count by two ways what one has counted',
+        'apply counts that arrive by two paths twice',
         COORDINATION + 'fleet_counts.py',
         """        if counted:
-            self._apply(grown)
+            self._apply(increments)
 
     def receive_group(""",
-        """        self._apply(grown)
+        """        self._apply(increments)
 
     def receive_group(""",
         'groups',
     ),
     Mutation(
-        'go on from what another head has told',
+        'keep the baseline of a head after another has reported',
         COORDINATION + 'fleet_counts.py',
         'if self._heads.get(_OWN) != head:',
         'if False:',
         'groups',
     ),
     Mutation(
-        'keep naming what its head does not name',
+        'keep peers alive that their head no longer reports',
         COORDINATION + 'members.py',
         'self._peers[name].last_reported_at = 0',
         'pass',
