--- a/src/peridotmast/coordination/fleet_clock.py
+++ b/src/peridotmast/coordination/fleet_clock.py
@@ -1,4 +1,4 @@
-"""The time of day that the fleet agrees on, whatever one VM's clock says."""
+"""The time of day that the fleet agrees on, even if one VM's clock is off."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from peridotmast import clock as clock_
 
 _KEEP_MS = 10_000
-"""How long a peer's reading counts; clocks drift little in that time."""
+"""How long a peer's reading is used; clocks drift little in that time."""
 
-_RECKON_MS = 250
-"""Time between two medians: the time is asked for with each request and each
-beacon, and a median of 62 clocks takes 0.1 ms."""
+_UPDATE_MS = 250
+"""Time between updates of the median: the time is read for each request and
+each beacon, and a median of 62 clocks takes 0.1 ms."""
 
 
 class FleetClock:
-    """The median of this router's and its peers' clocks.
+    """The median of the clocks of this router and its peers.
 
-    A VM's time of day may jump by seconds; fewer than half of them do so at
-    once, so the median stays. It rests on the clock that never jumps: each
-    reading is kept as its distance from that one.
+    A VM's time of day may jump by seconds, but fewer than half of the clocks
+    do so at once, which leaves the median in place. Each reading is stored as
+    its offset from the VM's boot clock, which never jumps.
 
     Parameters
     ----------
@@ -31,42 +31,45 @@
     def __init__(self, clock: clock_.Clock) -> None:
         self._clock = clock
         self._offsets: dict[str, tuple[int, int]] = {}
-        self._followed: ty.Optional[tuple[int, int]] = None
+        self._head_offset: ty.Optional[tuple[int, int]] = None
         self._median = 0
-        self._reckon_at = 0
+        self._update_at = 0
 
     def record_peer(self, peer: str, wall_ms: int) -> None:
-        """Take in the time of day that a peer has just sent."""
+        """Record the time of day that a peer has just sent."""
         boot = self._clock.boot()
         self._offsets[peer] = (wall_ms - boot, boot)
 
     def follow_head(self, now_ms: int) -> None:
-        """Take the fleet's time over from a router that hears more clocks."""
+        """Adopt the fleet's time from a head, which receives more clocks."""
         boot = self._clock.boot()
-        self._followed = (now_ms - boot, boot)
-        self._reckon_at = 0
+        self._head_offset = (now_ms - boot, boot)
+        self._update_at = 0
 
     def use_own_median(self) -> None:
-        """Go by the clocks that are heard here."""
-        self._followed = None
+        """Use the median of the clocks that this router receives."""
+        self._head_offset = None
 
     def now(self) -> int:
-        """Return ms since 1970, by the median of all clocks."""
+        """Return the fleet's time, in ms since 1970."""
         boot = self._clock.boot()
-        if boot >= self._reckon_at:
-            self._reckon(boot)
+        if boot >= self._update_at:
+            self._update(boot)
         return boot + self._median
 
-    def _reckon(self, boot: int) -> None:
+    def _update(self, boot: int) -> None:
         self._offsets = {
             peer: (offset, at)
             for peer, (offset, at) in self._offsets.items()
             if boot - at < _KEEP_MS
         }
-        self._reckon_at = boot + _RECKON_MS
-        if self._followed and boot - self._followed[1] < _KEEP_MS:
-            self._median = self._followed[0]
+        self._update_at = boot + _UPDATE_MS
+        if self._head_offset and boot - self._head_offset[1] < _KEEP_MS:
+            self._median = self._head_offset[0]
             return
-        mine = self._clock.wall() - boot
-        offsets = [mine, *(offset for offset, _ in self._offsets.values())]
+        own_offset = self._clock.wall() - boot
+        offsets = [
+            own_offset,
+            *(offset for offset, _ in self._offsets.values()),
+        ]
         self._median = int(statistics.median(offsets))
--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -1,4 +1,4 @@
-"""One kind of the store's objects, followed through outages."""
+"""Follows the store's objects of one kind, through outages of the store."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 from peridotmast import green
 from peridotmast import logs
 
-_WAIT_MS = 25_000
-"""How long a watch waits: each return is a call that is paid for. A silent
-connection is found out by probes of its own, not by this."""
+_WATCH_MS = 25_000
+"""Longest wait of a watch: each return is a call that is billed. A silent
+connection is detected by probes of its own, not by this timeout."""
 
-_FIRST_PAUSE_MS = 250
-_LAST_PAUSE_MS = 1000
-"""Pauses between tries while the store does not answer; refused calls are
-paid for like others, and a change must be in force in two seconds."""
+_FIRST_BACKOFF_MS = 250
+_MAX_BACKOFF_MS = 1000
+"""Pauses between retries while the store does not answer: rejected calls are
+billed like others, and a change must be in force within two seconds."""
 
-_GATHER_MS = 200
-"""Pause after news before the next watch, so that a burst of changes costs
+_BATCH_MS = 200
+"""Pause after changes before the next watch, so that a burst of changes costs
 a few calls and not one each."""
 
-_OVERTAKEN_MS = 2000
-"""How long a watch has been silent at least before it is given up for a
-peer's news: while the store turns this router away, each new one is in vain,
-and what has come of an answer would have to come again."""
+_PEER_AHEAD_SILENT_MS = 2000
+"""Least silence of a watch before a peer's newer state restarts it: while the
+store rejects this router's calls every restart fails, and the received part
+of an answer would have to be sent again."""
 
-_DEAF_MS = 500
-_LAST_DEAF_MS = 4000
-"""Silence from which on a watch is asked for anew after an outage: it was
-begun while the store was out, or may have been. Doubled each time until it
-hears something, so that an answer that takes long comes in although calls
-fail and are answered by turns."""
+_OUTAGE_SILENT_MS = 500
+_MAX_OUTAGE_SILENT_MS = 4000
+"""Least silence of a watch before an outage restarts it: the watch was begun
+while the store was out, or may have been. Doubled at each restart until
+something arrives, so that an answer that takes long is received even while
+calls fail and succeed in turn."""
 
 _IDLE_MS = 500
-"""Time between two looks at whether this router is to watch."""
+"""Time between two checks whether this router is to watch."""
 
 
 class WatchListener(ty.Protocol):
-    """Takes in what a watch brings."""
+    """Receives the objects that a watch reads."""
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
-        """Take in all objects of the kind."""
+        """Process all objects of the kind."""
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Take in what has changed since."""
+        """Process the objects that have changed since."""
 
 
 class KindWatch:
-    """Lists a kind, then watches it, and starts again where it must.
+    """Lists a kind, then watches it, and lists it again when necessary.
 
     Parameters
     ----------
@@ -59,49 +59,49 @@
         The platform's store.
     kind : str
         Kind of objects.
-    follower : WatchListener
-        Gets the objects.
+    listener : WatchListener
+        Receives the objects.
     clock : clock.Clock
         Times the watches.
     is_outage_suspected : callable
-        Says whether what is missing may be missing due to an outage.
-    tell : callable
-        Called once news was taken in.
+        Returns whether objects may be missing because of an outage.
+    on_change : callable
+        Called once changes have been processed.
     should_watch : callable
-        Says whether this router watches; one that does not hears the news
-        from its peers, but lists the kind once when it starts.
+        Returns whether this router is to watch the kind. If not, changes
+        come from its peers, and only a single listing is read at the start.
     """
 
     def __init__(
         self,
         store: objects.ObjectStore,
         kind: str,
-        follower: WatchListener,
+        listener: WatchListener,
         clock: clock_.Clock,
         is_outage_suspected: ty.Callable[[], bool] = lambda: False,
-        tell: ty.Callable[[], None] = lambda: None,
+        on_change: ty.Callable[[], None] = lambda: None,
         should_watch: ty.Callable[[], bool] = lambda: True,
     ) -> None:
         self._store = store
         self.kind = kind
         """Kind of objects."""
-        self._follower = follower
+        self._listener = listener
         self._clock = clock
-        self._is_outage_felt = is_outage_suspected
-        self._tell = tell
-        self._is_due = should_watch
+        self._is_outage_suspected = is_outage_suspected
+        self._on_change = on_change
+        self._should_watch = should_watch
         self._jitter = random.Random(kind)
         self._revision = 0
         self._listed = False
-        self._pause_ms = _FIRST_PAUSE_MS
+        self._backoff_ms = _FIRST_BACKOFF_MS
         self._wait = green.Interrupt()
         self._silent_since: ty.Optional[int] = None
-        self._deaf_ms = _DEAF_MS
+        self._outage_silent_ms = _OUTAGE_SILENT_MS
         self._log = logs.get('watch', kind=kind)
 
     @property
     def is_listed(self) -> bool:
-        """Whether all objects of the kind were taken in from the store."""
+        """Whether a listing of the kind from the store has been processed."""
         return self._listed
 
     def run(self) -> None:
@@ -110,16 +110,16 @@
             self.step()
 
     def step(self) -> None:
-        """Ask once, and wait before the next time as is due."""
-        if self._listed and not self._is_due():
+        """Make one call to the store, and pause after it if necessary."""
+        if self._listed and not self._should_watch():
             green.sleep_ms(_IDLE_MS)
             return
         failure = self._watch() if self._listed else self._list()
         if failure is None:
-            self._pause_ms = _FIRST_PAUSE_MS
+            self._backoff_ms = _FIRST_BACKOFF_MS
             return
         if failure.reason == objects.HISTORY_GONE:
-            # Whatever was forgotten may have changed anything.
+            # Any object may have changed in the part that the store dropped.
             self._log.info('history_gone', revision=self._revision)
             self._listed = False
             return
@@ -129,29 +129,41 @@
             detail=failure.detail,
             revision=self._revision,
         )
-        green.sleep_ms(self._pause_ms * self._jitter.uniform(0.7, 1.3))
-        self._pause_ms = min(_LAST_PAUSE_MS, self._pause_ms * 2)
+        green.sleep_ms(self._backoff_ms * self._jitter.uniform(0.7, 1.3))
+        self._backoff_ms = min(_MAX_BACKOFF_MS, self._backoff_ms * 2)
 
     def on_peer_ahead(self) -> None:
-        """Ask anew: a peer has news that the waiting watch did not bring.
+        """Restart the watch: a peer has changes that it did not return.
 
-        A connection on which the store once failed may stay silent for as
-        long as the watch waits. One whose answer is coming in is not: on a
-        thin link the answer may take longer than a peer's news.
+        A connection on which the store once failed may stay silent for the
+        whole wait of the watch. A watch whose answer is arriving goes on: on
+        a slow link the answer may take longer than a peer's beacon.
         """
-        self._ask_anew('watch_overtaken', _OVERTAKEN_MS)
+        self._restart_watch(
+            'watch_restarted_peer_ahead', _PEER_AHEAD_SILENT_MS
+        )
 
     def on_outage(self) -> None:
-        """Ask anew: the store was out, and may have lost the watch."""
-        if self._ask_anew('watch_doubted', self._deaf_ms):
-            self._deaf_ms = min(_LAST_DEAF_MS, 2 * self._deaf_ms)
-
-    def _ask_anew(self, why: str, silent_ms: int) -> bool:
-        """End the wait of a watch that has been silent for as long."""
+        """Restart the watch: the store may have lost it in an outage."""
+        if self._restart_watch(
+            'watch_restarted_after_outage', self._outage_silent_ms
+        ):
+            self._outage_silent_ms = min(
+                _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
+            )
+
+    def _restart_watch(self, event: str, silent_ms: int) -> bool:
+        """End the watch's wait if it has been silent for `silent_ms`.
+
+        Returns
+        -------
+        bool
+            Whether the wait was ended.
+        """
         since = self._silent_since
         if since is None or self._clock.now() - since < silent_ms:
             return False
-        self._log.info(why, revision=self._revision)
+        self._log.info(event, revision=self._revision)
         self._silent_since = None
         self._wait.fire()
         return True
@@ -160,8 +172,9 @@
         listing = self._store.list(self.kind)
         if isinstance(listing, failures.Failure):
             return listing
-        self._follower.on_listing(listing, self._is_outage_felt())
-        # Not before: what was not taken in is asked for again.
+        self._listener.on_listing(listing, self._is_outage_suspected())
+        # Only after the listener returned: if it raises, the objects are
+        # requested again.
         self._revision = listing.revision
         self._listed = True
         return None
@@ -171,27 +184,27 @@
         if changes is None or isinstance(changes, failures.Failure):
             return changes
         if changes.objects:
-            self._follower.on_changes(changes, self._is_outage_felt())
+            self._listener.on_changes(changes, self._is_outage_suspected())
         self._revision = max(self._revision, changes.revision)
         if changes.objects:
-            self._tell()
-            green.sleep_ms(_GATHER_MS)
+            self._on_change()
+            green.sleep_ms(_BATCH_MS)
         return None
 
     def _wait_for_changes(
         self,
     ) -> ty.Union[objects.Changes, failures.Failure, None]:
-        """Return what has changed; None where the wait was ended."""
+        """Return the changes; None if the wait was ended by a restart."""
         self._silent_since = self._clock.now()
         try:
             with self._wait:
                 return self._store.watch(
-                    self.kind, self._revision, _WAIT_MS, self._heard
+                    self.kind, self._revision, _WATCH_MS, self._on_bytes
                 )
         finally:
             self._silent_since = None
         return None
 
-    def _heard(self) -> None:
+    def _on_bytes(self) -> None:
         self._silent_since = self._clock.now()
-        self._deaf_ms = _DEAF_MS
+        self._outage_silent_ms = _OUTAGE_SILENT_MS
--- a/src/peridotmast/coordination/lease.py
+++ b/src/peridotmast/coordination/lease.py
@@ -1,4 +1,4 @@
-"""A lease in the platform's store, with a number that grows by holder."""
+"""A lease in the platform's store, with a fencing number for each holder."""
 
 from __future__ import annotations
 
@@ -13,47 +13,48 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 KIND = 'peridotmast-leases'
-"""Kind of the objects that leases lie in."""
+"""Kind of the objects that store leases."""
 
 
 class Outcome(enum.Enum):
-    """What came of an attempt."""
+    """Result of an attempt to acquire or renew a lease."""
 
     HELD = 'held'
     TAKEN = 'taken'
-    """Somebody else holds it."""
+    """Another run holds it."""
     UNREACHED = 'unreached'
-    """The store did not say."""
+    """The store did not answer."""
 
 
 class Lease:
     """One contender for one lease.
 
-    The holder counts its lease from before the write was sent, on its own
-    clock, which counts a suspension of its VM too; a contender counts from
-    when it first read a revision, on its own clock. So a holder's view
-    always ends before a contender's, as long as both clocks run at about
-    the same rate.
+    The holder measures its lease from before the write was sent, on its own
+    boot clock, which includes suspensions of its VM. A contender measures it
+    from when it first read the current revision, on its own boot clock. So a
+    lease always expires at its holder before it does at a contender, as long
+    as both clocks run at about the same rate.
 
-    The run that follows the holder at its own place knows that it is dead:
-    it waits only for the orders that the dead one may have sent last.
+    The next run of the holder's router at the holder's own endpoint knows
+    that the holder is dead. It only waits until the last orders that the dead
+    run may have sent have arrived.
 
-    A renewal is one call: the holder knows the revision that it replaces.
-    Where its reply is lost, the next attempt reads what is there, and a
-    nonce tells whose write it was.
+    A renewal is one call: the holder knows the revision that it replaces. If
+    the reply is lost, the next attempt reads the object first, and its nonce
+    identifies the writer.
 
     Parameters
     ----------
     store : objects.ObjectStore
         The platform's store.
     name : str
-        The lease's object.
+        Name of the lease's object.
     router : str
         Name of this contender.
     run : str
-        Name of this run of it; no two runs have the same.
+        Name of this run of the contender; unique among all runs.
     length_ms, guard_ms : int
-        Length of the lease, and its last part, in which `may_act` is
+        Length of the lease, and of its last part, in which `may_act` is
         already false.
     clock : clock.Clock
         Clocks of this VM.
@@ -72,79 +73,78 @@
         self._store = store
         self._name = name
         self._router = router
-        self._holder = run
+        self._run = run
         self.length_ms = length_ms
         """Length of the lease."""
         self._guard_ms = guard_ms
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._ends = 0
-        self._seen: ty.Optional[objects.StoredObject] = None
-        self._seen_at = 0
-        self._sure = False
-        self._taken_at = 0
-        self._place = ''
+        self._nonces = itertools.count(1)
+        self._expires_at = 0
+        self._stored: ty.Optional[objects.StoredObject] = None
+        self._first_seen_at = 0
+        self._is_read = False
+        self._acquired_at = 0
+        self._endpoint = ''
         self._bound_at = 0
         self._hint = pb.LeaseHint()
-        self._hint_ends = 0
+        self._hint_expires_at = 0
         self._log = logs.get('lease', lease=name, router=router)
         self.fencing = 0
-        """Number that goes with each order; grows with every new holder."""
+        """Number sent with each order; increases with every new holder."""
         self.make_handover: ty.Callable[[], objects.Json] = dict
-        """Returns what the next holder is to know; written with the lease."""
+        """Returns the state for the next holder, written with the lease."""
         self.received_handover: ty.Optional[objects.Json] = None
-        """What the holder before had left when this one took the lease; None
-        where that was this run."""
+        """The previous holder's state when this run acquired the lease; None
+        if this run was the previous holder itself."""
 
-    def set_endpoint(self, place: str) -> None:
-        """Say where this run stands, once nobody else can.
+    def set_endpoint(self, endpoint: str) -> None:
+        """Set this run's endpoint, once its socket is bound.
 
         Parameters
         ----------
-        place : str
-            What no two runs have at one time; empty where that is not
-            known.
+        endpoint : str
+            Identity that no two concurrent runs share; empty if unknown.
         """
-        self._place = place
+        self._endpoint = endpoint
         self._bound_at = self._clock.now()
 
     @property
     def remaining_ms(self) -> int:
-        """How long it is held yet, in ms; 0 where it is not."""
-        return max(0, self._ends - self._clock.boot())
+        """Time until this run's lease expires, in ms; 0 if not held."""
+        return max(0, self._expires_at - self._clock.boot())
 
     def hint(self) -> ty.Optional[pb.LeaseHint]:
-        """Return what the others need to know, where it is held here."""
+        """Return the hint for other contenders; None if not held here."""
         if not self.is_held():
             return None
         return pb.LeaseHint(
             holder=self._router,
             fencing=self.fencing,
             left_ms=self.remaining_ms,
-            revision=self._seen.revision if self._seen else 0,
+            revision=self._stored.revision if self._stored else 0,
         )
 
     def receive_hint(self, hint: pb.LeaseHint) -> None:
-        """Take in how long it is held yet, from its holder or who heard it.
+        """Process a hint from the holder, or from a router that relays it.
 
-        What is passed on is late by its way, so of two words on one renewal
-        the one that ends sooner is nearer to the truth, and a word on an
-        earlier one says nothing.
+        A relayed hint is late by its transit time, so of two hints on the
+        same renewal the one that expires first is more accurate. Hints on
+        earlier renewals are ignored.
         """
-        ends = self._clock.boot() + hint.left_ms
+        expires_at = self._clock.boot() + hint.left_ms
         if hint.revision < self._hint.revision:
             return
         if hint.revision == self._hint.revision:
-            ends = min(ends, self._hint_ends)
+            expires_at = min(expires_at, self._hint_expires_at)
         self._hint = hint
-        self._hint_ends = ends
+        self._hint_expires_at = expires_at
 
     def is_held_elsewhere(self) -> bool:
-        """Return whether a holder was heard whose time is not over."""
-        return self._clock.boot() < self._hint_ends
+        """Return whether a received hint has not expired."""
+        return self._clock.boot() < self._hint_expires_at
 
     def known_holder(self) -> ty.Optional[pb.LeaseHint]:
-        """Return who holds it, as far as this router has heard."""
+        """Return the holder known to this router; None if there is none."""
         own = self.hint()
         if own is not None:
             return own
@@ -153,202 +153,210 @@
         return pb.LeaseHint(
             holder=self._hint.holder,
             fencing=self._hint.fencing,
-            left_ms=self._hint_ends - self._clock.boot(),
+            left_ms=self._hint_expires_at - self._clock.boot(),
             revision=self._hint.revision,
         )
 
     def is_held(self) -> bool:
-        """Return whether the lease is held by this process's own clock."""
+        """Return whether this run holds the lease, by its own clock."""
         return self.remaining_ms > 0
 
     def may_act(self) -> bool:
-        """Return whether an order may be begun.
+        """Return whether an order may be started.
 
-        Where nobody checks fencing numbers, orders are safe by time alone:
-        none is begun in the lease's last part, so that it arrives before
-        the next holder's first.
+        Where fencing numbers are not checked, orders are safe by time alone:
+        none is started in the last part of the lease, so that each arrives
+        before the first one of the next holder.
         """
         return self.remaining_ms > self._guard_ms
 
     def order_timeout_ms(self, fencing: int) -> int:
-        """Return in which time an order with a number must arrive, in ms.
+        """Return the time within which an order must arrive, in ms.
 
-        0 where none may be begun: this router holds the lease no more, or
-        under another number. Whoever has waited for something since it
-        asked has to ask again before it sends.
+        0 if none may be started: this run no longer holds the lease, or has
+        acquired it again with another number. A caller that has waited for
+        something since this call must check again before it sends the order.
+
+        Parameters
+        ----------
+        fencing : int
+            Number of the order.
         """
         is_same = fencing == self.fencing
         return self.remaining_ms if is_same and self.may_act() else 0
 
     def attempt(self) -> Outcome:
-        """Take or renew the lease where that may be done."""
+        """Acquire or renew the lease if that is allowed."""
         began = self._clock.boot()
-        if not self._sure:
+        if not self._is_read:
             failure = self._read()
             if failure is not None:
                 return self._unreached()
         spec = self._next_spec()
         if spec is None:
             return Outcome.TAKEN
-        mine = bool(self.fencing) and self._is_mine(self._current())
-        revision = self._seen.revision if self._seen else 0
+        was_own = bool(self.fencing) and self._is_own(self._current())
+        revision = self._stored.revision if self._stored else 0
         result = self._store.write(KIND, self._name, spec, revision)
         if isinstance(result, failures.Failure):
-            # It may have been done, or may be done later: read it first.
-            self._sure = False
+            # The write may be done already, or later: read before the next.
+            self._is_read = False
             lost = result.kind is failures.FailureKind.CONFLICT
             return Outcome.TAKEN if lost else self._unreached()
-        self._take(result, spec, began, mine)
+        self._record_write(result, spec, began, was_own)
         return Outcome.HELD
 
     def take_over(self) -> Outcome:
-        """Take the lease over from this router's run before, if it had it."""
+        """Acquire the lease only if a dead run at this endpoint held it."""
         if self._read() is not None:
             return Outcome.UNREACHED
-        if not self._is_heir(self._current()):
+        if not self._may_take_over(self._current()):
             return Outcome.TAKEN
         return self.attempt()
 
     def release(self) -> None:
-        """Give the lease up, so that the next holder need not wait."""
-        if not self.is_held() or self._seen is None:
+        """Release the lease, so that the next holder need not wait."""
+        if not self.is_held() or self._stored is None:
             return
-        self._ends = 0
+        self._expires_at = 0
         current = self._current()
-        # Nobody before this run has acted since it took the lease.
-        held_ms = self._clock.boot() - self._taken_at
-        before = {
+        # No earlier holder has acted since this run acquired the lease.
+        held_ms = self._clock.boot() - self._acquired_at
+        former = {
             router: ms + held_ms
-            for router, ms in _before(current).items()
+            for router, ms in _former_holders(current).items()
             if ms + held_ms < self.length_ms
         }
         spec = {
             **current,
-            'before': before,
+            'before': former,
             'left': self.make_handover(),
             'released': True,
         }
-        self._store.write(KIND, self._name, spec, self._seen.revision)
-        self._sure = False
+        self._store.write(KIND, self._name, spec, self._stored.revision)
+        self._is_read = False
         self._log.info('lease_released', fencing=self.fencing)
 
     def _read(self) -> ty.Optional[failures.Failure]:
         stored = self._store.read(KIND, self._name)
         if isinstance(stored, failures.Failure):
             return stored
-        if self._seen is None or stored.revision != self._seen.revision:
-            self._seen_at = self._clock.boot()
-        self._seen = stored
-        self._sure = True
+        if self._stored is None or stored.revision != self._stored.revision:
+            self._first_seen_at = self._clock.boot()
+        self._stored = stored
+        self._is_read = True
         return None
 
     def _current(self) -> objects.Json:
-        """Return what the store has, as far as this run has seen."""
-        return (self._seen.spec if self._seen else None) or {}
+        """Return the stored lease, as this run last read or wrote it."""
+        return (self._stored.spec if self._stored else None) or {}
 
-    def _is_mine(self, current: objects.Json) -> bool:
-        """Return whether this run was the last to take it."""
-        return current.get('holder') == self._holder
+    def _is_own(self, current: objects.Json) -> bool:
+        """Return whether this run was the last holder."""
+        return current.get('holder') == self._run
 
     def _next_spec(self) -> ty.Optional[objects.Json]:
-        """Return what to write, or None where somebody else holds it."""
+        """Return the lease to write, or None if another run holds it."""
         current = self._current()
-        mine = self._is_mine(current)
-        if not mine and not self._is_over(current):
-            self._sure = False
+        is_own = self._is_own(current)
+        if not is_own and not self._is_available(current):
+            self._is_read = False
             return None
-        again = mine and (self.is_held() or not self.fencing)
+        keeps = is_own and (self.is_held() or not self.fencing)
         fencing = int(current.get('fencing') or 0)
         return {
-            'holder': self._holder,
+            'holder': self._run,
             'router': self._router,
-            'before': self._next_before(current),
-            'place': self._place,
-            'fencing': fencing if again and fencing else fencing + 1,
+            'before': self._next_former_holders(current),
+            'place': self._endpoint,
+            'fencing': fencing if keeps and fencing else fencing + 1,
             'length-ms': self.length_ms,
-            'left': self._next_left(current, again),
-            'nonce': f'{self._holder}:{next(self._numbers)}',
+            'left': self._next_handover(current, keeps),
+            'nonce': f'{self._run}:{next(self._nonces)}',
         }
 
-    def _is_over(self, current: objects.Json) -> bool:
+    def _is_available(self, current: objects.Json) -> bool:
+        """Return whether this run may acquire the lease now."""
         if not current.get('holder'):
             return True
-        if self._is_heir(current):
+        if self._may_take_over(current):
             return True
-        # Duties that go from one router over others and back to it look like
-        # two that hold them at once.
-        back = self._router in _before(current)
-        if current.get('released') and not back:
+        # If duties return to a router by way of others, its last orders and
+        # the new ones look like those of two concurrent holders.
+        held_recently = self._router in _former_holders(current)
+        if current.get('released') and not held_recently:
             return True
         now = self._clock.boot()
         length = max(int(current.get('length-ms') or 0), self.length_ms)
-        if now - self._seen_at >= length:
+        if now - self._first_seen_at >= length:
             return True
         hinted = self._hint.revision
-        known = self._seen is not None and self._seen.revision == hinted
-        return bool(hinted) and known and now >= self._hint_ends
+        known = self._stored is not None and self._stored.revision == hinted
+        return bool(hinted) and known and now >= self._hint_expires_at
 
-    def _next_left(
-        self, current: objects.Json, again: bool
+    def _next_handover(
+        self, current: objects.Json, keeps: bool
     ) -> ty.Optional[objects.Json]:
-        """Return what is left: at first, what was left to this run."""
-        if again and self.fencing:
+        """Return the state to write: at first the one received, unchanged."""
+        if keeps and self.fencing:
             return self.make_handover()
         return current.get('left') or {}
 
-    def _next_before(self, current: objects.Json) -> dict[str, int]:
-        """Return who had it before this run or the one that it follows."""
-        before = _before(current)
-        same = self._is_mine(current) or self._follows(current)
+    def _next_former_holders(self, current: objects.Json) -> dict[str, int]:
+        """Return the holders before this run and its dead predecessor."""
+        former = _former_holders(current)
+        same = self._is_own(current) or self._is_successor(current)
         if current.get('router') and not same:
-            before[current['router']] = 0
-        return before
+            former[current['router']] = 0
+        return former
 
-    def _follows(self, current: objects.Json) -> bool:
-        """Return whether the holder was an earlier run at this place."""
+    def _is_successor(self, current: objects.Json) -> bool:
+        """Return whether the holder was an earlier run at this endpoint."""
         return (
-            bool(self._place)
-            and current.get('place') == self._place
+            bool(self._endpoint)
+            and current.get('place') == self._endpoint
             and current.get('router') == self._router
-            and not self._is_mine(current)
+            and not self._is_own(current)
         )
 
-    def _is_heir(self, current: objects.Json) -> bool:
-        """Return whether this run follows it and its orders have arrived."""
-        # A suspended VM's kernel does not send what a dead run left to it.
+    def _may_take_over(self, current: objects.Json) -> bool:
+        """Return whether the holder is dead and its orders have arrived."""
+        # Measured without suspensions: a suspended VM's kernel does not send
+        # the orders that a dead run left in its buffers.
         bound_ms = self._clock.now() - self._bound_at
-        return bound_ms >= self._guard_ms and self._follows(current)
+        return bound_ms >= self._guard_ms and self._is_successor(current)
 
-    def _take(
+    def _record_write(
         self,
         result: objects.StoredObject,
         spec: objects.Json,
         began: int,
-        mine: bool,
+        was_own: bool,
     ) -> None:
-        self._seen = objects.StoredObject(self._name, result.revision, spec)
-        self._seen_at = self._clock.boot()
-        self._sure = True
-        self._ends = began + self.length_ms
+        self._stored = objects.StoredObject(self._name, result.revision, spec)
+        self._first_seen_at = self._clock.boot()
+        self._is_read = True
+        self._expires_at = began + self.length_ms
         fencing = int(spec['fencing'])
         if fencing != self.fencing:
             self.fencing = fencing
-            self._taken_at = began
-            self.received_handover = None if mine else spec['left']
+            self._acquired_at = began
+            self.received_handover = None if was_own else spec['left']
             self._log.info('lease_taken', fencing=fencing)
 
     def _unreached(self) -> Outcome:
         return Outcome.HELD if self.is_held() else Outcome.UNREACHED
 
 
-def _before(spec: objects.Json) -> dict[str, int]:
-    """Return who had a lease before its holder, and how long before.
+def _former_holders(spec: objects.Json) -> dict[str, int]:
+    """Return the former holders of a lease, and how long ago each acted.
 
-    In ms from when a router can have acted last to when the holder took it,
-    or gave it up; not those for whom that is longer than a lease. Routers of
-    an older version write a single name.
+    In ms from the latest time at which a router can have acted to when the
+    current holder acquired the lease, or released it; routers for which that
+    exceeds a lease's length are left out. Routers of an older version write a
+    single name.
     """
-    before = spec.get('before') or {}
-    if isinstance(before, str):
-        return {before: 0}
-    return {router: int(ms) for router, ms in before.items()}
+    former = spec.get('before') or {}
+    if isinstance(former, str):
+        return {former: 0}
+    return {router: int(ms) for router, ms in former.items()}
--- a/src/peridotmast/coordination/outage.py
+++ b/src/peridotmast/coordination/outage.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store answers, and since when it does again."""
+"""Detects outages of the platform's store from the outcomes of its calls."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from peridotmast import logs
 
 
-_SAID_MS = 28_000
-"""How long a call that failed says that the store is out. A router that
-watches asks again sooner: its longest wait is 26.5 s. One that asks no more
-would take missing entries for lapsed ones for good, and so would its peers."""
+_FAILURE_VALID_MS = 28_000
+"""How long a failed call counts as an outage. A router that watches calls
+again sooner, as its longest wait is 26.5 s. A router that makes no more calls
+would otherwise treat missing entries as lapsed for good, and so would its
+peers."""
 
 
 class OutageTracker:
-    """What the calls of the store say about the store.
+    """Records which of the store's calls were answered.
 
-    Entries that are missing while it is out, or for some time after, may
-    have run out because nobody could renew them.
+    Entries that are missing during an outage, or for some time after it, may
+    have expired because nothing could renew them.
 
     Parameters
     ----------
@@ -31,46 +32,46 @@
     def __init__(self, clock: clock_.Clock, lapse_ms: int) -> None:
         self._clock = clock
         self._lapse_ms = lapse_ms
-        self._back_at = -lapse_ms
-        self._failed_at = self._answered_at = -_SAID_MS
+        self._recovered_at = -lapse_ms
+        self._failed_at = self._answered_at = -_FAILURE_VALID_MS
         self._log = logs.get('store')
         self.is_out = False
         """Whether the last call was not answered."""
         self.on_recovery: ty.Callable[[], None] = lambda: None
-        """Called once it is known that the store was out and answers again."""
+        """Called when the store was out and answers again."""
 
     def record_failure(self, reason: str, age_ms: int = 0) -> None:
-        """Note a call that was not answered, or turned away.
+        """Record a call that was not answered, or rejected.
 
-        Where another one was answered since this one was made, the store
-        was out before that, and is not now.
+        If another call was answered after this one was made, the store was
+        out before that answer and is not out now.
 
         Parameters
         ----------
         age_ms : int
-            How long ago it was made.
+            How long ago the call was made.
         """
         if self._clock.now() - age_ms < self._answered_at:
-            self._back_at = max(self._back_at, self._answered_at)
+            self._recovered_at = max(self._recovered_at, self._answered_at)
             self.on_recovery()
             return
         if not self.is_out:
-            self._log.warning('store_lost', reason=reason)
+            self._log.warning('store_unreachable', reason=reason)
         self.is_out = True
         self._failed_at = self._clock.now()
 
     def record_answer(self) -> None:
-        """Note a call that was answered."""
+        """Record a call that was answered."""
         self._answered_at = self._clock.now()
         if not self.is_out:
             return
         self.is_out = False
-        self._back_at = self._answered_at
-        self._log.info('store_regained')
+        self._recovered_at = self._answered_at
+        self._log.info('store_recovered')
         self.on_recovery()
 
     def is_suspected(self) -> bool:
-        """Return whether what is missing may be missing due to it."""
+        """Return whether entries may be missing because of an outage."""
         now = self._clock.now()
-        is_out = self.is_out and now - self._failed_at < _SAID_MS
-        return is_out or now - self._back_at < self._lapse_ms
+        is_out = self.is_out and now - self._failed_at < _FAILURE_VALID_MS
+        return is_out or now - self._recovered_at < self._lapse_ms
--- a/src/peridotmast/coordination/registry.py
+++ b/src/peridotmast/coordination/registry.py
@@ -1,4 +1,4 @@
-"""Where a starting router finds the others: one entry each in the store."""
+"""Bootstrap of membership: each router has an entry in the store."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 KIND = 'peridotmast-members'
-"""Kind of the entries; of our own, since nobody else writes there."""
+"""Kind of the entries, which only routers write."""
 
 
-_PLACE = (
+_LOCATION_FIELDS = (
     'address',
     'chat_address',
     'peer_address',
@@ -24,18 +24,18 @@
     'failure_domain',
     'region',
 )
-"""Fields by which others find a router; the rest they hear from itself."""
+"""Fields by which peers reach a router; its beacons carry the others."""
 
 
 class Registry:
-    """Enters this router in the store and reads who else is there.
+    """Registers this router in the store and reads the other entries.
 
     Parameters
     ----------
     store : objects.ObjectStore
         The platform's store.
     members : members.Members
-        This router and those it learns of.
+        This router and the peers that it discovers.
     """
 
     def __init__(
@@ -46,49 +46,54 @@
         self._log = logs.get('registry', router=members.me.name)
 
     def register(self) -> bool:
-        """Enter this router and learn of all others; say whether both went.
+        """Register this router and discover all others.
 
-        What the run before has written stays where it still holds. Where an
-        entry is written, the others are read again after it, so that of two
-        that start at once at least one sees the other.
+        The entry of an earlier run is kept if it still locates this router.
+        After a write the entries are read again, so that of two routers that
+        start at once at least one sees the other.
+
+        Returns
+        -------
+        bool
+            Whether all calls succeeded.
         """
-        listing = self._learn()
+        listing = self._discover()
         if listing is None:
             return False
         me = self._members.me
         own = next((s for s in listing.objects if s.name == me.name), None)
-        if own is not None and _is_at_its_place(own, me):
+        if own is not None and _is_location_current(own, me):
             return True
         spec = json_format.MessageToDict(me)
         revision = own.revision if own is not None else 0
         result = self._store.write(KIND, me.name, spec, revision)
         if isinstance(result, failures.Failure):
-            self._log.info('member_unwritten', reason=result.reason)
+            self._log.info('member_write_failed', reason=result.reason)
             return False
-        return self._learn() is not None
+        return self._discover() is not None
 
-    def _learn(self) -> ty.Optional[objects.Listing]:
-        """Take in all entries; None where the store does not tell."""
+    def _discover(self) -> ty.Optional[objects.Listing]:
+        """Merge all entries into the members; None if the listing failed."""
         listing = self._store.list(KIND)
         if isinstance(listing, failures.Failure):
-            self._log.info('members_unread', reason=listing.reason)
+            self._log.info('members_read_failed', reason=listing.reason)
             return None
         for stored in listing.objects:
-            member = _read(stored)
+            member = _parse(stored)
             if member is not None:
                 self._members.learn(member)
         return listing
 
 
-def _is_at_its_place(own: objects.StoredObject, me: pb.Member) -> bool:
-    """Return whether an earlier run's entry leads to this one."""
-    before = _read(own)
+def _is_location_current(own: objects.StoredObject, me: pb.Member) -> bool:
+    """Return whether an earlier run's entry locates this run as well."""
+    before = _parse(own)
     return before is not None and all(
-        getattr(before, name) == getattr(me, name) for name in _PLACE
+        getattr(before, name) == getattr(me, name) for name in _LOCATION_FIELDS
     )
 
 
-def _read(stored: objects.StoredObject) -> ty.Optional[pb.Member]:
+def _parse(stored: objects.StoredObject) -> ty.Optional[pb.Member]:
     try:
         return json_format.ParseDict(
             stored.spec or {}, pb.Member(), ignore_unknown_fields=True
--- a/src/peridotmast/coordination/report_gaps.py
+++ b/src/peridotmast/coordination/report_gaps.py
@@ -1,4 +1,4 @@
-"""Times for which nobody told what some routers count."""
+"""Estimates of what teams spend at routers whose reports are missing."""
 
 from __future__ import annotations
 
@@ -9,95 +9,108 @@
 from peridotmast import clock as clock_
 
 _FRESH_MS = 800
-"""Age to which what a head told is as good as new: a round of a large fleet is
-500 ms, and comes up to a look later (250 ms). One that is lost is reckoned for
-a moment, and taken back with the next."""
+"""Age up to which a head's report counts as current: a round of a large fleet
+takes 500 ms, and its absence is noticed up to a tick (250 ms) later. After a
+lost report an estimate is added for a moment, and reversed with the next
+report."""
 
-_Teller = tuple[str, int]
-"""Name and run of who tells."""
+_Reporter = tuple[str, int]
+"""Name and run of a reporting router."""
 
 Estimate = ty.Callable[[float, int], dict[str, int]]
-"""Returns the tokens by team that a part of the fleet is taken to spend from
-a moment on, in ms."""
+"""Returns the estimated tokens by team that a share of the fleet has spent
+since a time, in ms."""
 
 
 @dataclasses.dataclass
 class _Source:
-    """Some routers' counts, as one way brings them."""
+    """Reports on a part of the fleet that arrive by one path."""
 
-    teller: ty.Optional[_Teller]
-    """Who told them last; None where nobody has told them this way yet."""
+    reporter: ty.Optional[_Reporter]
+    """Sender of the last report; None before the first by this path."""
     at: int
-    """Moment at which they were told last, in ms."""
+    """Time of the last report, in ms."""
     until: int
-    """Moment up to which they have been reckoned without being told."""
-    reckoned: collections.Counter[str] = dataclasses.field(
+    """Time up to which missing reports are covered by estimates, in ms."""
+    estimated: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    """Tokens by team that were reckoned since they were told."""
+    """Tokens by team estimated since the last report."""
 
 
 class ReportGaps:
-    """Reckons what routers may spend while nobody tells of it.
+    """Estimates spends while the reports of a part of the fleet are missing.
 
-    A head that ends takes with it what its members counted until the next
-    one tells, and they hear of nobody until then. Who misses them takes them
-    to spend their part meanwhile. If the same head is heard again, it tells
-    all that was missed, and what was reckoned is taken back; if another one
-    is heard, it only tells what is counted from then on.
+    When a head ends, the counts that its members add until its successor
+    reports are lost, and the members receive no counts meanwhile. Routers
+    that miss reports assume that the missing part spends its share. If the
+    same head reports again, its counts include the gap, so the estimate is
+    reversed; another head only reports what is counted from then on, so the
+    estimate stays.
 
     Parameters
     ----------
     clock : clock.Clock
         Times silence.
-    worth : callable
-        Returns what is reckoned for a part of the fleet since a moment.
+    estimate : callable
+        Returns the estimate for a share of the fleet since a time.
     """
 
-    def __init__(self, clock: clock_.Clock, worth: Estimate) -> None:
+    def __init__(self, clock: clock_.Clock, estimate: Estimate) -> None:
         self._clock = clock
-        self._worth = worth
+        self._estimate = estimate
         self._sources: dict[str, _Source] = {}
 
     def reset(self, sources: ty.Iterable[str]) -> None:
-        """Go by these ways from now on; none has brought anything yet."""
+        """Replace the sources; none of the new ones has reported yet."""
         now = self._clock.now()
         self._sources = {name: _Source(None, now, now) for name in sources}
 
     def on_report(
-        self, source: str, teller: _Teller, share: float
+        self, source: str, reporter: _Reporter, share: float
     ) -> dict[str, int]:
-        """Return what is to be reckoned, now that a source is told again.
+        """Return the correction to apply with a source's report.
 
         Parameters
         ----------
         share : float
-            Part of the fleet that the source tells of.
+            Share of the fleet that the source covers.
 
         Returns
         -------
         dict
-            Tokens by team; below 0 where they are taken back.
+            Tokens by team; negative where an estimate is reversed.
         """
         now = self._clock.now()
         known = self._sources.get(source)
-        self._sources[source] = _Source(teller, now, now)
+        self._sources[source] = _Source(reporter, now, now)
         if known is None:
             return {}
-        if known.teller == teller:
-            return {team: -count for team, count in known.reckoned.items()}
-        return self._worth(share, known.until)
+        if known.reporter == reporter:
+            return {team: -count for team, count in known.estimated.items()}
+        return self._estimate(share, known.until)
 
     def tick(self, shares: dict[str, float]) -> dict[str, int]:
-        """Return what is to be reckoned for sources that are missed."""
+        """Return the estimates to add for sources without a recent report.
+
+        Parameters
+        ----------
+        shares : dict
+            Share of the fleet that each source covers.
+
+        Returns
+        -------
+        dict
+            Tokens by team.
+        """
         now = self._clock.now()
         total: collections.Counter[str] = collections.Counter()
         for name, share in shares.items():
             source = self._sources.get(name)
             if source is None or now - source.at <= _FRESH_MS:
                 continue
-            found = self._worth(share, source.until)
-            source.reckoned.update(found)
+            tokens = self._estimate(share, source.until)
+            source.estimated.update(tokens)
             source.until = now
-            total.update(found)
+            total.update(tokens)
         return dict(total)
--- a/src/peridotmast/coordination/router_selector.py
+++ b/src/peridotmast/coordination/router_selector.py
@@ -1,4 +1,4 @@
-"""Which routers a caller is told to connect to."""
+"""Selects the routers that a caller is told to connect to."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 
 class RouterSelector:
-    """Names routers of a caller's failure domain, and some of the others.
+    """Selects routers of a caller's failure domain, and some of others.
 
-    Those beyond the failure domain are there for its loss. They are drawn
-    anew for each answer: in one order for all, the first ones would have the
-    callers of all other failure domains beside their own.
+    Routers of other failure domains are fallbacks if the caller's own one is
+    lost. They are drawn at random for each answer: with one fixed order, the
+    first ones would get the callers of all other failure domains in addition
+    to their own.
 
     Parameters
     ----------
     members : members.Members
         The routers.
-    most : int
+    max_count : int
         Most routers in one answer.
     """
 
-    def __init__(self, members: members_.Members, most: int) -> None:
+    def __init__(self, members: members_.Members, max_count: int) -> None:
         self._members = members
-        self._most = most
+        self._max_count = max_count
         self._draws = random.Random(members.me.name)
 
     def select(
@@ -34,21 +35,23 @@
         domain: str,
         is_usable: ty.Callable[[pb.Member], bool] = lambda member: True,
     ) -> list[pb.Member]:
-        """Return whom to name, those of failure domain `domain` first.
+        """Return routers, those of failure domain `domain` first.
 
         Parameters
         ----------
         is_usable : callable
-            Says whether a router serves what the caller wants.
+            Returns whether a router can serve the caller.
         """
         serving = [m for m in self._members.serving() if is_usable(m)]
         near = [m for m in serving if m.failure_domain == domain]
         far = [m for m in serving if m.failure_domain != domain]
-        chosen = self._drawn(near, self._most)
-        return chosen + self._drawn(far, self._most - len(chosen))
+        chosen = self._sample(near, self._max_count)
+        return chosen + self._sample(far, self._max_count - len(chosen))
 
-    def _drawn(self, members: list[pb.Member], most: int) -> list[pb.Member]:
-        """Return at most so many, each as likely as the others."""
-        if len(members) <= most:
+    def _sample(
+        self, members: list[pb.Member], max_count: int
+    ) -> list[pb.Member]:
+        """Return at most `max_count` members, all equally likely."""
+        if len(members) <= max_count:
             return sorted(members, key=lambda member: member.name)
-        return self._draws.sample(members, most)
+        return self._draws.sample(members, max_count)
--- a/src/peridotmast/coordination/store_prober.py
+++ b/src/peridotmast/coordination/store_prober.py
@@ -1,4 +1,4 @@
-"""Ends a doubt about the store that no other call would end."""
+"""Probes the store after a failed call until the store answers."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 
 class ProbedStore(ty.Protocol):
-    """The store, as far as it can be asked whether it answers."""
+    """The part of the store's interface that a probe needs."""
 
     calls: int
     """Calls made so far."""
 
     def probe(self) -> None:
-        """Ask whether it answers; the outage is told."""
+        """Make a short call, whose outcome the outage tracker records."""
 
 
 class StoreProber:
-    """Asks a store that has failed until it answers.
+    """Probes a store that is out until it answers.
 
-    A router that watches the store asks again anyway. One that does not may
-    have no more calls to make: after one that failed it would take the store
-    to be out until its doubt runs out, and all peers would believe it. They
-    would give work to upstreams that have left, as to ones whose entries
-    may come back.
+    A router that watches the store retries anyway. One that does not may
+    have no more calls to make: after a failed one it would consider the store
+    out until the failure is too old, and all peers would rely on its report.
+    They would send work to upstreams that have left, as to upstreams whose
+    entries may come back.
 
     Parameters
     ----------
     store : ProbedStore
         The platform's store.
     outage : outage.OutageTracker
-        What its calls say about it.
+        Records the outcomes of the store's calls.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._calls = 0
 
     def tick(self) -> None:
-        """Ask, where nothing has asked since the last tick."""
+        """Probe the store if it is out and was not called since last tick."""
         is_quiet = self._store.calls == self._calls
         if self._outage.is_out and is_quiet:
             self._store.probe()
--- a/src/peridotmast/coordination/upstream_feed.py
+++ b/src/peridotmast/coordination/upstream_feed.py
@@ -1,4 +1,4 @@
-"""Upstreams from the store's entries, those that lapse in an outage too."""
+"""Upstreams read from the store's entries, including lapsed entries."""
 
 from __future__ import annotations
 
@@ -9,31 +9,37 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 
-_MASS = 3
-"""Removals at one go from which on they may be a mass."""
+_MASS_REMOVAL = 3
+"""Least removals in one change that may be a mass removal."""
 
-_SHOWN = 500
-"""Characters of the findings on an entry that are logged."""
+_MAX_LOGGED = 500
+"""Most characters of the findings on an entry that are logged."""
 
 
 class EntryReader(ty.Protocol):
-    """Reads an upstream's entry."""
+    """Parses an upstream's entry."""
 
     def __call__(
         self, name: str, revision: int, spec: ty.Any
     ) -> pb.UpstreamRecord:
-        """Return what it says; raises ValueError where it is malformed."""
+        """Return the entry as a record.
+
+        Raises
+        ------
+        ValueError
+            If the entry is malformed.
+        """
 
 
 class UpstreamFeed:
-    """Keeps a table of upstreams in step with the store.
+    """Keeps a table of upstreams in sync with the store's entries.
 
     Parameters
     ----------
     table : upstreams.UpstreamTable
-        Where they are kept.
+        Table to update.
     read : EntryReader
-        Reads an entry.
+        Parses an entry.
     """
 
     def __init__(
@@ -43,36 +49,36 @@
         self._read = read
         self._log = logs.get('upstreams')
         self.is_listed = False
-        """Whether the upstreams are known from the store or a peer."""
+        """Whether a listing of all entries has been processed."""
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
-        """Take in all entries; those not among them are gone."""
+        """Process all entries; upstreams without one are gone or lapsed."""
         present = {stored.name for stored in listing.objects}
         for stored in listing.objects:
-            self._take(stored, after_outage)
+            self._apply(stored, after_outage)
         for view in self._table.all():
             known = view.record.state != upstreams_.GONE
             if known and view.name not in present:
                 absent = objects.StoredObject(view.name, listing.revision)
-                self._take(absent, after_outage)
+                self._apply(absent, after_outage)
         self.is_listed = True
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Take in the entries that have changed."""
-        after_outage = after_outage or self._is_mass(changes)
+        """Process the entries that have changed."""
+        after_outage = after_outage or self._is_mass_removal(changes)
         for stored in changes.objects:
-            self._take(stored, after_outage)
+            self._apply(stored, after_outage)
 
     def tick(self) -> None:
-        """Give up the entries that have not come back in time."""
+        """Drop lapsed upstreams whose entries have not come back in time."""
         for view in self._table.tick():
             self._log_state(view.record)
 
-    def _is_mass(self, changes: objects.Changes) -> bool:
-        """Return whether most upstreams are removed at one go.
+    def _is_mass_removal(self, changes: objects.Changes) -> bool:
+        """Return whether most upstreams are removed in one change.
 
-        No reclaim or stop takes upstreams of all services at once, but an
-        outage that this router's watch has slept through does.
+        No reclaim or stop removes upstreams of all services at once, but an
+        outage that this router's watch did not notice does.
         """
         gone = [s for s in changes.objects if s.spec is None]
         known = [
@@ -80,14 +86,14 @@
             for view in self._table.all()
             if view.record.state != upstreams_.GONE
         ]
-        return len(gone) >= _MASS and 2 * len(gone) > len(known)
+        return len(gone) >= _MASS_REMOVAL and 2 * len(gone) > len(known)
 
-    def _take(self, stored: objects.StoredObject, after_outage: bool) -> None:
+    def _apply(self, stored: objects.StoredObject, after_outage: bool) -> None:
         if stored.spec is not None:
             self._merge_entry(stored)
             return
         state = upstreams_.LAPSED if after_outage else upstreams_.GONE
-        self._merge(_of(stored, state))
+        self._merge(_record_of(stored, state))
 
     def _merge_entry(self, stored: objects.StoredObject) -> None:
         try:
@@ -97,9 +103,9 @@
                 'entry_malformed',
                 upstream=stored.name,
                 revision=stored.revision,
-                error=str(exc)[:_SHOWN],
+                error=str(exc)[:_MAX_LOGGED],
             )
-            record = _of(stored, upstreams_.UNREADABLE)
+            record = _record_of(stored, upstreams_.UNREADABLE)
         self._merge(record)
 
     def _merge(self, record: pb.UpstreamRecord) -> None:
@@ -119,10 +125,10 @@
         )
 
 
-def _of(
+def _record_of(
     stored: objects.StoredObject, state: pb.UpstreamState
 ) -> pb.UpstreamRecord:
-    """Return the statement that an entry says nothing but its state."""
+    """Return a record with only the name, state and revision of an entry."""
     return pb.UpstreamRecord(
         upstream=pb.Upstream(name=stored.name),
         state=state,
