--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -1,4 +1,4 @@
-"""Steps of large fleets: heads, members, and what they count together."""
+"""Steps for large fleets: heads, members and the counts they exchange."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 ROUND_MS = 250
 STEP_MS = 50
 LATE_MS = 150
-"""How late a round of a router may come that is busy."""
+"""Largest delay of a round at a busy router."""
 BURST = 1_000_000
 WINDOW_MS = 600_000
 
 
-class Skewed:
-    """A clock whose time of day may be off."""
+class SkewedClock:
+    """A clock whose time of day may be wrong."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -64,11 +64,11 @@
 
 
 class Node:
-    """One router, as far as it counts with others; without a network."""
+    """The parts of one router that exchange counts, without a network."""
 
     def __init__(self, number, clock, limited=True):
         self.name = f'router-{number:03}'
-        self.clock = Skewed(clock)
+        self.clock = SkewedClock(clock)
         self.spawned = []
         me = pb.Member(
             name=self.name,
@@ -101,7 +101,7 @@
             limits=upstream_limits.UpstreamLimits(self.clock, self.name),
         )
         if limited:
-            self.limit(rate=0, burst=BURST)
+            self.set_limit(rate=0, burst=BURST)
         self.window = self.serving.usage.window_now()
         knowledge = self._knowledge()
         self.peering = peering_.Peering(
@@ -120,7 +120,7 @@
     def _spawn(self, name, *args):
         self.spawned.append(name)
 
-    def limit(self, rate, burst):
+    def set_limit(self, rate, burst):
         team = pb.Team(name='noor', rate=rate or 1e-9, burst=burst)
         self.serving.quota.configure([team])
 
@@ -141,42 +141,42 @@
         bucket = self.serving.quota._buckets['noor']
         return BURST - bucket.level
 
-    def look(self):
+    def snapshot(self):
         return self.peering._groups.snapshot()
 
 
 class Fleet:
-    """Routers whose beacons are handed over without a network."""
+    """Routers whose beacons are delivered without a network."""
 
     def __init__(self, count, lost=0.0, seed=0, starts=False):
         self.clock = clock_.ManualClock()
         self.clock.advance(1_000_000)
         self.nodes = {}
         self.draws = random.Random(seed)
-        self.lost = lost
+        self.loss_rate = lost
         self.sent = collections.Counter()
-        self.got = collections.Counter()
+        self.received = collections.Counter()
         self.numbers = iter(range(1000))
         self.events = {}
         self.is_cut = lambda beacon: False
         self.add(count)
         if not starts:
-            # They have run for long, and know what is left of the limit.
+            # The routers have run for long, and know the level of the limit.
             for node in self.nodes.values():
                 node.serving.quota.hear_levels({'noor': BURST})
 
     def add(self, count):
-        fresh = [Node(next(self.numbers), self.clock) for _ in range(count)]
-        for node in fresh:
+        added = [Node(next(self.numbers), self.clock) for _ in range(count)]
+        for node in added:
             self.link(node)
-        self.nodes.update({node.name: node for node in fresh})
+        self.nodes.update({node.name: node for node in added})
         for node in self.nodes.values():
             for other in self.nodes.values():
                 node.members.learn(copy_of(other.members.me))
 
     def link(self, node):
-        """Let a router's asks and answers reach others at once."""
-        node.peering.borrowing.send = functools.partial(self.hand_over, node)
+        """Deliver a router's requests and answers on tokens at once."""
+        node.peering.borrowing.send = functools.partial(self.deliver, node)
 
     def run(self, ms):
         for _ in range(ms // ROUND_MS):
@@ -185,25 +185,25 @@
                 node.peering.tick()
                 node.serving.demand.tick()
                 for beacon, peers in list(node.peering.rounds.due()):
-                    self.hand_over(node, beacon, peers)
+                    self.deliver(node, beacon, peers)
             self.clock.advance(ROUND_MS)
 
-    def hand_over(self, node, beacon, peers):
+    def deliver(self, node, beacon, peers):
         data = beacon.SerializeToString()
         for peer in peers:
             self.sent[node.name] += 1
-            there = self.nodes.get(peer.member.name)
-            if there is None or self.draws.random() < self.lost:
+            receiver = self.nodes.get(peer.member.name)
+            if receiver is None or self.draws.random() < self.loss_rate:
                 continue
             if self.is_cut(beacon):
                 continue
-            self.got[there.name] += 1
-            there.peering.take(pb.Beacon.FromString(data))
+            self.received[receiver.name] += 1
+            receiver.peering.take(pb.Beacon.FromString(data))
 
-    def run_apart(self, ms):
-        """Pass time while each router has rounds at moments of its own.
+    def run_staggered(self, ms):
+        """Pass time with the rounds of each router at different times.
 
-        Each comes some ms late: routers that start are busy.
+        Each round is some ms late, as routers that start are busy.
         """
         for node in self.nodes.values():
             node.next_at = self.draws.randrange(0, ROUND_MS, STEP_MS)
@@ -216,15 +216,17 @@
                     node.next_at = passed + ROUND_MS + late
                     node.peering.tick()
                     for beacon, peers in list(node.peering.rounds.due()):
-                        self.hand_over(node, beacon, peers)
+                        self.deliver(node, beacon, peers)
             self.clock.advance(STEP_MS)
             yield
 
     def heads(self):
-        return [node for node in self.nodes.values() if node.look().is_head]
+        return [
+            node for node in self.nodes.values() if node.snapshot().is_head
+        ]
 
     def member(self):
-        return next(n for n in self.nodes.values() if not n.look().is_head)
+        return next(n for n in self.nodes.values() if not n.snapshot().is_head)
 
 
 def copy_of(member):
@@ -235,17 +237,17 @@
 
 @given("{count:d} routers that know each other's names")
 def fleet_of(context, count):
-    context.groups = Fleet(count)
+    context.simulated = Fleet(count)
 
 
 @given('{count:d} routers that have just started')
 def fleet_started(context, count):
-    context.groups = Fleet(count, starts=True)
+    context.simulated = Fleet(count, starts=True)
 
 
-@when('{ms:d} ms pass in the groups')
-def groups_pass(context, ms):
-    context.groups.run(ms)
+@when('{ms:d} ms pass in the fleet')
+def run_fleet(context, ms):
+    context.simulated.run(ms)
 
 
 @given(
@@ -307,23 +309,23 @@
     assert most <= times * mean, (name, most, mean)
 
 
-@then('each hears all the others')
-def each_hears(context):
-    others_hear(context, ())
+@then('each router considers all others alive')
+def all_alive(context):
+    check_alive(context, ())
 
 
-def others_hear(context, left_out):
-    """Check that each router but some hears all the others."""
-    nodes = context.groups.nodes
+def check_alive(context, left_out):
+    """Check that each router not left out considers all others alive."""
+    nodes = context.simulated.nodes
     for node in (n for n in nodes.values() if n.name not in left_out):
-        heard = {peer.member.name for peer in node.members.live_peers()}
-        missing = nodes.keys() - heard - {node.name}
+        live = {peer.member.name for peer in node.members.live_peers()}
+        missing = nodes.keys() - live - {node.name}
         assert not missing, (node.name, missing)
 
 
-@then('a router that is no head sends at most {most:d} beacons a second')
-def at_most_sent(context, most):
-    fleet = context.groups
+@then('a router that is not a head sends at most {most:d} beacons a second')
+def check_sent_rate(context, most):
+    fleet = context.simulated
     fleet.sent.clear()
     fleet.run(5000)
     heads = {node.name for node in fleet.heads()}
@@ -333,32 +335,32 @@
 
 
 @then(
-    'at {a:d}, {b:d} and {c:d} routers a member sends and gets as many beacons'
-    ' a second'
+    'at {a:d}, {b:d} and {c:d} routers a member sends and receives as many'
+    ' beacons a second'
 )
-def no_slope(context, a, b, c):
+def check_equal_rates(context, a, b, c):
     found = set()
     for count in (a, b, c):
         fleet = Fleet(count)
         fleet.run(4000)
         fleet.sent.clear()
-        fleet.got.clear()
+        fleet.received.clear()
         fleet.run(4000)
         heads = {node.name for node in fleet.heads()}
         members = fleet.nodes.keys() - heads
         usual = collections.Counter(
-            (fleet.sent[name], fleet.got[name]) for name in members
+            (fleet.sent[name], fleet.received[name]) for name in members
         )
         found.add(usual.most_common(1)[0][0])
     assert len(found) == 1, found
 
 
 @when(
-    'each of them lets {tokens:d} tokens pass, takes a request and has work'
-    ' at "u-1"'
+    'each router admits {tokens:d} tokens, counts a request and has work at'
+    ' "u-1"'
 )
-def each_works(context, tokens):
-    for node in context.groups.nodes.values():
+def add_work(context, tokens):
+    for node in context.simulated.nodes.values():
         assert not node.serving.quota.take('noor', tokens)
         node.serving.usage.began('noor')
         node.serving.demand.offered('pool', 3000)
@@ -367,31 +369,31 @@
             view.take_on(upstream_view.Load(1, 10, 100))
 
 
-@then("at each of them {tokens:d} tokens are off the team's limit")
-def tokens_off(context, tokens):
-    for node in context.groups.nodes.values():
+@then("at each router {tokens:d} tokens of the team's limit are used")
+def check_spent(context, tokens):
+    for node in context.simulated.nodes.values():
         assert abs(node.spent() - tokens) < 1, (node.name, node.spent())
 
 
-@then('each of them would report {count:d} requests')
-def would_report(context, count):
-    for node in context.groups.nodes.values():
+@then('each router would report {count:d} requests')
+def check_usage(context, count):
+    for node in context.simulated.nodes.values():
         total = node.serving.usage.total(node.window)
         assert total == {'noor': count}, (node.name, total)
 
 
 @then(
-    'no one would report more than {most:d} requests, nor fewer than {least:d}'
+    'each router would report at most {most:d} requests and at least {least:d}'
 )
-def reports_between(context, most, least):
-    for node in context.groups.nodes.values():
+def check_usage_range(context, most, least):
+    for node in context.simulated.nodes.values():
         total = node.serving.usage.total(node.window).get('noor', 0)
         assert least <= total <= most, (node.name, total)
 
 
-@then('each of them knows the work of all {count:d} at "u-1"')
-def knows_work(context, count):
-    for node in context.groups.nodes.values():
+@then('each router knows the load of all {count:d} routers at "u-1"')
+def check_load(context, count):
+    for node in context.simulated.nodes.values():
         load = node.table.get('u-1').load()
         assert load == upstream_view.Load(count, 10 * count, 100 * count), (
             node.name,
@@ -399,51 +401,58 @@
         )
 
 
-@then('each of them has measured what all were asked for')
-def has_measured(context):
-    for node in context.groups.nodes.values():
+@then('each router has measured the demand at all routers')
+def check_demand(context):
+    for node in context.simulated.nodes.values():
         total = node.serving.demand._total['pool']
-        assert total == 3000 * len(context.groups.nodes), (node.name, total)
+        assert total == 3000 * len(context.simulated.nodes), (node.name, total)
 
 
-@when('each looks at the others, and then says to all that it is there')
-def each_announces(context):
-    for node in context.groups.nodes.values():
+@when('each router runs a tick, and then announces itself to all others')
+def announce_all(context):
+    for node in context.simulated.nodes.values():
         node.peering.tick()
-    for node in context.groups.nodes.values():
-        tell_news(context.groups, node)
+    for node in context.simulated.nodes.values():
+        announce(context.simulated, node)
 
 
-def tell_news(fleet, node):
-    fleet.hand_over(node, node.peering.news.fill(), node.members.peers())
+def announce(fleet, node):
+    fleet.deliver(node, node.peering.news.fill(), node.members.peers())
 
 
-@then('for {ms:d} ms each hears all the others, whose rounds are not at once')
-def hears_all_for(context, ms):
-    for _ in context.groups.run_apart(ms):
-        each_hears(context)
+@then(
+    'for {ms:d} ms of staggered rounds each router considers all others alive'
+)
+def all_alive_for(context, ms):
+    for _ in context.simulated.run_staggered(ms):
+        all_alive(context)
 
 
-@then('only the heads lead')
-def only_heads_lead(context):
-    groups_led = [node.look().own_group for node in context.groups.heads()]
-    assert len(groups_led) == len(set(groups_led)), groups_led
+@then('no group has two heads')
+def check_single_heads(context):
+    head_groups = [
+        node.snapshot().own_group for node in context.simulated.heads()
+    ]
+    assert len(head_groups) == len(set(head_groups)), head_groups
 
 
-@then('for {ms:d} ms each other hears all, whose rounds are not at once')
-def others_hear_all_for(context, ms):
-    for _ in context.groups.run_apart(ms):
-        others_hear(context, {context.ended})
+@then(
+    'for {ms:d} ms of staggered rounds each other router considers all'
+    ' others alive'
+)
+def others_alive_for(context, ms):
+    for _ in context.simulated.run_staggered(ms):
+        check_alive(context, {context.ended})
 
 
-@when('one that is no head has news, and is killed')
-def news_and_killed(context):
-    tell_news(context.groups, context.groups.member())
-    member_killed(context)
+@when('a member announces a change and is killed')
+def announce_and_kill(context):
+    announce(context.simulated, context.simulated.member())
+    kill_member(context)
 
 
-def entered(node, count):
-    """Enter so many new upstreams into a router's table, as its watch does."""
+def add_upstreams(node, count):
+    """Add new upstreams to a router's table, as its watch does."""
     for _ in range(count):
         revision = node.table.revision + 1
         node.table.merge(
@@ -460,110 +469,120 @@
         )
 
 
-@when('one that watches tells of {count:d} new upstream')
-@when('one that watches tells of {count:d} new upstreams')
-def watcher_tells(context, count):
-    fleet = context.groups
+@when('a watcher announces {count:d} new upstream')
+@when('a watcher announces {count:d} new upstreams')
+def announce_upstreams(context, count):
+    fleet = context.simulated
     nodes = list(fleet.nodes.values())
-    context.teller = nodes[0]
+    context.watcher = nodes[0]
     for node in nodes:
         node.spawned.clear()
-    entered(context.teller, count)
-    tell_news(fleet, context.teller)
+    add_upstreams(context.watcher, count)
+    announce(fleet, context.watcher)
 
 
 @when(
-    'one that watches tells of {count:d} new upstreams, and another misses it'
+    'a watcher announces {count:d} new upstreams, and one router misses the'
+    ' beacon'
 )
-def watcher_tells_most(context, count):
-    fleet = context.groups
+def announce_upstreams_to_most(context, count):
+    fleet = context.simulated
     missing = list(fleet.nodes.values())[1]
     del fleet.nodes[missing.name]
-    watcher_tells(context, count)
+    announce_upstreams(context, count)
     fleet.nodes[missing.name] = missing
     context.missing = missing
 
 
-def news_known(node):
+def new_upstream_count(node):
     names = {view.name for view in node.table.all()}
     return sum(name.startswith('new-') for name in names)
 
 
-@then('each of the others knows the {count:d}, and none has asked for them')
-def others_know(context, count):
-    for node in context.groups.nodes.values():
-        assert news_known(node) == count, (node.name, news_known(node))
+@then(
+    'each other router knows the {count:d} upstreams, and none has requested'
+    ' them'
+)
+def others_know_upstreams(context, count):
+    for node in context.simulated.nodes.values():
+        assert new_upstream_count(node) == count, (
+            node.name,
+            new_upstream_count(node),
+        )
         assert 'ask_upstreams' not in node.spawned, node.name
 
 
 @then(
-    'the one that missed it knows {count:d} of the {all_:d}, and asks for the'
-    ' rest'
+    'the router that missed it knows {count:d} of the {all_:d} upstreams and'
+    ' requests the rest'
 )
-def missed_asks(context, count, all_):
+def requests_missed_upstreams(context, count, all_):
     node = context.missing
-    assert news_known(node) == count, news_known(node)
+    assert new_upstream_count(node) == count, new_upstream_count(node)
     assert node.table.revision == 1, node.table.revision
     assert 'ask_upstreams' in node.spawned
-    assert news_known(context.teller) == all_
+    assert new_upstream_count(context.watcher) == all_
 
 
-@then('each of the others knows {count:d} of them, and asks')
-def others_ask(context, count):
-    for node in context.groups.nodes.values():
-        if node is not context.teller:
-            assert news_known(node) == count, (node.name, news_known(node))
+@then('each other router knows {count:d} of the upstreams and requests them')
+def others_request_upstreams(context, count):
+    for node in context.simulated.nodes.values():
+        if node is not context.watcher:
+            assert new_upstream_count(node) == count, (
+                node.name,
+                new_upstream_count(node),
+            )
             assert 'ask_upstreams' in node.spawned, node.name
 
 
 @when('a head is killed')
-def head_killed(context):
-    fleet = context.groups
+def kill_head(context):
+    fleet = context.simulated
     del fleet.nodes[fleet.heads()[0].name]
 
 
-@when('one that is no head is killed')
-def member_killed(context):
-    context.ended = context.groups.member().name
-    del context.groups.nodes[context.ended]
+@when('a member is killed')
+def kill_member(context):
+    context.ended = context.simulated.member().name
+    del context.simulated.nodes[context.ended]
 
 
-@when('one that is no head says that it leaves')
-def member_leaves(context):
-    node = context.groups.member()
+@when('a member announces that it is leaving')
+def announce_leaving_member(context):
+    node = context.simulated.member()
     context.ended = node.name
     node.members.change_me(state=members_.LEAVING, ready=False)
-    context.groups.hand_over(
+    context.simulated.deliver(
         node, node.peering.news.fill(), node.members.peers()
     )
 
 
-@then('nobody names it to callers')
+@then('no router names that member to callers')
 def not_named(context):
-    for node in context.groups.nodes.values():
+    for node in context.simulated.nodes.values():
         names = [member.name for member in node.members.serving()]
         assert context.ended not in names, node.name
 
 
-@when('a head says that it leaves, and ends {ms:d} ms later')
-def head_leaves(context, ms):
-    fleet = context.groups
+@when('a head announces that it is leaving, and ends {ms:d} ms later')
+def announce_leaving_head(context, ms):
+    fleet = context.simulated
     node = fleet.heads()[0]
     node.members.change_me(state=members_.LEAVING, ready=False)
-    tell_news(fleet, node)
+    announce(fleet, node)
     fleet.run(ms)
     context.ended = node.name
     del fleet.nodes[node.name]
 
 
-@when('it comes back {ms:d} ms after that')
-def comes_back(context, ms):
-    fleet = context.groups
+@when('that head is restarted {ms:d} ms later')
+def restart_head(context, ms):
+    fleet = context.simulated
     fleet.run(ms)
     node = fleet.nodes[context.ended] = next_run(fleet, context.ended)
     for other in fleet.nodes.values():
         other.peering.tick()
-    tell_news(fleet, node)
+    announce(fleet, node)
 
 
 @given('a head whose round is {count:d} beacons of {size:d} bytes')
@@ -583,43 +602,45 @@
     context.closing.append(context.beacons.stop)
 
 
-@when('it sends the round')
-def sends_round(context):
-    found = context.bursts = []
+@when('the head sends the round')
+def send_round_of_head(context):
+    bursts = context.bursts = []
     with mock.patch.object(
         green,
         'sleep_ms',
-        lambda ms: found.append((context.beacons.sent_bytes, ms)),
+        lambda ms: bursts.append((context.beacons.sent_bytes, ms)),
     ):
         context.beacons.send_round()
 
 
-@then('no more than {most:d} bytes go at once, and {rate:d} in a second')
-def goes_at_once(context, most, rate):
-    marks = [0, *(sent for sent, _ in context.bursts)]
-    bursts = [after - before for before, after in itertools.pairwise(marks)]
+@then(
+    'at most {most:d} bytes are sent at once, and {rate:d} bytes in a second'
+)
+def check_bursts(context, most, rate):
+    totals = [0, *(sent for sent, _ in context.bursts)]
+    bursts = [after - before for before, after in itertools.pairwise(totals)]
     assert len(bursts) > 1 and max(bursts) <= most, bursts
-    assert context.beacons.sent_bytes - marks[-1] <= most
+    assert context.beacons.sent_bytes - totals[-1] <= most
     for burst, (_, ms) in zip(bursts, context.bursts):
         assert burst <= rate * ms / 1000, (burst, ms)
 
 
-@when('{count:d} more routers come')
-def more_come(context, count):
-    context.groups.add(count)
+@when('{count:d} more routers join')
+def join_routers(context, count):
+    context.simulated.add(count)
 
 
 @then(
-    'in {count:d} random histories of {size:d} routers a team gets no more'
-    " than its limit and a few rounds' worth"
+    'in {count:d} random histories of {size:d} routers a team gets at most'
+    ' its limit and two bursts per router'
 )
-def random_histories(context, count, size):
+def check_random_histories(context, count, size):
     rate, burst, seconds = 2000, 4000, 12
     for seed in range(count):
         fleet = Fleet(size, lost=0.05, seed=seed)
         fleet.run(4000)
         for node in fleet.nodes.values():
-            node.limit(rate, burst)
+            node.set_limit(rate, burst)
         passed = 0
         for _ in range(seconds * 4):
             fleet.run(ROUND_MS)
@@ -631,66 +652,71 @@
                 del fleet.nodes[victim]
                 fleet.add(1)
                 newest = list(fleet.nodes.values())[-1]
-                newest.limit(rate, burst)
-        # A fresh router's bucket is full; all spend at once at first.
+                newest.set_limit(rate, burst)
+        # The bucket of a new router is full, and all routers spend it at once.
         allowed = rate * seconds + burst * (2 * size)
         assert passed <= allowed, (seed, passed, allowed)
 
 
-@when('the time of day of one that is no head jumps by {ms:d} ms')
-def time_jumps(context, ms):
-    context.groups.member().clock.off = ms
+@when('the time of day of a member jumps by {ms:d} ms')
+def jump_time(context, ms):
+    context.simulated.member().clock.off = ms
 
 
-@then('all of them agree on the time')
+@then("all routers agree on the fleet's time")
 def agree_on_time(context):
-    times = {node.time.now() for node in context.groups.nodes.values()}
+    times = {node.time.now() for node in context.simulated.nodes.values()}
     assert max(times) - min(times) <= 10, times
 
 
-@given('a member that hears of {a:d} and then {b:d} from one head')
-def hears_from_one(context, a, b):
-    context.counted = collections.Counter()
-    context.tally = fleet_counts.FleetCounts(dict, context.counted.update)
-    hears_from(context, 'first', a, b)
+@given('a member that gets counts of {a:d} and then {b:d} from one head')
+def counts_from_one_head(context, a, b):
+    context.increments = collections.Counter()
+    context.fleet_counts = fleet_counts.FleetCounts(
+        dict, context.increments.update
+    )
+    receive_counts(context, 'first', a, b)
 
 
-def hears_from(context, head, *counts):
+def receive_counts(context, head, *counts):
     for count in counts:
-        context.tally.receive_fleet(head, 1, {'noor': count}, True)
+        context.fleet_counts.receive_fleet(head, 1, {'noor': count}, True)
 
 
-@when('it hears of {a:d} and then {b:d} from another one')
-def hears_from_another(context, a, b):
-    hears_from(context, 'second', a, b)
+@when('it gets counts of {a:d} and then {b:d} from another head')
+def counts_from_another_head(context, a, b):
+    receive_counts(context, 'second', a, b)
 
 
-@when('it hears of {a:d} and then {b:d} from the first one')
-def hears_from_first(context, a, b):
-    hears_from(context, 'first', a, b)
+@when('it gets counts of {a:d} and then {b:d} from the first head')
+def counts_from_first_head(context, a, b):
+    receive_counts(context, 'first', a, b)
 
 
-@then('{count:d} have been counted')
-def have_been_counted(context, count):
-    assert context.counted['noor'] == count, context.counted
+@then('the counted increments add up to {count:d}')
+def check_increments(context, count):
+    assert context.increments['noor'] == count, context.increments
 
 
-@when('a team uses up its burst of {burst:d}, at {rate:d} a second')
-def use_up(context, burst, rate):
-    fleet = context.groups
+@when(
+    'a team uses up its burst of {burst:d} tokens at a limit of {rate:d} a'
+    ' second'
+)
+def use_up_burst(context, burst, rate):
+    fleet = context.simulated
     context.limit = rate, burst
     for node in fleet.nodes.values():
-        node.limit(rate, burst)
-    take_all(fleet.nodes.values())
-    # What all took at once is made good, and known to all.
+        node.set_limit(rate, burst)
+    admit_all(fleet.nodes.values())
+    # Wait until the tokens taken at once are refilled, and known to all.
     fleet.run(3000)
     while any(node.spent() < BURST for node in fleet.nodes.values()):
         fleet.run(1000)
-        take_all(fleet.nodes.values())
+        admit_all(fleet.nodes.values())
 
 
-def take_all(nodes, tokens=100):
-    """Let requests of so many tokens pass; return the tokens of all."""
+def admit_all(nodes, tokens=100):
+    """Request `tokens` until refused at each router; return the sum."""
     passed = 0
     for node in nodes:
         while not node.serving.quota.take('noor', tokens):
@@ -698,115 +724,123 @@
     return passed
 
 
-@when('the limit is put to {rate:d} a second, with a burst of {burst:d}')
-def put_limit(context, rate, burst):
+@when('the limit is set to {rate:d} tokens a second with a burst of {burst:d}')
+def set_fleet_limit(context, rate, burst):
     context.limit = rate, burst
-    for node in context.groups.nodes.values():
-        node.limit(rate, burst)
+    for node in context.simulated.nodes.values():
+        node.set_limit(rate, burst)
 
 
-@when('nobody answers for the heads')
-def nobody_answers(context):
-    fleet = context.groups
+@when('the heads receive no requests for tokens')
+def cut_token_requests(context):
+    fleet = context.simulated
     fleet.is_cut = lambda beacon: beacon.HasField('limit_ask')
 
 
-@when('{count:d} more routers come, with the same limit')
-def more_with_limit(context, count):
-    before = set(context.groups.nodes)
-    context.groups.add(count)
-    context.came = [
+@when('{count:d} more routers join with the same limit')
+def join_with_limit(context, count):
+    before = set(context.simulated.nodes)
+    context.simulated.add(count)
+    context.joined = [
         node
-        for name, node in context.groups.nodes.items()
+        for name, node in context.simulated.nodes.items()
         if name not in before
     ]
-    for node in context.came:
-        node.limit(*getattr(context, 'limit', (0, BURST)))
+    for node in context.joined:
+        node.set_limit(*getattr(context, 'limit', (0, BURST)))
 
 
 @then(
-    'the team gets at most {most:d} more from those that came within {ms:d} ms'
+    'the team gets at most {most:d} more tokens from the new routers within'
+    ' {ms:d} ms'
 )
-def gets_at_most(context, most, ms):
-    passed = taken_within(context.groups, context.came, ms)
+def check_new_routers(context, most, ms):
+    passed = admitted_within(context.simulated, context.joined, ms)
     assert passed <= most, passed
 
 
-@then('the team gets at most {most:d} from all of them within {ms:d} ms')
-def gets_from_all(context, most, ms):
-    passed = taken_within(context.groups, context.groups.nodes.values(), ms)
+@then(
+    'the team gets at most {most:d} tokens from all routers within {ms:d} ms'
+)
+def check_all_routers(context, most, ms):
+    passed = admitted_within(
+        context.simulated, context.simulated.nodes.values(), ms
+    )
     assert passed <= most, passed
 
 
-def taken_within(fleet, nodes, ms):
-    """Let pass all that the limit allows in a while; return the tokens."""
+def admitted_within(fleet, nodes, ms):
+    """Admit all tokens that the limit allows for `ms`; return the sum."""
     passed = 0
     for _ in range(ms // ROUND_MS):
         fleet.run(ROUND_MS)
-        passed += take_all(nodes)
+        passed += admit_all(nodes)
     return passed
 
 
-@then('{count:d} requests of {tokens:d} pass at one of those that came')
-def pass_there(context, count, tokens):
-    quota = context.came[0].serving.quota
+@then('{count:d} requests of {tokens:d} tokens are admitted by a new router')
+def admit_at_new_router(context, count, tokens):
+    quota = context.joined[0].serving.quota
     for _ in range(count):
         assert not quota.take('noor', tokens), quota.state('noor')
 
 
-@when('one starts anew and lets {tokens:d} pass before it is told')
-def starts_and_spends(context, tokens):
-    start_anew(context)
-    context.anew.limit(*context.limit)
-    assert not context.anew.serving.quota.take('noor', tokens)
+@when(
+    'a router is restarted and admits {tokens:d} tokens before it is told'
+    ' the level'
+)
+def restart_and_spend(context, tokens):
+    restart_router(context)
+    context.restarted.set_limit(*context.limit)
+    assert not context.restarted.serving.quota.take('noor', tokens)
 
 
-@when('one starts anew, without limits yet')
-def starts_without(context):
-    start_anew(context)
+@when('a router is restarted without a limit')
+def restart_without_limit(context):
+    restart_router(context)
 
 
-def start_anew(context):
-    """Start the next run of one, under its name."""
-    fleet = context.groups
+def restart_router(context):
+    """Replace a router by its next run, under the same name."""
+    fleet = context.simulated
     name = sorted(fleet.nodes)[3]
     del fleet.nodes[name]
     fleet.clock.advance(10)
-    context.anew = fleet.nodes[name] = next_run(fleet, name)
+    context.restarted = fleet.nodes[name] = next_run(fleet, name)
 
 
-@when('it gets the same limit')
-def gets_limit(context):
-    context.anew.limit(*context.limit)
+@when('the same limit is set at that router')
+def set_limit_there(context):
+    context.restarted.set_limit(*context.limit)
 
 
-@then('it believes no less than {less:d} below what another one believes')
-def believes_enough(context, less):
-    mine, theirs = beliefs(context)
-    assert mine >= theirs - less, (mine, theirs)
+@then('its level is at most {less:d} below that of another router')
+def level_not_below(context, less):
+    own, other = both_levels(context)
+    assert own >= other - less, (own, other)
 
 
-@then('it believes no more than {more:d} above what another one believes')
-def believes_no_more(context, more):
-    mine, theirs = beliefs(context)
-    assert mine <= theirs + more, (mine, theirs)
+@then('its level is at most {more:d} above that of another router')
+def level_not_above(context, more):
+    own, other = both_levels(context)
+    assert own <= other + more, (own, other)
 
 
-def beliefs(context):
-    """Return what is left, by the one that started and by another."""
-    other = next(iter(context.groups.nodes.values()))
+def both_levels(context):
+    """Return the level at the restarted router and at another one."""
+    other = next(iter(context.simulated.nodes.values()))
     return tuple(
         node.serving.quota.levels().get('noor', math.inf)
-        for node in (context.anew, other)
+        for node in (context.restarted, other)
     )
 
 
 @then(
-    'of {rate:d} a second, asked for at all of them, at most {most:d} pass in'
-    ' {ms:d} ms'
+    'of {rate:d} tokens a second, requested at all routers, at most {most:d}'
+    ' are admitted in {ms:d} ms'
 )
-def asked_evenly(context, rate, most, ms):
-    fleet = context.groups
+def request_evenly(context, rate, most, ms):
+    fleet = context.simulated
     each = rate * ROUND_MS // 1000 // len(fleet.nodes)
     passed = 0
     for _ in range(ms // ROUND_MS):
@@ -816,20 +850,20 @@
     assert passed <= most, passed
 
 
-OVER_S = 20
-"""Time over which a team asks for more than its limit."""
+REQUEST_S = 20
+"""Time over which a team requests tokens at random."""
 
 
 @then(
-    'of {rate:d} a second, in requests of {tokens:d}, at most {most:d} pass in'
-    ' any {seconds:d} s'
+    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
+    ' {most:d} are admitted in any {seconds:d} s'
 )
-def passed_in_any(context, rate, tokens, most, seconds):
+def check_admitted_in_any(context, rate, tokens, most, seconds):
     draws = random.Random(0)
     rounds = 1000 // ROUND_MS
     passed = [
-        asked_at_random(context.groups, draws, rate // rounds, tokens)
-        for _ in range(OVER_S * rounds)
+        request_at_random(context.simulated, draws, rate // rounds, tokens)
+        for _ in range(REQUEST_S * rounds)
     ]
     length = seconds * rounds
     starts = range(len(passed) - length + 1)
@@ -839,24 +873,24 @@
 
 
 @when(
-    '{heads:d} heads and {others:d} others are killed after {ms:d} ms, and'
-    ' start {later:d} ms later'
+    '{heads:d} heads and {others:d} others are killed after {ms:d} ms and'
+    ' restarted {later:d} ms later'
 )
-def heads_and_others(context, heads, others, ms, later):
-    fleet = context.groups
+def schedule_kills(context, heads, others, ms, later):
+    fleet = context.simulated
     ended = []
 
     def kill():
-        leading = {node.name for node in fleet.heads()}
-        ended.extend(sorted(leading)[:heads])
-        ended.extend(sorted(fleet.nodes.keys() - leading)[:others])
+        head_names = {node.name for node in fleet.heads()}
+        ended.extend(sorted(head_names)[:heads])
+        ended.extend(sorted(fleet.nodes.keys() - head_names)[:others])
         for name in ended:
             del fleet.nodes[name]
 
     def start():
         for name in ended:
             fleet.nodes[name] = next_run(fleet, name)
-            fleet.nodes[name].limit(*context.limit)
+            fleet.nodes[name].set_limit(*context.limit)
 
     now = fleet.clock.now()
     fleet.events = {now + ms: kill, now + ms + later: start}
@@ -871,18 +905,22 @@
     return node
 
 
-@then('of {rate:d} a second, in requests of {tokens:d}, none is refused')
+@then(
+    'of {rate:d} tokens a second, in requests of {tokens:d}, none is refused'
+)
 def none_refused(context, rate, tokens):
     draws = random.Random(0)
     rounds = 1000 // ROUND_MS
     refused = []
-    for _ in range(OVER_S * rounds):
-        asked_at_random(context.groups, draws, rate // rounds, tokens, refused)
+    for _ in range(REQUEST_S * rounds):
+        request_at_random(
+            context.simulated, draws, rate // rounds, tokens, refused
+        )
     assert not refused, refused
 
 
-def asked_at_random(fleet, draws, offered, tokens, refused=None):
-    """Let a round pass with requests at any routers; return what passed."""
+def request_at_random(fleet, draws, offered, tokens, refused=None):
+    """Request tokens at random routers for a round; return those admitted."""
     fleet.run(ROUND_MS)
     nodes = list(fleet.nodes.values())
     passed = 0
@@ -896,29 +934,34 @@
 
 
 @then(
-    'of {rate:d} a second, in requests of {tokens:d}, over {ms:d} ms at most'
-    ' {share:d} in 100 are refused'
+    'of {rate:d} tokens a second, in requests of {tokens:d}, over {ms:d} ms'
+    ' at most {share:d} in 100 are refused'
 )
-def few_refused(context, rate, tokens, ms, share):
-    passed, refused = asked_of_borrowers(context.groups, rate, tokens, ms)
+def check_refused_share(context, rate, tokens, ms, share):
+    passed, refused = request_with_borrowing(
+        context.simulated, rate, tokens, ms
+    )
     assert refused <= share / 100 * (passed + refused), (passed, refused)
 
 
 @then(
-    'of {rate:d} a second, in requests of {tokens:d}, at most {most:d} pass in'
-    ' {ms:d} ms'
+    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
+    ' {most:d} are admitted in {ms:d} ms'
 )
-def few_pass(context, rate, tokens, most, ms):
-    passed, _ = asked_of_borrowers(context.groups, rate, tokens, ms)
+def check_admitted(context, rate, tokens, most, ms):
+    passed, _ = request_with_borrowing(context.simulated, rate, tokens, ms)
     assert passed * tokens <= most, passed * tokens
 
 
-def asked_of_borrowers(fleet, rate, tokens, ms):
-    """Ask any routers, which ask their heads; count what they do."""
+def request_with_borrowing(fleet, rate, tokens, ms):
+    """Request tokens at random routers, which may borrow from their heads.
+
+    Returns the number of requests admitted and refused.
+    """
     passed = refused = 0
     nodes = list(fleet.nodes.values())
     due = 0.0
-    for _ in fleet.run_apart(ms):
+    for _ in fleet.run_staggered(ms):
         due += rate * STEP_MS / 1000 / tokens
         while due >= 1:
             due -= 1
@@ -930,87 +973,90 @@
     return passed, refused
 
 
-@then('in all no less than the limit')
-def no_less(context):
+@then('at least the limit is admitted in total')
+def check_total(context):
     rate, _ = context.limit
-    assert context.passed >= rate * OVER_S, context.passed
+    assert context.passed >= rate * REQUEST_S, context.passed
 
 
-@when('each lets its part pass before any beacon has come')
-def parts_pass(context):
-    context.passed = take_all(context.groups.nodes.values())
+@when('each router admits its share before any beacon arrives')
+def admit_shares(context):
+    context.passed = admit_all(context.simulated.nodes.values())
 
 
-@then('at most {most:d} have passed {ms:d} ms later')
-def passed_later(context, most, ms):
-    fleet = context.groups
-    context.passed += taken_within(fleet, fleet.nodes.values(), ms)
+@then('at most {most:d} tokens have been admitted {ms:d} ms later')
+def check_admitted_later(context, most, ms):
+    fleet = context.simulated
+    context.passed += admitted_within(fleet, fleet.nodes.values(), ms)
     assert context.passed <= most, context.passed
 
 
-@then('at once at most {most:d} pass at those that came, by {tokens:d}')
-def pass_at_once(context, most, tokens):
-    passed = take_all(context.came, tokens)
+@then(
+    'at once at most {most:d} tokens are admitted by the new routers, in'
+    ' requests of {tokens:d}'
+)
+def check_admitted_at_once(context, most, tokens):
+    passed = admit_all(context.joined, tokens)
     assert passed <= most, passed
 
 
 @then(
-    'those that came may send at most {most:d} repeats before they hear'
-    ' anybody'
+    'the new routers may send at most {most:d} retries before they receive a'
+    ' beacon'
 )
-def repeats_before(context, most):
+def check_retries(context, most):
     sent = 0
-    for node in context.came:
+    for node in context.joined:
         while node.serving.budget.take('pool'):
             sent += 1
     assert sent <= most, sent
 
 
-@when('no beacon comes for {ms:d} ms')
-def no_beacon(context, ms):
+@when('no beacon arrives for {ms:d} ms')
+def cut_all_beacons(context, ms):
     cut_for(context, ms, lambda beacon: True)
 
 
-@when('no head hears another one for {ms:d} ms')
-def no_other_head(context, ms):
+@when('no head receives beacons from other heads for {ms:d} ms')
+def cut_beacons_of_heads(context, ms):
     cut_for(context, ms, lambda beacon: beacon.HasField('group'))
 
 
 def cut_for(context, ms, is_cut):
-    """Lose some beacons for a while; keep what was left before."""
-    fleet = context.groups
-    context.left = left_of(fleet)
+    """Lose some beacons for `ms`; record the levels from before."""
+    fleet = context.simulated
+    context.levels_before = levels_of(fleet)
     fleet.is_cut = is_cut
     fleet.run(ms)
     fleet.is_cut = lambda beacon: False
 
 
-def left_of(fleet):
-    """Return what is left of the limit, by each router."""
+def levels_of(fleet):
+    """Return the level of the limit at each router."""
     return {
         node.name: node.serving.quota.levels()['noor']
         for node in fleet.nodes.values()
     }
 
 
-@then('to each at most {most:d} more seem to be left')
-def at_most_more(context, most):
-    for name, level in left_of(context.groups).items():
-        assert level - context.left[name] <= most, (name, level)
+@then("each router's level has risen by at most {most:d} tokens")
+def check_level_rise(context, most):
+    for name, level in levels_of(context.simulated).items():
+        assert level - context.levels_before[name] <= most, (name, level)
 
 
-@then('to each from {least:d} to {most:d} more seem to be left')
-def from_to_more(context, least, most):
-    for name, level in left_of(context.groups).items():
-        grown = level - context.left[name]
-        assert least <= grown <= most, (name, grown)
+@then("each router's level has risen by {least:d} to {most:d} tokens")
+def check_level_rise_range(context, least, most):
+    for name, level in levels_of(context.simulated).items():
+        rise = level - context.levels_before[name]
+        assert least <= rise <= most, (name, rise)
 
 
 @given(
-    'half of a fleet is told of by one head, and {rate:d} tokens come in a'
-    ' second'
+    'half of a fleet is reported by one head, with a limit of {rate:d}'
+    ' tokens a second'
 )
-def half_told(context, rate):
+def half_reported(context, rate):
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
@@ -1018,37 +1064,39 @@
     context.gaps.on_report('half', ('first', 1), 0.5)
 
 
-@given('nothing is left of a burst of {burst:d}')
-def nothing_left(context, burst):
-    all_left(context, burst)
+@given('a level of 0 with a burst of {burst:d} tokens')
+def level_empty(context, burst):
+    level_full(context, burst)
     context.quota.spent_elsewhere({'noor': burst})
 
 
-@given('all is left of a burst of {burst:d}')
-def all_left(context, burst):
+@given('a full level with a burst of {burst:d} tokens')
+def level_full(context, burst):
     team = pb.Team(name='noor', rate=context.rate, burst=burst)
     context.quota.configure([team])
     context.quota.hear_levels({'noor': burst})
 
 
-@when('{ms:d} ms later {which} head tells')
-def head_tells(context, ms, which):
+@when('{ms:d} ms later {which} head reports')
+def head_reports(context, ms, which):
     context.clock.advance(ms)
-    # The first word of another one, and then the next of that one.
+    # The first report of another head, and then the next one of that head.
     assert which in ('another', 'the same'), which
-    context.reckoned = context.gaps.on_report('half', ('second', 1), 0.5)
+    context.estimate = context.gaps.on_report('half', ('second', 1), 0.5)
 
 
-@then('{count:d} tokens are reckoned')
-def tokens_reckoned(context, count):
-    assert context.reckoned.get('noor', 0) == count, context.reckoned
+@then('{count:d} tokens are estimated')
+def check_estimate(context, count):
+    assert context.estimate.get('noor', 0) == count, context.estimate
 
 
-@when('one request crashes an upstream at a member of each of three groups')
-def crashes_in_groups(context):
-    fleet = context.groups
-    members = [n for n in fleet.nodes.values() if not n.look().is_head]
-    by_group = {node.look().own_group: node for node in members}
+@when(
+    'the same request crashes an upstream at a member of each of three groups'
+)
+def crash_in_groups(context):
+    fleet = context.simulated
+    members = [n for n in fleet.nodes.values() if not n.snapshot().is_head]
+    by_group = {node.snapshot().own_group: node for node in members}
     assert len(by_group) >= 3, by_group
     for number, node in enumerate(list(by_group.values())[:3]):
         fleet.clock.advance(ROUND_MS)
@@ -1060,9 +1108,9 @@
         )
 
 
-@then('each of the {count:d} refuses it')
+@then('each of the {count:d} routers refuses the request')
 def all_refuse(context, count):
-    nodes = context.groups.nodes.values()
+    nodes = context.simulated.nodes.values()
     assert len(nodes) == count, len(nodes)
     assert all(
         node.serving.crashes.retry_after_ms(crash_model.CRASHING)
@@ -1072,22 +1120,23 @@
 
 @when('a member reads a limit of {rate:g} request a second from an upstream')
 def member_reads_limit(context, rate):
-    limits = context.groups.member().serving.limits
+    limits = context.simulated.member().serving.limits
     limits.note_limit(limit_model.UPSTREAM, rate)
 
 
-@then('each of the {count:d} knows the limit')
+@then('each of the {count:d} routers knows the limit')
 def all_know_limit(context, count):
-    nodes = context.groups.nodes.values()
+    nodes = context.simulated.nodes.values()
     known = [node.serving.limits.updates() for node in nodes]
     assert len(known) == count and all(known), known
 
 
 @then(
-    'their shares add up to {rate:g} request a second and a burst of {burst:g}'
+    "the routers' shares add up to {rate:g} request a second and a burst of"
+    ' {burst:g}'
 )
 def shares_add_up(context, rate, burst):
-    nodes = context.groups.nodes.values()
+    nodes = context.simulated.nodes.values()
     limits = [
         node.serving.limits._get_limit(limit_model.UPSTREAM) for node in nodes
     ]
