--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,6 +1,6 @@
-Feature: Entries, configurations and messages that others have written
+Feature: Malformed entries, configurations and messages
 
-  Scenario Outline: An entry that is not as it must be names no upstream
+  Scenario Outline: A malformed entry takes its upstream out of use
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" has <value> for "<field>"
     Then "b, c" may get new work
@@ -26,55 +26,55 @@
       | born           | "yesterday"             |
       | seq            | null                    |
 
-  Scenario: Values of another type stand for no entry
+  Scenario: A value of another type takes its upstream out of use
     Given upstreams "a", "b" and "c" by their entries
     Then "a" may get no work while its entry is null, [], "a", 7 or {}
 
-  Scenario: One entry that can't be read does not hide those behind it
+  Scenario: An unreadable entry does not hide those after it
     Given upstreams "a", "b" and "c" by their entries
-    When "a" turns unreadable in one change with one of "b" that says that it leaves
+    When the entry of "a" becomes unreadable in the change in which "b" starts to leave
     Then "c" may get new work
 
-  Scenario: Whatever an entry holds, it is read or refused with its findings
-    Then no entry of 600 drawn ones raises anything else, and each that is read can be used
+  Scenario: Any entry is either read or rejected with findings
+    Then of 600 drawn entries each is rejected as malformed or gives a usable upstream
 
-  Scenario: Whatever a configuration holds, it is read or refused with its findings
-    Then no configuration of 400 drawn ones raises anything else
+  Scenario: Any configuration is either read or rejected with findings
+    Then of 400 drawn configurations each is read or rejected as malformed
 
-  Scenario: A malformed configuration leaves the one in force
+  Scenario: A malformed configuration does not replace the one in force
     Given a configuration in force
-    When one of a higher version has "soon" for the timeout of a route
-    Then the one before stays in force and the findings name the place
-    When one of a higher version is as it must be
-    Then it is in force
+    When a configuration of a higher version has "soon" as the time-out of a route
+    Then the previous configuration stays in force and the findings name the field
+    When a valid configuration of a higher version is read
+    Then the new configuration is in force
 
-  Scenario: Bytes that can't be read cost the object that they stand in
-    Given a listing of "a", "b" and "c" in which the value of "b" is no JSON
-    Then "a" and "c" are read as they are, and "b" as one without a value
-    And the changes of the three are read the same way
+  Scenario: Undecodable bytes affect only their own object
+    Given a listing of "a", "b" and "c" in which the value of "b" is not JSON
+    Then "a" and "c" are read unchanged, and "b" with an empty value
+    And changes of the three objects are read the same way
 
-  Scenario: Whatever bytes the store answers with, a call of it ends
-    Then no answer of 300 drawn ones raises anything
+  Scenario: A call ends whatever bytes the store answers with
+    Then none of 300 drawn answers causes an exception
 
-  Scenario: A peer's message is taken in whole or not at all
-    Then no beacon of 400 drawn ones raises anything or makes an upstream usable
+  Scenario: A peer's beacon is accepted or rejected as a whole
+    Then none of 400 drawn beacons causes an exception or changes the known upstreams
 
-  Scenario: A peer's configuration that is none changes nothing
-    Given a router whose peer answers with bytes that are no configuration
-    When it asks the peer
-    Then nothing has changed and the peer is named in the log
+  Scenario: An undecodable configuration of a peer changes nothing
+    Given a router whose peer answers with an undecodable configuration
+    When the router requests the configuration from the peer
+    Then the configuration is unchanged and the log names the peer
 
-  Scenario: A peer's word of an address that is none takes the upstream out
+  Scenario: An invalid address from a peer takes the upstream out of use
     Given upstreams "a", "b" and "c" by their entries
-    When a peer tells of "a" with the address "nonsense"
+    When a peer reports "a" with the address "nonsense"
     Then "b, c" may get new work
 
-  Scenario Outline: A beacon with a number that can't be is not taken in
-    Then a beacon with <count> for <what> is <taken>
+  Scenario Outline: A beacon with an invalid number is rejected
+    Then a beacon with <count> for <what> is <result>
 
     Examples:
-      | count | what    | taken        |
-      | 5     | running | taken in     |
-      | -5    | running | not taken in |
-      | -1    | unread  | not taken in |
-      | -9    | memory  | not taken in |
+      | count | what    | result   |
+      | 5     | running | accepted |
+      | -5    | running | rejected |
+      | -1    | unread  | rejected |
+      | -9    | memory  | rejected |
--- a/features/incarnation.feature
+++ b/features/incarnation.feature
@@ -1,56 +1,56 @@
-Feature: An upstream that starts again under its id is another one
-
-  Scenario: A later run begins with nothing of the earlier one
-    Given an upstream "a" that was born at 1000
-    And it has work of two routers, fails and holds copies
-    When its entry says that it was born at 2000
-    Then "a" has no work, has not failed, and is at home elsewhere
-    And what it was before is over
-
-  Scenario: Late statements of the earlier run change nothing of the later
-    Given an upstream "a" that was born at 1000
-    When its entry says that it was born at 2000
-    And the run that was born at 1000 says later that it leaves
-    Then "a" may get new work and was born at 2000
-    When another router tells of its work at the run that was born at 1000
+Feature: An upstream that restarts under its id is a new incarnation
+
+  Scenario: A later run keeps no state of the earlier one
+    Given an upstream "a" whose run started at 1000
+    And "a" has work of two routers, is failing and is home of some prompts
+    When the entry of "a" changes to a run started at 2000
+    Then "a" has no work, is not failing and is home of other prompts
+    And the view of the earlier run has ended
+
+  Scenario: Late records of the earlier run do not affect the later one
+    Given an upstream "a" whose run started at 1000
+    When the entry of "a" changes to a run started at 2000
+    And the run started at 1000 announces later that it is leaving
+    Then "a" may get new work and is the run started at 2000
+    When another router reports its work at the run started at 1000
     Then "a" has no work
-    When another router tells of its work at the run that was born at 2000
-    Then "a" has that work
-
-  Scenario: A peer that is behind does not bring the earlier run back
-    Given an upstream "a" that was born at 1000
-    And a peer that has taken that over
-    When its entry says that it was born at 2000
-    And the peer tells what it knows
-    Then "a" may get new work and was born at 2000
-
-  Scenario: A report of another run says nothing of this one
-    Given an engine that answers its report as one born at 2000
-    Then asked as the one born at 1000 it does not tell when that leaves
-    And asked as the one born at 2000 it does
-
-  Scenario: A resumable stream goes on elsewhere
+    When another router reports its work at the run started at 2000
+    Then "a" has the reported work
+
+  Scenario: A peer that is behind does not restore the earlier run
+    Given an upstream "a" whose run started at 1000
+    And a peer that knows that run
+    When the entry of "a" changes to a run started at 2000
+    And the peer reports the upstreams that it knows
+    Then "a" may get new work and is the run started at 2000
+
+  Scenario: A report of another run is not used for this one
+    Given an engine whose report is of the run started at 2000
+    Then requested for the run started at 1000 the report has no time of leaving
+    And requested for the run started at 2000 the report has a time of leaving
+
+  Scenario: A resumable stream continues at another upstream
     Given a fleet of 1 routers whose routes allow pauses of 20000 ms
-    When a caller streams 200 tokens from "/chat/x" and its upstream starts again
+    When a caller streams 200 tokens from "/chat/x" and its upstream restarts
     Then its events are complete and in order
 
-  Scenario: It goes on too where its connection has not noticed
+  Scenario: A stream also continues if its connection stays silent
     Given a fleet of 1 routers whose routes allow pauses of 20000 ms
-    When a caller streams 200 tokens from "/chat/x" and its upstream starts again behind a silent connection
+    When a caller streams 200 tokens from "/chat/x" and its upstream restarts behind a silent connection
     Then its events are complete and in order
 
-  Scenario: What may run once is never said not to have run
+  Scenario: A non-idempotent request is never reported as not run
     Given a fleet of 1 routers
     And every upstream of "booking" works for 60000 ms
-    When a caller asks "/holds/seat" and its upstream starts again behind a silent connection
-    Then its answer promises nothing and it was run once
+    When a caller requests "/holds/seat" and its upstream restarts behind a silent connection
+    Then the answer does not claim that the request did not run, and it ran once
 
   Scenario: The next request reaches the later run
     Given a fleet of 1 routers
-    When every upstream of "booking" starts again
+    When every upstream of "booking" restarts
     Then 5 requests to "/holds/seat" are answered by the later runs
 
-  Scenario: An answer without a length that is broken off is not complete
+  Scenario: An answer without a length is incomplete if its connection is cancelled
     Given a connection to an upstream that has sent half of an answer without a length
-    When it is broken off since the upstream has started again
-    Then what comes of the answer is a failure, not its end
+    When the connection is cancelled since the upstream has restarted
+    Then the rest of the answer is a failure, not its end
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps of what others than the upstreams and operators may have written."""
+"""Steps for malformed entries, configurations and messages."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
 )
 
 
-def draw(count, *given_, test):
-    """Run `test` on `count` examples, the same ones each time."""
+def run_examples(count, *given_, test):
+    """Run `test` on `count` drawn examples, the same ones each time."""
     settings = hypothesis.settings(
         max_examples=count,
         derandomize=True,
@@ -60,7 +60,7 @@
 
 
 def places(value, path=()):
-    """Yield the path of each value within a document."""
+    """Yield the path of each value in a document, the document included."""
     yield path
     items = ()
     if isinstance(value, dict):
@@ -72,7 +72,7 @@
 
 
 def altered(document, path, value):
-    """Return the document with another value at a place."""
+    """Return a copy of the document with another value at `path`."""
     if not path:
         return value
     document = copy.deepcopy(document)
@@ -102,8 +102,8 @@
 
 
 @when(
-    '"{a}" turns unreadable in one change with one of "{b}" that says that it'
-    ' leaves'
+    'the entry of "{a}" becomes unreadable in the change in which "{b}"'
+    ' starts to leave'
 )
 def unreadable_and_leaving(context, a, b):
     context.feed.on_changes(
@@ -121,12 +121,12 @@
 
 
 @then(
-    'no entry of {count:d} drawn ones raises anything else, and each that is'
-    ' read can be used'
+    'of {count:d} drawn entries each is rejected as malformed or gives a'
+    ' usable upstream'
 )
-def drawn_entries(context, count):
+def check_drawn_entries(context, count):
     whole = {**doubt_steps.entry('a'), names.BORN: 5, names.RECLAIMABLE: True}
-    everywhere = strategies.sampled_from(sorted(places(whole)))
+    paths = strategies.sampled_from(sorted(places(whole)))
 
     def one(path, value):
         table = upstreams_.UpstreamTable(clock_.ManualClock())
@@ -142,10 +142,10 @@
             assert addresses.is_usable(view.address), view.address
             assert view.service and view.slots > 0, view.record
 
-    draw(count, everywhere, JSON, test=one)
+    run_examples(count, paths, JSON, test=one)
 
 
-def a_config():
+def make_config():
     config = pb.Config(
         routes=[
             pb.Route(
@@ -182,10 +182,12 @@
     return config_codec.write_config(config, 7)
 
 
-@then('no configuration of {count:d} drawn ones raises anything else')
-def drawn_configs(context, count):
-    whole = a_config()
-    everywhere = strategies.sampled_from(
+@then(
+    'of {count:d} drawn configurations each is read or rejected as malformed'
+)
+def check_drawn_configs(context, count):
+    whole = make_config()
+    paths = strategies.sampled_from(
         sorted(places(whole), key=lambda path: [str(key) for key in path])
     )
 
@@ -198,23 +200,28 @@
             assert all(found.place and found.text for found in exc.found)
 
     config_codec.read_config(whole)
-    draw(count, everywhere, JSON, test=one)
+    run_examples(count, paths, JSON, test=one)
 
 
 @given('a configuration in force')
 def config_in_force(context):
     context.config_feed = config_steps.new_feed()
-    assert context.config_feed.offer_routes(a_config(), 'store')
+    assert context.config_feed.offer_routes(make_config(), 'store')
 
 
-@when('one of a higher version has "{value}" for the timeout of a route')
-def malformed_timeout(context, value):
-    context.document = {**a_config(), 'version': 9}
+@when(
+    'a configuration of a higher version has "{value}" as the time-out of a'
+    ' route'
+)
+def offer_malformed_timeout(context, value):
+    context.document = {**make_config(), 'version': 9}
     context.document['routes'][0]['timeout-ms'] = value
     assert not context.config_feed.offer_routes(context.document, 'store')
 
 
-@then('the one before stays in force and the findings name the place')
+@then(
+    'the previous configuration stays in force and the findings name the field'
+)
 def stays_in_force(context):
     assert context.config_feed.routes.version == 7
     try:
@@ -222,22 +229,22 @@
     except fields_.Malformed as exc:
         assert 'config routes[0] timeout-ms' in str(exc), exc
     else:
-        raise AssertionError('it was read')
+        raise AssertionError('a malformed configuration was read')
 
 
-@when('one of a higher version is as it must be')
-def higher_version(context):
-    document = {**a_config(), 'version': 11}
+@when('a valid configuration of a higher version is read')
+def offer_higher_version(context):
+    document = {**make_config(), 'version': 11}
     context.config_feed.offer_routes(document, 'store')
 
 
-@then('it is in force')
+@then('the new configuration is in force')
 def is_in_force(context):
     assert context.config_feed.routes.version == 11
 
 
-class _OneAnswer:
-    """Stands for the connections of a store that gives one answer."""
+class _FixedAnswer:
+    """Replaces the HTTP calls of a store; returns one answer to each."""
 
     def __init__(self, body):
         self.body = body
@@ -250,53 +257,53 @@
     store = store_.PlatformStore(
         '127.0.0.1:1', 100, outage_.OutageTracker(clock_.ManualClock(), 1000)
     )
-    store._http = _OneAnswer(body)
+    store._http = _FixedAnswer(body)
     return store
 
 
-def raw(name, revision, spec):
+def raw_object(name, revision, spec):
     return (
         f'{{"{names.META}":{{"name":"{name}","{names.REVISION}":{revision}}},'
         f'"{names.SPEC}":{spec}}}'
     )
 
 
-@given('a listing of "a", "b" and "c" in which the value of "b" is no JSON')
+@given('a listing of "a", "b" and "c" in which the value of "b" is not JSON')
 def broken_listing(context):
-    context.raw = [
-        raw('a', 1, '{"x":[1,"]}"]}'),
-        raw('b', 2, '{"x":nothing at all}'),
-        raw('c', 3, '{"x":3}'),
+    context.raw_objects = [
+        raw_object('a', 1, '{"x":[1,"]}"]}'),
+        raw_object('b', 2, '{"x":nothing at all}'),
+        raw_object('c', 3, '{"x":3}'),
     ]
-    context.wanted = [
+    context.expected = [
         objects.StoredObject('a', 1, {'x': [1, ']}']}),
         objects.StoredObject('b', 2, {}),
         objects.StoredObject('c', 3, {'x': 3}),
     ]
 
 
-@then('"a" and "c" are read as they are, and "b" as one without a value')
-def read_listing(context):
-    text = ','.join(context.raw)
+@then('"a" and "c" are read unchanged, and "b" with an empty value')
+def check_listing(context):
+    text = ','.join(context.raw_objects)
     body = f'{{"{names.ITEMS}":[{text}],"{names.MORE}":false,"{names.AT}":9}}'
     listing = answering(body.encode()).list('k')
-    assert listing == objects.Listing(context.wanted, 9), listing
+    assert listing == objects.Listing(context.expected, 9), listing
 
 
-@then('the changes of the three are read the same way')
-def read_changes(context):
+@then('changes of the three objects are read the same way')
+def check_changes(context):
     text = ','.join(
         f'{{"{names.DELETED}":false,"{names.OBJECT}":{item}}}'
-        for item in context.raw
+        for item in context.raw_objects
     )
     body = f'{{"{names.EVENTS}":[{text}],"{names.AT}":9}}'
     changes = answering(body.encode()).watch('k', 1, 0)
-    assert changes == objects.Changes(context.wanted, 9), changes
+    assert changes == objects.Changes(context.expected, 9), changes
 
 
-@then('no answer of {count:d} drawn ones raises anything')
-def drawn_answers(context, count):
-    item = raw('a', 1, '{"x":1}')
+@then('none of {count:d} drawn answers causes an exception')
+def check_drawn_answers(context, count):
+    item = raw_object('a', 1, '{"x":1}')
     listing = f'{{"{names.ITEMS}":[{item}],"{names.AT}":1}}'.encode()
 
     def one(at, bytes_):
@@ -317,7 +324,7 @@
                 ),
             )
 
-    draw(
+    run_examples(
         count,
         strategies.integers(0, len(listing)),
         strategies.binary(max_size=6),
@@ -375,14 +382,14 @@
 
 
 @then(
-    'no beacon of {count:d} drawn ones raises anything or makes an upstream'
-    ' usable'
+    'none of {count:d} drawn beacons causes an exception or changes the'
+    ' known upstreams'
 )
-def drawn_beacons(context, count):
+def check_drawn_beacons(context, count):
     fleet = helpers.start_fleet(context, routers=1, services=0, domains=1)
     router = fleet.routers[0]
     known = {view.name for view in router.table.all()}
-    wrong = strategies.binary(max_size=40)
+    undecodable = strategies.binary(max_size=40)
 
     def one(beacon, bytes_):
         router.beacons._unpack(bytes_)
@@ -395,14 +402,14 @@
                 assert peer.member.name
         assert {view.name for view in router.table.all()} == known
 
-    draw(count, BEACONS, wrong, test=one)
+    run_examples(count, BEACONS, undecodable, test=one)
 
 
-@given('a router whose peer answers with bytes that are no configuration')
-def garbling_peer(context):
+@given('a router whose peer answers with an undecodable configuration')
+def peer_with_undecodable_config(context):
     fleet = helpers.start_fleet(context, routers=1)
     context.router = fleet.routers[0]
-    context.router._catch_up.config._peers = _Garbling()
+    context.router._catch_up.config._peers = _UndecodablePeer()
     context.lines = []
 
     class Log:
@@ -415,8 +422,8 @@
     context.router._catch_up.config._log = Log()
 
 
-class _Garbling:
-    """Stands for the calls of a peer that answers anything."""
+class _UndecodablePeer:
+    """Replaces the calls of a peer; returns an undecodable configuration."""
 
     def call(self, address, method, request, timeout_ms):
         return pb.ConfigReply(config=b'[[[', config_version=1 << 40)
@@ -425,21 +432,21 @@
         pass
 
 
-@when('it asks the peer')
-def asks_peer(context):
+@when('the router requests the configuration from the peer')
+def request_config(context):
     context.version = context.router.config.routes.version
     context.news = context.router._catch_up.ask_config('127.0.0.1:9')
 
 
-@then('nothing has changed and the peer is named in the log')
-def nothing_changed(context):
+@then('the configuration is unchanged and the log names the peer')
+def check_unchanged(context):
     assert not context.news
     assert context.router.config.routes.version == context.version
     assert context.lines[0][1]['peer'] == '127.0.0.1:9', context.lines
 
 
-@when('a peer tells of "{name}" with the address "{address}"')
-def peer_tells(context, name, address):
+@when('a peer reports "{name}" with the address "{address}"')
+def peer_reports(context, name, address):
     record = pb.UpstreamRecord()
     record.CopyFrom(context.upstreams.get(name).record)
     record.upstream.address = address
@@ -447,9 +454,9 @@
     context.upstreams.merge_all([record])
 
 
-@then('a beacon with {count:d} for {what} is {taken}')
-def beacon_with(context, count, what, taken):
+@then('a beacon with {count:d} for {what} is {result}')
+def check_beacon(context, count, what, result):
     beacon = pb.Beacon(member=pb.Member(name='r'))
     beacon.own.loads.add(upstream='u', **{what: count})
     found = beacon_check.check(beacon)
-    assert bool(found) == (taken == 'not taken in'), found
+    assert bool(found) == (result == 'rejected'), found
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -1,4 +1,4 @@
-"""Steps of upstreams that start again under their id."""
+"""Steps for upstreams that restart under their id."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from peridotmast.wire import server as server_
 
 
-def record(born, revision, state=upstreams_.LIVE):
+def make_record(born, revision, state=upstreams_.LIVE):
     return pb.UpstreamRecord(
         upstream=pb.Upstream(
             name='a',
@@ -41,27 +41,27 @@
     )
 
 
-@given('an upstream "a" that was born at {born:d}')
-def born_at(context, born):
+@given('an upstream "a" whose run started at {born:d}')
+def upstream_of_run(context, born):
     context.upstreams = upstreams_.UpstreamTable(clock_.ManualClock())
     context.ended = []
     context.upstreams.listen_ends(context.ended.append)
-    context.upstreams.merge(record(born, 10))
-    context.before = context.upstreams.get('a')
+    context.upstreams.merge(make_record(born, 10))
+    context.earlier = context.upstreams.get('a')
 
 
-def tell_load(context, born):
+def report_load(context, born):
     load = pb.UpstreamLoad(
         upstream='a', running=3, unread=900, memory=1000, born=born
     )
     context.upstreams.take_loads('router-2', [load])
 
 
-@given('it has work of two routers, fails and holds copies')
+@given('"a" has work of two routers, is failing and is home of some prompts')
 def has_work(context):
-    view = context.before
+    view = context.earlier
     view.take_on(upstream_view.Load(1, 100, 200))
-    tell_load(context, view.born)
+    report_load(context, view.born)
     for _ in range(3):
         view.health.failed()
     assert not view.health.lets_through()
@@ -81,45 +81,47 @@
     return [among.homes(f'part-{n}')[0].name for n in range(200)]
 
 
-@when('its entry says that it was born at {born:d}')
-def entry_says(context, born):
-    assert context.upstreams.merge(record(born, 20))
+@when('the entry of "a" changes to a run started at {born:d}')
+def change_entry(context, born):
+    assert context.upstreams.merge(make_record(born, 20))
 
 
-@then('"a" has no work, has not failed, and is at home elsewhere')
-def begins_anew(context):
+@then('"a" has no work, is not failing and is home of other prompts')
+def keeps_no_state(context):
     view = context.upstreams.get('a')
-    assert view is not context.before
+    assert view is not context.earlier
     assert view.load() == upstream_view.Load(), view.load()
     assert view.health.lets_through() and not view.health.failing_share()
     assert homes_of(view) != context.homes
-    # What still ends at the earlier run is none of its business.
-    context.before.hand_back(upstream_view.Load(1, 100, 200))
-    context.before.health.failed()
+    # Requests that end at the earlier run do not affect the later one.
+    context.earlier.hand_back(upstream_view.Load(1, 100, 200))
+    context.earlier.health.failed()
     assert view.load() == upstream_view.Load()
     assert not context.upstreams.my_loads()
 
 
-@then('what it was before is over')
-def is_over(context):
-    assert context.ended == [context.before]
-    assert not context.before.is_there
+@then('the view of the earlier run has ended')
+def earlier_has_ended(context):
+    assert context.ended == [context.earlier]
+    assert not context.earlier.is_there
 
 
-@when('the run that was born at {born:d} says later that it leaves')
-def says_later(context, born):
-    assert not context.upstreams.merge(record(born, 30, upstreams_.LEAVING))
+@when('the run started at {born:d} announces later that it is leaving')
+def announce_leaving_late(context, born):
+    assert not context.upstreams.merge(
+        make_record(born, 30, upstreams_.LEAVING)
+    )
 
 
-@then('"a" may get new work and was born at {born:d}')
+@then('"a" may get new work and is the run started at {born:d}')
 def may_get_work(context, born):
     (view,) = context.upstreams.live(doubt_steps.SERVICE)
     assert view.born == born, view.born
 
 
-@when('another router tells of its work at the run that was born at {born:d}')
-def tells_of_work(context, born):
-    tell_load(context, born)
+@when('another router reports its work at the run started at {born:d}')
+def router_reports_work(context, born):
+    report_load(context, born)
 
 
 @then('"a" has no work')
@@ -127,22 +129,22 @@
     assert not context.upstreams.get('a').load().running
 
 
-@then('"a" has that work')
-def has_that_work(context):
+@then('"a" has the reported work')
+def has_reported_work(context):
     assert context.upstreams.get('a').load().running == 3
 
 
-@given('a peer that has taken that over')
-def peer_taken(context):
+@given('a peer that knows that run')
+def peer_that_knows(context):
     context.known = [view.record for view in context.upstreams.all()]
 
 
-@when('the peer tells what it knows')
-def peer_tells(context):
+@when('the peer reports the upstreams that it knows')
+def peer_reports(context):
     context.upstreams.merge_all(context.known)
 
 
-@given('an engine that answers its report as one born at {born:d}')
+@given('an engine whose report is of the run started at {born:d}')
 def reporting_engine(context, born):
     app = web.WebApp('engine', 1 << 16)
     body = {names.BORN: born, names.LEAVES_MS: 700}
@@ -157,47 +159,53 @@
     return control.leaves_ms(context.server.address, born)
 
 
-@then('asked as the one born at {born:d} it does not tell when that leaves')
-def does_not_tell(context, born):
+@then(
+    'requested for the run started at {born:d} the report has no time of'
+    ' leaving'
+)
+def has_no_leaving_time(context, born):
     assert isinstance(leaves_ms(context, born), failures.Failure)
 
 
-@then('asked as the one born at {born:d} it does')
-def does_tell(context, born):
+@then(
+    'requested for the run started at {born:d} the report has a time of'
+    ' leaving'
+)
+def has_leaving_time(context, born):
     assert leaves_ms(context, born) == 700
 
 
 @when(
-    'a caller streams {tokens:d} tokens from "{path}" and its upstream starts'
-    ' again'
+    'a caller streams {tokens:d} tokens from "{path}" and its upstream'
+    ' restarts'
 )
-def stream_again(context, tokens, path):
+def stream_and_restart(context, tokens, path):
     stream_steps.stream_and(context, tokens, path, context.fleet.begin_again)
 
 
-def only_entry(context, guest):
-    """Enter the next run; connections to the one before stay open."""
+def change_entry_only(context, guest):
+    """Write the next run's entry; connections to the earlier run stay open."""
     guest.record.upstream.born += 1
     context.fleet._write_entry(guest)
 
 
 @when(
-    'a caller streams {tokens:d} tokens from "{path}" and its upstream starts'
-    ' again behind a silent connection'
+    'a caller streams {tokens:d} tokens from "{path}" and its upstream'
+    ' restarts behind a silent connection'
 )
-def silent_again(context, tokens, path):
+def stream_and_restart_silently(context, tokens, path):
     def act(guest):
         guest.upstream.mute()
-        only_entry(context, guest)
+        change_entry_only(context, guest)
 
     stream_steps.stream_and(context, tokens, path, act)
 
 
 @when(
-    'a caller asks "{path}" and its upstream starts again behind a silent'
+    'a caller requests "{path}" and its upstream restarts behind a silent'
     ' connection'
 )
-def once_again(context, path):
+def request_and_restart_silently(context, path):
     task = green.spawn(
         helpers.ask, fleet_steps.front(context), path, request_id='seat-1'
     )
@@ -210,13 +218,15 @@
         ]
 
     helpers.wait_until(running, 'the request runs')
-    only_entry(context, running()[0])
+    change_entry_only(context, running()[0])
     context.last = task.wait()
 
 
-@then('its answer promises nothing and it was run once')
-def promises_nothing(context):
-    # At its deadline it would be 504.
+@then(
+    'the answer does not claim that the request did not run, and it ran once'
+)
+def ran_once_without_claim(context):
+    # An answer at the deadline would be 504.
     assert context.last.status == 502, context.last
     runs = [
         guest.upstream.app.runs['seat-1']
@@ -225,8 +235,8 @@
     assert sum(runs) == 1, runs
 
 
-@when('every upstream of "{service}" starts again')
-def all_again(context, service):
+@when('every upstream of "{service}" restarts')
+def restart_all(context, service):
     context.later = [
         context.fleet.begin_again(guest)
         for guest in helpers.guests(context, service)
@@ -276,12 +286,12 @@
     context.conn = conn
 
 
-@when('it is broken off since the upstream has started again')
-def broken_off(context):
+@when('the connection is cancelled since the upstream has restarted')
+def cancel_connection(context):
     green.spawn_after_ms(50, context.conn.cancel, 'upstream_restarted')
 
 
-@then('what comes of the answer is a failure, not its end')
+@then('the rest of the answer is a failure, not its end')
 def is_failure(context):
     rest = context.conn.read_some(context.deadline)
     assert isinstance(rest, failures.Failure), rest
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -1,4 +1,4 @@
-"""Steps of how routers that start find each other in the store."""
+"""Steps for routers that find each other by entries in the store."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 
-class Starting:
-    """A router's run, as far as it enters the store."""
+class StartingRouter:
+    """The parts of a starting router that register it in the store."""
 
     def __init__(self, store, name, port, run=1):
         me = pb.Member(
@@ -32,49 +32,49 @@
 
 
 @given('a store that {count:d} routers have entered')
-def have_entered(context, count):
+def registered_routers(context, count):
     context.store = MemoryStore()
     context.count = count
     for number in range(count):
-        assert Starting(
+        assert StartingRouter(
             context.store, f'r{number}', number
         ).registry.register()
 
 
 @when('one of them starts again at its address')
-def starts_again(context):
-    begin(context, port=1)
+def restart_at_same_address(context):
+    restart(context, port=1)
 
 
 @when('one of them starts again at another address')
-def starts_elsewhere(context):
-    begin(context, port=77)
+def restart_elsewhere(context):
+    restart(context, port=77)
 
 
-def begin(context, port):
+def restart(context, port):
     context.store.calls = 0
-    context.started = Starting(context.store, 'r1', port, run=2)
-    context.entered = context.started.registry.register()
+    context.started = StartingRouter(context.store, 'r1', port, run=2)
+    context.has_registered = context.started.registry.register()
 
 
 @then('it knows all the others after {count:d} calls of the store')
 @then('it knows all the others after {count:d} call of the store')
-def knows_all(context, count):
-    assert context.entered
+def knows_all_others(context, count):
+    assert context.has_registered
     assert len(context.started.known) == context.count - 1
     assert context.store.calls == count, context.store.calls
 
 
 @then('one that starts after it finds it at its new address')
-def finds_it(context):
-    other = Starting(context.store, 'r9', 9)
+def finds_new_address(context):
+    other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register()
     assert other.known['r1'].beacon_address == '10.0.0.1:77'
 
 
 @when('its entry is not answered, and it tries again')
-def not_answered(context):
-    context.started = Starting(context.store, 'new', 50)
+def register_after_lost_reply(context):
+    context.started = StartingRouter(context.store, 'new', 50)
     context.store.lose_next = 1
     assert not context.started.registry.register()
     assert context.started.registry.register()
@@ -83,26 +83,26 @@
 @then('it knows all the others, who find it')
 def knows_and_found(context):
     assert len(context.started.known) == context.count
-    other = Starting(context.store, 'r9', 9)
+    other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register() and 'new' in other.known
 
 
 @when('two start at once, each step of the one between two of the other')
-def two_at_once(context):
+def start_two_interleaved(context):
     real, runs = context.store.list, []
     context.both = [
-        Starting(context.store, name, port)
+        StartingRouter(context.store, name, port)
         for name, port in (('a', 1), ('b', 2))
     ]
 
-    def list_between(kind):
-        found = real(kind)
+    def list_interleaved(kind):
+        listing = real(kind)
         if not runs:
             runs.append(True)
             assert context.both[1].registry.register()
-        return found
+        return listing
 
-    context.store.list = list_between
+    context.store.list = list_interleaved
     assert context.both[0].registry.register()
 
 
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store that come in slowly, or not to the end."""
+"""Steps for answers of the platform's store that are slow or incomplete."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     'upstreams': (names.UPSTREAM_KIND,),
 }
 WAIT_MS = 1000
-TURN_MS = 5
-"""Real time in which the other side takes what was sent over loopback."""
+LOOPBACK_MS = 5
+"""Real time in which data sent over loopback is processed by its receiver."""
 
 OBJECT = {
     names.META: {'name': 'x', names.REVISION: 2},
@@ -53,7 +53,7 @@
     names.AT: 2,
 }
 
-ASKED = {
+REQUESTS = {
     'a listing': (
         LISTING,
         lambda store, cloud: store.list(KIND),
@@ -85,7 +85,7 @@
         None,
     ),
 }
-"""What is asked for: the answer's body, the call, and what it returns."""
+"""For each request: the answer's body, the call, and what it returns."""
 
 
 def wire_answer(body):
@@ -97,9 +97,9 @@
 
 
 def parts_of(data, count):
-    """Return the head with the first byte, and the rest in so many parts."""
+    """Split an answer into parts; the head is sent with the first one."""
     head, _, body = data.partition(b'\r\n\r\n')
-    # Spaces after the value are part of the JSON text.
+    # Spaces after the value are valid JSON.
     body += b' ' * count
     size = -(-len(body) // count)
     parts = [body[at : at + size] for at in range(0, len(body), size)]
@@ -108,10 +108,10 @@
 
 
 class SlowStore:
-    """Sends an answer in parts; its clock moves on before each.
+    """Sends an answer in parts, and advances its clock before each.
 
-    What the caller's bounds are worth is told by this clock alone, so that
-    no part of the test depends on how fast the machine is.
+    The caller's time-outs use this clock, so that the test does not depend on
+    the speed of the machine.
     """
 
     def __init__(self, context, count=1, apart_ms=0, stops=False):
@@ -119,10 +119,10 @@
         self.body = {}
         self.sent = 0
         self._count, self._apart_ms, self._stops = count, apart_ms, stops
-        self._over = green.Event()
+        self._stopped = green.Event()
         self.raw = raw_upstream.RawUpstream(self._answer)
         context.closing.append(self.raw.stop)
-        context.closing.append(self._over.send)
+        context.closing.append(self._stopped.send)
 
     def _answer(self, sock, request_id, number):
         for part in parts_of(wire_answer(self.body), self._count):
@@ -130,13 +130,13 @@
             sock.sendall(part)
             self.sent += 1
             if self._stops:
-                self._over.wait()
+                self._stopped.wait()
                 return False
-            green.sleep_ms(TURN_MS)
+            green.sleep_ms(LOOPBACK_MS)
         return True
 
 
-@given('a store whose answers come in {count:d} parts, {ms:d} ms apart')
+@given('a store whose answers arrive in {count:d} parts, {ms:d} ms apart')
 def answers_in_parts(context, count, ms):
     context.slow = SlowStore(context, count, ms)
 
@@ -146,42 +146,42 @@
     context.slow = SlowStore(context, 2, stops=True)
 
 
-@when('it is asked for {what} with a bound of {ms:d} ms')
-def is_asked(context, what, ms):
+@when('the router requests {what} with a time-out of {ms:d} ms')
+def make_request(context, what, ms):
     slow = context.slow
     outage = outage_.OutageTracker(slow.clock, 1000)
     store = store_.PlatformStore(slow.raw.address, ms, outage)
     cloud = cloud_api.PlatformCloud(slow.raw.address, ms, 'router-1')
     store._http = cloud._http = calls.HttpCalls(ms, slow.clock)
     context.closing.append(store.close)
-    slow.body, call, context.wanted = ASKED[what]
-    asking = green.spawn(call, store, cloud)
-    context.closing.append(asking.kill)
-    # Long for each bound here, and short for one that is not kept.
-    helpers.wait_until(lambda: asking.dead, 'the call is over')
-    context.result = asking.wait()
+    slow.body, call, context.expected = REQUESTS[what]
+    calling = green.spawn(call, store, cloud)
+    context.closing.append(calling.kill)
+    # The limit is long for each time-out here, and short for a missed one.
+    helpers.wait_until(lambda: calling.dead, 'the call is over')
+    context.result = calling.wait()
     context.sent = slow.sent
 
 
-@then('the answer is whole, and was asked for once')
-def is_whole(context):
-    assert context.result == context.wanted, context.result
+@then('the answer is complete after a single request')
+def is_complete(context):
+    assert context.result == context.expected, context.result
     assert len(context.slow.raw.requests) == 1
 
 
-@then('the answer is given up as silent')
-def is_given_up(context):
+@then('the call fails as silent')
+def fails_as_silent(context):
     assert isinstance(context.result, failures.Failure), context.result
     assert context.result.reason == 'silent', context.result
 
 
-@then('it was after fewer than {count:d} parts')
-def after_parts(context, count):
+@then('the call fails after fewer than {count:d} parts')
+def fails_after_parts(context, count):
     assert context.sent < count, context.sent
 
 
 class Peer:
-    """A peer that knows an upstream more."""
+    """A peer that knows one more upstream."""
 
     def call(self, address, method, request, *args, **kwargs):
         assert method == 'FetchUpstreams', method
@@ -198,14 +198,14 @@
         return pb.UpstreamsReply(upstreams=[record], revision=9)
 
 
-def asked_for(context, kind):
-    """Return how often the store was asked about a kind."""
+def call_count(context, kind):
+    """Return the number of calls of the store for a kind."""
     path = f'{names.OBJECTS_PATH}/{kind}'
     return context.standin.app.calls.get(path, 0)
 
 
-def begin_router(context, watches=True):
-    """Begin to follow a stand-in of the store, as one router does."""
+def start_router(context, watches=True):
+    """Start to follow a stand-in of the store, as one router does."""
     context.clock = clock_.ManualClock()
     context.standin = store_standin.StoreStandin()
     context.closing.append(context.standin.stop)
@@ -230,10 +230,10 @@
 
 @given('a router that has watched the store for {ms:d} ms')
 def has_watched(context, ms):
-    begin_router(context)
+    start_router(context)
     for kind in itertools.chain(*KINDS.values()):
         helpers.wait_until(
-            lambda kind=kind: asked_for(context, kind) == 2,
+            lambda kind=kind: call_count(context, kind) == 2,
             f'a listing and a watch of {kind}',
         )
     context.clock.advance(ms)
@@ -241,43 +241,43 @@
 
 @given('a router that does not watch the store')
 def does_not_watch(context):
-    begin_router(context, watches=False)
+    start_router(context, watches=False)
     for kind in itertools.chain(*KINDS.values()):
         helpers.wait_until(
-            lambda kind=kind: asked_for(context, kind) == 1,
+            lambda kind=kind: call_count(context, kind) == 1,
             f'a listing of {kind}',
         )
 
 
-@when('a call of it is refused, and the store answers again')
-def refused_once(context):
+@when('a call of the router is rejected, and the store answers again')
+def reject_call(context):
     store = context.knowledge.store
 
     def is_settled():
-        # It enters itself there once; after that it has nothing to ask.
+        # The router registers once; after that it has no calls to make.
         calls = store.calls
-        green.sleep_ms(60 * TURN_MS)
+        green.sleep_ms(60 * LOOPBACK_MS)
         return store.calls == calls
 
     helpers.wait_until(is_settled, 'no call under way')
     context.knowledge.outage.record_failure('429')
 
 
-@then('it finds out by itself')
-def finds_out(context):
+@then('the router detects the recovery by a probe')
+def detects_recovery(context):
     helpers.wait_until(
         lambda: not context.knowledge.outage.is_out, 'an answer'
     )
 
 
-@when('another call of it fails and the next one is answered')
-def fails_and_answered(context):
+@when('another call of the router fails and the next one is answered')
+def fail_and_answer(context):
     context.knowledge.outage.record_failure('silent')
     context.knowledge.outage.record_answer()
 
 
-@when('a call of it is answered, and then one made before that fails')
-def answered_then_failed(context):
+@when('a call of the router is answered, and then an earlier one fails')
+def answer_then_fail(context):
     context.knowledge.outage.record_answer()
     context.clock.advance(500)
     context.knowledge.outage.record_failure('silent', 1500)
@@ -285,8 +285,8 @@
     context.knowledge.outage.record_answer()
 
 
-@when('another peer says so after one that is refused for long')
-def peer_after_refused(context):
+@when('a second peer reports an outage after long reports by a first one')
+def second_peer_reports(context):
     knowledge = context.knowledge
     catch_up = catch_up_.CatchUp(
         context.clock, knowledge, Peer(), lambda name, *args: None
@@ -300,31 +300,31 @@
         catch_up,
     )
 
-    def say(name, rounds):
+    def report_outage(name, rounds):
         member = pb.Member(name=name, incarnation=1)
         for _ in range(rounds):
             peering.take(pb.Beacon(member=member, outage_felt=True))
-            green.sleep_ms(2 * TURN_MS)
+            green.sleep_ms(2 * LOOPBACK_MS)
             context.clock.advance(250)
 
-    say('r3', 20)
+    report_outage('r3', 20)
     for kind in itertools.chain(*KINDS.values()):
-        assert asked_for(context, kind) == 3, kind
+        assert call_count(context, kind) == 3, kind
     for _ in range(4):
-        say('r3', 1)
-        say('r2', 1)
+        report_outage('r3', 1)
+        report_outage('r2', 1)
 
 
-@then('it has asked for the upstreams once more')
-def asked_once_more(context):
+@then('the router has restarted the watch on the upstreams a second time')
+def restarted_twice(context):
     helpers.wait_until(
-        lambda: asked_for(context, names.UPSTREAM_KIND) == 4,
+        lambda: call_count(context, names.UPSTREAM_KIND) == 4,
         'a watch after the second outage',
     )
 
 
-@when('a peer says that the store does not answer it, again and again')
-def peer_says_out(context):
+@when('a peer reports repeatedly that the store does not answer')
+def peer_reports_outage(context):
     serving = helpers.bare_limits(context.clock)
     knowledge = context.knowledge
     catch_up = catch_up_.CatchUp(
@@ -336,18 +336,18 @@
     member = pb.Member(name='r2', incarnation=1)
     for _ in range(20):
         peering.take(pb.Beacon(member=member, outage_felt=True))
-        # Those of a watch that was begun anew would follow by then.
-        green.sleep_ms(2 * TURN_MS)
+        # Long enough for the calls of another restart, if there were one.
+        green.sleep_ms(2 * LOOPBACK_MS)
         context.clock.advance(250)
 
 
-@then('it has asked the store once whether it answers')
-def has_asked(context):
-    assert asked_for(context, store_.PROBED) == 1, context.standin.app.calls
+@then('the router has probed the store once')
+def has_probed(context):
+    assert call_count(context, store_.PROBED) == 1, context.standin.app.calls
 
 
-@when('a peer has news on upstreams')
-def news_on_upstreams(context):
+@when('a peer announces a newer state of the upstreams')
+def newer_upstreams(context):
     catch_up = catch_up_.CatchUp(
         context.clock,
         context.knowledge,
@@ -364,32 +364,35 @@
     assert context.knowledge.table.get('a') is not None
 
 
-@when('a peer has news on the configuration')
-def news_on_configuration(context):
+@when('a peer announces a newer state of the configuration')
+def newer_configuration(context):
     context.knowledge.overtaken('config')
 
 
-@then('it watches the {what} anew')
-def watches_anew(context, what):
+@then('the router restarts the watch on the {what}')
+def restarts_watch(context, what):
     for kind in KINDS[what]:
         helpers.wait_until(
-            lambda kind=kind: asked_for(context, kind) == 3,
+            lambda kind=kind: call_count(context, kind) == 3,
             f'another watch on {kind}',
         )
 
 
-@then('it has watched the {what} once')
+@then('the router has watched the {what} once')
 def watched_once(context, what):
-    # All watches that end do so in one turn of the loop; what they ask next
-    # would be here by then.
-    green.sleep_ms(10 * TURN_MS)
+    # All watches that end do so in one iteration of the event loop; their next
+    # calls would have arrived by then.
+    green.sleep_ms(10 * LOOPBACK_MS)
     for kind in KINDS[what]:
-        assert asked_for(context, kind) == 2, (kind, asked_for(context, kind))
+        assert call_count(context, kind) == 2, (
+            kind,
+            call_count(context, kind),
+        )
     assert not context.errors, context.errors
 
 
 class HalvingStore:
-    """Lists nothing; its first watch is answered in two halves, when told."""
+    """Lists no objects; sends each half of the first watch's answer on cue."""
 
     def __init__(self, context):
         self.halves = [green.Event(), green.Event()]
@@ -398,8 +401,8 @@
 
     @property
     def watches(self):
-        wanted = f'{names.WATCH}='.encode()
-        return sum(wanted in head for head in self.raw.requests)
+        parameter = f'{names.WATCH}='.encode()
+        return sum(parameter in head for head in self.raw.requests)
 
     def _answer(self, sock, request_id, number):
         if not self.watches:
@@ -419,12 +422,12 @@
         return True
 
 
-@given('a watch whose answer comes in two halves')
-def in_two_halves(context):
+@given('a watch whose answer arrives in two halves')
+def start_halved_watch(context):
     context.clock = clock_.ManualClock()
     context.halving = HalvingStore(context)
     context.follower = doubt_steps.Follower()
-    # Long, so that only a peer's news can end the watch.
+    # A long time-out, so that only a peer's newer state can end the watch.
     store = store_.PlatformStore(
         context.halving.raw.address,
         60_000,
@@ -440,40 +443,40 @@
     helpers.wait_until(lambda: context.halving.watches == 1, 'the watch')
 
 
-@when('the first half comes {ms:d} ms after it began')
-def first_half(context, ms):
+@when('the first half arrives {ms:d} ms after the start of the watch')
+def send_first_half(context, ms):
     context.clock.advance(ms)
     context.halving.halves[0].send()
-    green.sleep_ms(10 * TURN_MS)
+    green.sleep_ms(10 * LOOPBACK_MS)
 
 
-@when('a peer has news {ms:d} ms later')
-def news_later(context, ms):
+@when('a peer announces a newer state {ms:d} ms later')
+def peer_ahead_later(context, ms):
     context.clock.advance(ms)
     context.watch.on_peer_ahead()
-    green.sleep_ms(10 * TURN_MS)
+    green.sleep_ms(10 * LOOPBACK_MS)
 
 
-@then('it goes on')
-def goes_on(context):
-    assert not context.stepping.dead, 'the watch was given up'
+@then('the watch continues')
+def watch_continues(context):
+    assert not context.stepping.dead, 'the watch was ended'
 
 
-@when('the second half comes')
-def second_half(context):
+@when('the second half arrives')
+def send_second_half(context):
     context.halving.halves[1].send()
     helpers.wait_until(lambda: context.stepping.dead, "the step's end")
 
 
-@then('it has brought the news, and was asked for once')
-def brought_at_once(context):
+@then('the changes have been received by the first watch')
+def received_by_first(context):
     assert context.follower.names == ['x'], context.follower.names
     assert context.halving.watches == 1, context.halving.watches
 
 
-@then('it is asked for once more, and has brought the news')
-def asked_after_second(context):
-    assert context.stepping.dead, 'the watch waits on'
+@then('the changes have been received by a second watch')
+def received_by_second(context):
+    assert context.stepping.dead, 'the watch still waits'
     context.watch.step()
     assert context.halving.watches == 2, context.halving.watches
     assert context.follower.names == ['x'], context.follower.names
