--- a/features/lease.feature
+++ b/features/lease.feature
@@ -160,7 +160,7 @@
     And the first contender requests the lease
     Then the first contender holds the lease with fencing number 2
 
-  Scenario: Two contenders under random pauses, outages and lost replies
+  Scenario: Three contenders under random pauses, outages and lost replies
     Then in 300 random histories at most one contender may start orders at any time
 
   # Guards against a gap without duties after all routers are killed and restarted.
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -53,9 +53,9 @@
         The peers to send to.
     due : callable
         Returns the beacons of a round, each with the peers that it goes to.
-    fill_news : callable
+    build_news : callable
         Returns the short beacon that tells peers of changes in between rounds.
-    take : callable
+    on_beacon : callable
         Called with each valid beacon that arrives.
     secret : bytes
         Key shared by all routers to sign beacons with; empty for none.
@@ -66,14 +66,14 @@
         address: str,
         members: members_.Members,
         due: ty.Callable[[], Round],
-        fill_news: ty.Callable[[], pb.Beacon],
-        take: ty.Callable[[pb.Beacon], None],
+        build_news: ty.Callable[[], pb.Beacon],
+        on_beacon: ty.Callable[[pb.Beacon], None],
         secret: bytes = b'',
     ) -> None:
         self._members = members
         self._due = due
-        self._fill_news = fill_news
-        self._take = take
+        self._build_news = build_news
+        self._on_beacon = on_beacon
         self._secret = secret
         self._log = logs.get('beacons', router=members.me.name)
         host, _, port = address.rpartition(':')
@@ -128,7 +128,7 @@
         fleet. These beacons of 100 bytes reach all peers at once, and there
         are only a few hundred changes an hour.
         """
-        self.send(self._fill_news(), self._members.peers())
+        self.send(self._build_news(), self._members.peers())
 
     def _send_to(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(':')
@@ -155,7 +155,7 @@
                 return
             beacon = self._unpack(data)
             if beacon is not None:
-                self._take(beacon)
+                self._on_beacon(beacon)
 
     def _pack(self, beacon: pb.Beacon) -> bytes:
         # Compression halves a beacon of 1.8 kB, and traffic between failure
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -496,7 +496,7 @@
         'lease',
     ),
     Mutation(
-        'drop the former holders in a takeover',
+        'drop the former holders at each acquisition',
         COORDINATION + 'lease.py',
         'former = _former_holders(current)\n        same',
         'former = {}\n        same',
