--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -12,15 +12,15 @@
   # had 30. How: callers were named those of their failure domain and the first 30 of
   # the others by name, the same ones in every answer. Proof: answers of many routers.
   Scenario: No router is named to many more callers than another one
-    Given 195 routers in 6 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64, all of the caller's failure domain first
+    Given 195 routers in 6 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers, all of the caller's failure domain first
     And no router is named more than 1.5 times as often as the mean
 
   Scenario: A failure domain of more routers than an answer holds
-    Given 330 routers in 3 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64 of the caller's failure domain
+    Given 330 routers in 3 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers of the caller's failure domain
     And no router is named more than 1.5 times as often as the mean
 
   Scenario: A router that joins in an outage is found through its seeds
@@ -37,25 +37,25 @@
   # each, with three for what else it tells: the writing was refused since the entry
   # was there, and what was there said the same.
   Scenario: A router that starts again at its address is found by what it wrote
-    Given a store that 5 routers have entered
-    When one of them starts again at its address
-    Then it knows all the others after 1 call of the store
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at its address
+    Then it knows all other routers after 1 call to the store
 
   Scenario: A router that starts again elsewhere says so
-    Given a store that 5 routers have entered
-    When one of them starts again at another address
-    Then it knows all the others after 3 calls of the store
-    And one that starts after it finds it at its new address
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at another address
+    Then it knows all other routers after 3 calls to the store
+    And a router that starts later finds it at its new address
 
   Scenario: A router whose entry was not answered enters once
-    Given a store that 5 routers have entered
-    When its entry is not answered, and it tries again
-    Then it knows all the others, who find it
+    Given a store with the entries of 5 routers
+    When a new router gets no answer to its entry, and retries
+    Then it knows all other routers, and a later one finds it
 
   Scenario: Of two that start at once at least one knows the other
-    Given a store that 0 routers have entered
-    When two start at once, each step of the one between two of the other
-    Then at least one of them knows the other
+    Given a store with the entries of 0 routers
+    When two routers start at once, with their calls interleaved
+    Then at least one of the two knows the other
 
   Scenario: A beacon that nobody signed changes nothing
     Given a fleet of 2 routers that sign their beacons
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -251,10 +251,10 @@
 
 
 @given(
-    '{count:d} routers in {domains:d} failure domains, as {some:d} of them'
-    ' know them'
+    '{count:d} routers in {domains:d} failure domains, all known to {some:d}'
+    ' of them'
 )
-def in_domains(context, count, domains, some):
+def routers_in_domains(context, count, domains, some):
     clock = clock_.ManualClock()
     everyone = [
         pb.Member(
@@ -274,8 +274,11 @@
         context.directories.append(router_selector.RouterSelector(members, 64))
 
 
-@when('callers of each failure domain ask them {times:d} times each')
-def callers_ask(context, times):
+@when(
+    'callers of each failure domain ask each of these for routers {times:d}'
+    ' times'
+)
+def ask_for_routers(context, times):
     context.answers = [
         (domain, directory.select(domain))
         for domain in sorted(context.domains)
@@ -284,7 +287,10 @@
     ]
 
 
-@then("each answer names {count:d}, all of the caller's failure domain first")
+@then(
+    "each answer names {count:d} routers, all of the caller's failure domain"
+    ' first'
+)
 def names_near_first(context, count):
     for domain, found in context.answers:
         assert len({member.name for member in found}) == count, len(found)
@@ -292,7 +298,7 @@
         assert all(m.failure_domain == domain for m in found[:near]), found
 
 
-@then("each answer names {count:d} of the caller's failure domain")
+@then("each answer names {count:d} routers of the caller's failure domain")
 def names_near_only(context, count):
     for domain, found in context.answers:
         assert len({member.name for member in found}) == count, len(found)
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -31,7 +31,7 @@
         return {p.member.name: p.member for p in self.members.peers()}
 
 
-@given('a store that {count:d} routers have entered')
+@given('a store with the entries of {count:d} routers')
 def registered_routers(context, count):
     context.store = MemoryStore()
     context.count = count
@@ -41,12 +41,12 @@
         ).registry.register()
 
 
-@when('one of them starts again at its address')
+@when('one of these routers restarts at its address')
 def restart_at_same_address(context):
     restart(context, port=1)
 
 
-@when('one of them starts again at another address')
+@when('one of these routers restarts at another address')
 def restart_elsewhere(context):
     restart(context, port=77)
 
@@ -57,22 +57,22 @@
     context.has_registered = context.started.registry.register()
 
 
-@then('it knows all the others after {count:d} calls of the store')
-@then('it knows all the others after {count:d} call of the store')
+@then('it knows all other routers after {count:d} calls to the store')
+@then('it knows all other routers after {count:d} call to the store')
 def knows_all_others(context, count):
     assert context.has_registered
     assert len(context.started.known) == context.count - 1
     assert context.store.calls == count, context.store.calls
 
 
-@then('one that starts after it finds it at its new address')
+@then('a router that starts later finds it at its new address')
 def finds_new_address(context):
     other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register()
     assert other.known['r1'].beacon_address == '10.0.0.1:77'
 
 
-@when('its entry is not answered, and it tries again')
+@when('a new router gets no answer to its entry, and retries')
 def register_after_lost_reply(context):
     context.started = StartingRouter(context.store, 'new', 50)
     context.store.lose_next = 1
@@ -80,14 +80,14 @@
     assert context.started.registry.register()
 
 
-@then('it knows all the others, who find it')
+@then('it knows all other routers, and a later one finds it')
 def knows_and_found(context):
     assert len(context.started.known) == context.count
     other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register() and 'new' in other.known
 
 
-@when('two start at once, each step of the one between two of the other')
+@when('two routers start at once, with their calls interleaved')
 def start_two_interleaved(context):
     real, runs = context.store.list, []
     context.both = [
@@ -106,7 +106,7 @@
     assert context.both[0].registry.register()
 
 
-@then('at least one of them knows the other')
+@then('at least one of the two knows the other')
 def one_knows(context):
     first, second = context.both
     assert 'b' in first.known or 'a' in second.known
