--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -17,7 +17,7 @@
 from peridotmast.coordination import fleet_clock
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.duties import holder as holder_
+from peridotmast.duties import duty_holder
 from peridotmast.duties import usage_reporter
 from peridotmast.embedded import shape as shape_
 from peridotmast import failures
@@ -33,11 +33,11 @@
 @when('{count:d} requests are sent to all routers within a window')
 def within_a_window(context, count):
     fleet = context.fleet
-    clock = fleet.routers[0].knowledge.fleet_clock
+    clock = fleet.routers[0].fleet_state.fleet_clock
     green.sleep_ms(1000 - clock.now() % 1000 + 20)
     context.window = fleet.routers[0].serving.usage.window_now()
     tasks = [
-        green.spawn(helpers.ask, fleet.routers[n % 3].address)
+        green.spawn(helpers.send_request, fleet.routers[n % 3].address)
         for n in range(count)
     ]
     for task in tasks:
@@ -79,7 +79,7 @@
         for other in context.starts:
             members.receive(member_of(context, other))
         lease = lease_.Lease(None, 'l', me, me, 4000, 600, context.clock)
-        holder = holder_.DutyHolder(lease, members, (), context.clock)
+        holder = duty_holder.DutyHolder(lease, members, (), context.clock)
         found[holder._rank()] = me
     return [found[rank] for rank in range(len(found))]
 
@@ -112,19 +112,19 @@
     """A duty that leaves something, and remembers what was left to it."""
 
     def __init__(self):
-        self.changes = 0
+        self.state_version = 0
         self.needed = 0
         self.left = []
 
-    def begin(self, left):
+    def start(self, left):
         self.left.append(left)
 
-    def act(self, fencing):
+    def run(self, fencing):
         pass
 
-    def leave(self, left):
+    def save(self, left):
         left.needs['pool'] = self.needed
-        for _ in range(self.changes):
+        for _ in range(self.state_version):
             left.orders.add(service='pool', coming=5)
 
 
@@ -136,7 +136,7 @@
         self.duty = Remembering()
         self.store = MemoryStore()
         self.store.objects = context.objects
-        self.store.out = 'store_out' in context
+        self.store.is_down = 'store_out' in context
         clock = context.clock
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
@@ -145,7 +145,7 @@
         self._members = members_.Members(member_of(context, name), clock, 1000)
         self._peers = [member_of(context, other) for other in context.starts]
         self._runs = context.runs if 'runs' in context else []
-        self._holder = holder_.DutyHolder(
+        self._holder = duty_holder.DutyHolder(
             self.lease,
             self._members,
             (self.duty,),
@@ -168,7 +168,7 @@
         for peer in self._peers:
             self._members.receive(peer)
         self._holder.keep_lease()
-        self._holder.act()
+        self._holder.run_duties()
 
 
 def start_all(context, run):
@@ -254,7 +254,7 @@
 @when('{ms:d} ms later it orders, and is killed {later:d} ms after that')
 def orders_and_ends(context, ms, later):
     go_on(context, ms)
-    context.runs[0].duty.changes += 1
+    context.runs[0].duty.state_version += 1
     go_on(context, later)
     context.runs.pop(0)
 
@@ -298,10 +298,10 @@
 @when('the store is out for {ms:d} ms')
 def store_out_for(context, ms):
     for one in context.runs:
-        one.store.out = True
+        one.store.is_down = True
     go_on(context, ms)
     for one in context.runs:
-        one.store.out = False
+        one.store.is_down = False
     go_on(context, 1000)
 
 
@@ -364,7 +364,7 @@
     others = [r for r in fleet.routers if r is not context.old]
     context.old.stop()
     for number in range(60):
-        assert helpers.ask(others[number % 2].address).status == 200
+        assert helpers.send_request(others[number % 2].address).status == 200
         green.sleep_ms(20)
 
 
@@ -486,15 +486,15 @@
     set_up(context, window + 1)
     spec = {'window': window, 'counts': {'noor': 12}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
 
 
 @when('the next holder begins')
 def next_holder(context):
     context.reporter = reporter(context)
-    context.reporter.begin(None)
+    context.reporter.start(None)
     for _ in range(4):
-        context.reporter.act(2)
+        context.reporter.run(2)
         context.clock.advance(WINDOW_MS // 2)
 
 
@@ -511,10 +511,10 @@
 @given('a usage reporter whose next write is not answered')
 def not_answered(context):
     set_up(context, 10)
-    context.usage.began('noor')
+    context.usage.count_started('noor')
     context.reporter = reporter(context)
-    context.reporter.begin(None)
-    context.store.lose_next = 1
+    context.reporter.start(None)
+    context.store.lose_replies = 1
 
 
 @when('two windows are over')
@@ -522,8 +522,8 @@
     for number in range(40):
         context.clock.advance(400)
         if number == 15:
-            context.usage.began('noor')
-        context.reporter.act(1)
+            context.usage.count_started('noor')
+        context.reporter.run(1)
 
 
 @then('each window was sent once, with what was written down')
@@ -553,11 +553,11 @@
     for incarnation, count in ((1, 3), (2, 4)):
         other = usage_.Usage(context.clock.wall, WINDOW_MS)
         for _ in range(count):
-            other.began('noor')
+            other.count_started('noor')
         # Beacons repeat what they say; only the newest counts.
         for _ in range(3):
-            context.usage.hear('router-2', incarnation, other.counts())
-    context.usage.began('noor')
+            context.usage.merge_router('router-2', incarnation, other.counts())
+    context.usage.count_started('noor')
 
 
 @then("both runs' requests are in the window's total")
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -27,7 +27,7 @@
 from peridotmast import green
 from peridotmast.router import catch_up as catch_up_
 from peridotmast.router import peering as peering_
-from peridotmast.router import sharing as sharing_
+from peridotmast.router import shared_totals as shared_totals_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import crash_tracker as crash_tracker_
 from peridotmast.serving import demand as demand_
@@ -96,7 +96,7 @@
             quota=quota_.Quota(self.clock),
             demand=demand_.Demand(self.clock),
             usage=usage_.Usage(self.time.now, WINDOW_MS),
-            budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
+            retry_budget=retry_budget.RetryBudget(self.clock, 0.2, 10_000, 50),
             crashes=crash_tracker_.CrashTracker(self.clock, self.name),
             limits=upstream_limits.UpstreamLimits(self.clock, self.name),
         )
@@ -108,7 +108,7 @@
             self.clock,
             knowledge,
             self.serving,
-            sharing_.Sharing(self.serving, self.table),
+            shared_totals_.SharedTotals(self.serving, self.table),
             types.SimpleNamespace(
                 hint=lambda: None,
                 receive_hint=lambda hint: None,
@@ -129,12 +129,12 @@
         return types.SimpleNamespace(
             members=self.members,
             config=types.SimpleNamespace(routes=version, product=version),
-            table=self.table,
+            upstream_table=self.table,
             fleet_clock=self.time,
             outage=types.SimpleNamespace(is_suspected=lambda: False),
             is_watching=lambda what: False,
-            overtaken=lambda what: None,
-            doubt_store=lambda: None,
+            refresh=lambda what: None,
+            check_store=lambda: None,
         )
 
     def spent(self):
@@ -163,7 +163,7 @@
         if not starts:
             # The routers have run for long, and know the level of the limit.
             for node in self.nodes.values():
-                node.serving.quota.hear_levels({'noor': BURST})
+                node.serving.quota.adopt_levels({'noor': BURST})
 
     def add(self, count):
         added = [Node(next(self.numbers), self.clock) for _ in range(count)]
@@ -184,7 +184,7 @@
             for node in list(self.nodes.values()):
                 node.peering.tick()
                 node.serving.demand.tick()
-                for beacon, peers in list(node.peering.rounds.due()):
+                for beacon, peers in list(node.peering.rounds.next_round()):
                     self.deliver(node, beacon, peers)
             self.clock.advance(ROUND_MS)
 
@@ -198,7 +198,7 @@
             if self.is_cut(beacon):
                 continue
             self.received[receiver.name] += 1
-            receiver.peering.take(pb.Beacon.FromString(data))
+            receiver.peering.receive(pb.Beacon.FromString(data))
 
     def run_staggered(self, ms):
         """Pass time with the rounds of each router at different times.
@@ -215,7 +215,9 @@
                     late = self.draws.randrange(0, LATE_MS, STEP_MS)
                     node.next_at = passed + ROUND_MS + late
                     node.peering.tick()
-                    for beacon, peers in list(node.peering.rounds.due()):
+                    for beacon, peers in list(
+                        node.peering.rounds.next_round()
+                    ):
                         self.deliver(node, beacon, peers)
             self.clock.advance(STEP_MS)
             yield
@@ -368,11 +370,11 @@
 def add_work(context, tokens):
     for node in context.simulated.nodes.values():
         assert not node.serving.quota.take('noor', tokens)
-        node.serving.usage.began('noor')
-        node.serving.demand.offered('pool', 3000)
-        if not node.table.my_loads():
+        node.serving.usage.count_started('noor')
+        node.serving.demand.count_request('pool', 3000)
+        if not node.table.local_loads():
             view = node.table.get('u-1')
-            view.take_on(upstream_view.Load(1, 10, 100))
+            view.add_load(upstream_view.Load(1, 10, 100))
 
 
 @then("at each router {tokens:d} tokens of the team's limit are used")
@@ -400,7 +402,7 @@
 @then('each router knows the load of all {count:d} routers at "u-1"')
 def check_load(context, count):
     for node in context.simulated.nodes.values():
-        load = node.table.get('u-1').load()
+        load = node.table.get('u-1').total_load()
         assert load == upstream_view.Load(count, 10 * count, 100 * count), (
             node.name,
             load,
@@ -423,7 +425,7 @@
 
 
 def announce(fleet, node):
-    fleet.deliver(node, node.peering.news.fill(), node.members.peers())
+    fleet.deliver(node, node.peering.updates.build(), node.members.peers())
 
 
 @then(
@@ -559,7 +561,7 @@
     context.ended = node.name
     node.members.change_me(state=members_.LEAVING, ready=False)
     context.simulated.deliver(
-        node, node.peering.news.fill(), node.members.peers()
+        node, node.peering.updates.build(), node.members.peers()
     )
 
 
@@ -788,7 +790,7 @@
 def admit_at_new_router(context, count, tokens):
     quota = context.joined[0].serving.quota
     for _ in range(count):
-        assert not quota.take('noor', tokens), quota.state('noor')
+        assert not quota.take('noor', tokens), quota.describe('noor')
 
 
 @when(
@@ -932,7 +934,7 @@
     passed = 0
     for _ in range(offered // tokens):
         size = round(tokens * draws.uniform(0.4, 1.6))
-        if not draws.choice(nodes).peering.borrowing.take('noor', size):
+        if not draws.choice(nodes).peering.borrowing.acquire('noor', size):
             passed += size
         elif refused is not None:
             refused.append(size)
@@ -972,7 +974,7 @@
         while due >= 1:
             due -= 1
             node = fleet.draws.choice(nodes)
-            if node.peering.borrowing.take('noor', tokens):
+            if node.peering.borrowing.acquire('noor', tokens):
                 refused += 1
             else:
                 passed += 1
@@ -1013,7 +1015,7 @@
 def check_retries(context, most):
     sent = 0
     for node in context.joined:
-        while node.serving.budget.take('pool'):
+        while node.serving.retry_budget.take('pool'):
             sent += 1
     assert sent <= most, sent
 
@@ -1066,21 +1068,23 @@
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
-    context.gaps = report_gaps_.ReportGaps(context.clock, context.quota.worth)
+    context.gaps = report_gaps_.ReportGaps(
+        context.clock, context.quota.max_spends
+    )
     context.gaps.on_report('half', ('first', 1), 0.5)
 
 
 @given('a level of 0 with a burst of {burst:d} tokens')
 def level_empty(context, burst):
     level_full(context, burst)
-    context.quota.spent_elsewhere({'noor': burst})
+    context.quota.subtract_peer_spends({'noor': burst})
 
 
 @given('a full level with a burst of {burst:d} tokens')
 def level_full(context, burst):
     team = pb.Team(name='noor', rate=context.rate, burst=burst)
     context.quota.configure([team])
-    context.quota.hear_levels({'noor': burst})
+    context.quota.adopt_levels({'noor': burst})
 
 
 @when('{ms:d} ms later {which} head reports')
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -5,10 +5,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import fleet_steps
 import helpers
 import raw_upstream
+import store_outage_steps
 import stream_steps
 
 from peridotmast import clock as clock_
@@ -31,7 +31,7 @@
         upstream=pb.Upstream(
             name='a',
             address='10.0.0.1:1',
-            service=doubt_steps.SERVICE,
+            service=store_outage_steps.SERVICE,
             slots=4,
             failure_domain='fd-1',
             born=born,
@@ -45,7 +45,7 @@
 def upstream_of_run(context, born):
     context.upstreams = upstreams_.UpstreamTable(clock_.ManualClock())
     context.ended = []
-    context.upstreams.listen_ends(context.ended.append)
+    context.upstreams.listen_replacements(context.ended.append)
     context.upstreams.merge(make_record(born, 10))
     context.earlier = context.upstreams.get('a')
 
@@ -54,17 +54,17 @@
     load = pb.UpstreamLoad(
         upstream='a', running=3, unread=900, memory=1000, born=born
     )
-    context.upstreams.take_loads('router-2', [load])
+    context.upstreams.set_peer_loads('router-2', [load])
 
 
 @given('"a" has work of two routers, is failing and is home of some prompts')
 def has_work(context):
     view = context.earlier
-    view.take_on(upstream_view.Load(1, 100, 200))
+    view.add_load(upstream_view.Load(1, 100, 200))
     report_load(context, view.born)
     for _ in range(3):
-        view.health.failed()
-    assert not view.health.lets_through()
+        view.health.record_failure()
+    assert not view.health.allows_request()
     context.homes = homes_of(view)
 
 
@@ -90,20 +90,20 @@
 def keeps_no_state(context):
     view = context.upstreams.get('a')
     assert view is not context.earlier
-    assert view.load() == upstream_view.Load(), view.load()
-    assert view.health.lets_through() and not view.health.failing_share()
+    assert view.total_load() == upstream_view.Load(), view.total_load()
+    assert view.health.allows_request() and not view.health.failure_share()
     assert homes_of(view) != context.homes
     # Requests that end at the earlier run do not affect the later one.
-    context.earlier.hand_back(upstream_view.Load(1, 100, 200))
-    context.earlier.health.failed()
-    assert view.load() == upstream_view.Load()
-    assert not context.upstreams.my_loads()
+    context.earlier.remove_load(upstream_view.Load(1, 100, 200))
+    context.earlier.health.record_failure()
+    assert view.total_load() == upstream_view.Load()
+    assert not context.upstreams.local_loads()
 
 
 @then('the view of the earlier run has ended')
 def earlier_has_ended(context):
     assert context.ended == [context.earlier]
-    assert not context.earlier.is_there
+    assert not context.earlier.is_available
 
 
 @when('the run started at {born:d} announces later that it is leaving')
@@ -115,7 +115,7 @@
 
 @then('"a" may get new work and is the run started at {born:d}')
 def may_get_work(context, born):
-    (view,) = context.upstreams.live(doubt_steps.SERVICE)
+    (view,) = context.upstreams.live(store_outage_steps.SERVICE)
     assert view.born == born, view.born
 
 
@@ -126,12 +126,12 @@
 
 @then('"a" has no work')
 def no_work(context):
-    assert not context.upstreams.get('a').load().running
+    assert not context.upstreams.get('a').total_load().running
 
 
 @then('"a" has the reported work')
 def has_reported_work(context):
-    assert context.upstreams.get('a').load().running == 3
+    assert context.upstreams.get('a').total_load().running == 3
 
 
 @given('a peer that knows that run')
@@ -207,7 +207,10 @@
 )
 def request_and_restart_silently(context, path):
     task = green.spawn(
-        helpers.ask, fleet_steps.front(context), path, request_id='seat-1'
+        helpers.send_request,
+        fleet_steps.router_address(context),
+        path,
+        request_id='seat-1',
     )
 
     def running():
@@ -241,7 +244,7 @@
         context.fleet.begin_again(guest)
         for guest in helpers.guests(context, service)
     ]
-    table = context.fleet.routers[0].table
+    table = context.fleet.routers[0].upstream_table
     helpers.wait_until(
         lambda: all(
             table.get(guest.name).born == guest.record.upstream.born
@@ -254,7 +257,9 @@
 @then('{count:d} requests to "{path}" are answered by the later runs')
 def answered_by_later(context, count, path):
     for _ in range(count):
-        answer = helpers.ask(fleet_steps.front(context), path)
+        answer = helpers.send_request(
+            fleet_steps.router_address(context), path
+        )
         assert answer.status == 200, answer
     runs = sum(
         sum(guest.upstream.app.runs.values()) for guest in context.later
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -72,22 +72,22 @@
 
 @when("the next write's reply is lost")
 def lose_reply(context):
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
 
 
 @when('the store delays the next write')
 def delay_write(context):
-    context.store.late_next = 1
+    context.store.delay_writes = 1
 
 
 @when('the delayed write takes effect')
 def apply_delayed_write(context):
-    context.store.carry_out_late()
+    context.store.apply_delayed_writes()
 
 
 @when('the store does not answer any contender')
 def store_unavailable(context):
-    context.store.out = True
+    context.store.is_down = True
 
 
 @when(
@@ -218,9 +218,9 @@
     holders = {}
     for step in range(120):
         fault = draws.random()
-        store.out = fault < 0.1
-        store.lose_next = 1 if 0.1 <= fault < 0.2 else 0
-        store.late_next = 1 if 0.2 <= fault < 0.3 else 0
+        store.is_down = fault < 0.1
+        store.lose_replies = 1 if 0.1 <= fault < 0.2 else 0
+        store.delay_writes = 1 if 0.2 <= fault < 0.3 else 0
         name = draws.choice('abc')
         lease = leases[name]
         if draws.random() < 0.03:
@@ -230,7 +230,7 @@
         elif draws.random() < 0.7:
             lease.attempt()
         if draws.random() < 0.3:
-            store.carry_out_late()
+            store.apply_delayed_writes()
         hint = lease.hint()
         for other in leases.values():
             if hint is not None and other is not lease:
@@ -317,12 +317,12 @@
             killed[endpoint] = now
         lease = leases[endpoint]
         fault = draws.random()
-        store.out = fault < 0.1
-        store.lose_next = 1 if 0.1 <= fault < 0.2 else 0
-        store.late_next = 1 if 0.2 <= fault < 0.3 else 0
+        store.is_down = fault < 0.1
+        store.lose_replies = 1 if 0.1 <= fault < 0.2 else 0
+        store.delay_writes = 1 if 0.2 <= fault < 0.3 else 0
         draws.choice((lease.attempt, lease.attempt, lease.take_over))()
         if draws.random() < 0.3:
-            store.carry_out_late()
+            store.apply_delayed_writes()
         acting = [e for e, found in leases.items() if found.may_act()]
         assert len(acting) <= 1, (step, acting)
         for e in acting:
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -75,7 +75,7 @@
 @when('a new router gets no answer to its entry, and retries')
 def register_after_lost_reply(context):
     context.started = StartingRouter(context.store, 'new', 50)
-    context.store.lose_next = 1
+    context.store.lose_replies = 1
     assert not context.started.registry.register()
     assert context.started.registry.register()
 
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -8,10 +8,10 @@
 from behave import given
 from behave import then
 from behave import when
-import doubt_steps
 import helpers
 import prometheus_client
 import raw_upstream
+import store_outage_steps
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed
@@ -26,7 +26,7 @@
 from peridotmast.platform import names
 from peridotmast.platform import store as store_
 from peridotmast.router import catch_up as catch_up_
-from peridotmast.router import knowledge as knowledge_
+from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import peering as peering_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
@@ -219,13 +219,13 @@
         bounds=ini.defaults(pb.BoundsSettings),
     )
     checks = invariants.Invariants(prometheus_client.CollectorRegistry(), True)
-    context.knowledge = knowledge_.Knowledge(file, context.clock, checks)
+    context.fleet_state = fleet_state_.FleetState(file, context.clock, checks)
     context.errors = []
     tasks = green.Tasks(lambda *error: context.errors.append(error))
     context.closing.append(tasks.stop)
     if not watches:
-        context.knowledge.watchers.should_watch = lambda kind: False
-    context.knowledge.begin(tasks, lambda: False, lambda: None)
+        context.fleet_state.watchers.should_watch = lambda kind: False
+    context.fleet_state.start(tasks, lambda: False, lambda: None)
 
 
 @given('a router that has watched the store for {ms:d} ms')
@@ -251,7 +251,7 @@
 
 @when('a call of the router is rejected, and the store answers again')
 def reject_call(context):
-    store = context.knowledge.store
+    store = context.fleet_state.store
 
     def is_settled():
         # The router registers once; after that it has no calls to make.
@@ -260,41 +260,41 @@
         return store.calls == calls
 
     helpers.wait_until(is_settled, 'no call under way')
-    context.knowledge.outage.record_failure('429')
+    context.fleet_state.outage.record_failure('429')
 
 
 @then('the router detects the recovery by a probe')
 def detects_recovery(context):
     helpers.wait_until(
-        lambda: not context.knowledge.outage.is_out, 'an answer'
+        lambda: not context.fleet_state.outage.is_out, 'an answer'
     )
 
 
 @when('another call of the router fails and the next one is answered')
 def fail_and_answer(context):
-    context.knowledge.outage.record_failure('silent')
-    context.knowledge.outage.record_answer()
+    context.fleet_state.outage.record_failure('silent')
+    context.fleet_state.outage.record_answer()
 
 
 @when('a call of the router is answered, and then an earlier one fails')
 def answer_then_fail(context):
-    context.knowledge.outage.record_answer()
+    context.fleet_state.outage.record_answer()
     context.clock.advance(500)
-    context.knowledge.outage.record_failure('silent', 1500)
+    context.fleet_state.outage.record_failure('silent', 1500)
     context.clock.advance(500)
-    context.knowledge.outage.record_answer()
+    context.fleet_state.outage.record_answer()
 
 
 @when('a second peer reports an outage after long reports by a first one')
 def second_peer_reports(context):
-    knowledge = context.knowledge
+    fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
-        context.clock, knowledge, Peer(), lambda name, *args: None
+        context.clock, fleet_state, Peer(), lambda name, *args: None
     )
     peering = peering_.Peering(
         context.clock,
-        knowledge,
-        helpers.bare_limits(context.clock),
+        fleet_state,
+        helpers.make_limits(context.clock),
         None,
         None,
         catch_up,
@@ -303,7 +303,7 @@
     def report_outage(name, rounds):
         member = pb.Member(name=name, incarnation=1)
         for _ in range(rounds):
-            peering.take(pb.Beacon(member=member, outage_felt=True))
+            peering.receive(pb.Beacon(member=member, outage_felt=True))
             green.sleep_ms(2 * LOOPBACK_MS)
             context.clock.advance(250)
 
@@ -325,17 +325,17 @@
 
 @when('a peer reports repeatedly that the store does not answer')
 def peer_reports_outage(context):
-    serving = helpers.bare_limits(context.clock)
-    knowledge = context.knowledge
+    serving = helpers.make_limits(context.clock)
+    fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
-        context.clock, knowledge, Peer(), lambda name, *args: None
+        context.clock, fleet_state, Peer(), lambda name, *args: None
     )
     peering = peering_.Peering(
-        context.clock, knowledge, serving, None, None, catch_up
+        context.clock, fleet_state, serving, None, None, catch_up
     )
     member = pb.Member(name='r2', incarnation=1)
     for _ in range(20):
-        peering.take(pb.Beacon(member=member, outage_felt=True))
+        peering.receive(pb.Beacon(member=member, outage_felt=True))
         # Long enough for the calls of another restart, if there were one.
         green.sleep_ms(2 * LOOPBACK_MS)
         context.clock.advance(250)
@@ -350,7 +350,7 @@
 def newer_upstreams(context):
     catch_up = catch_up_.CatchUp(
         context.clock,
-        context.knowledge,
+        context.fleet_state,
         Peer(),
         lambda name, func, *args: func(*args),
     )
@@ -361,12 +361,12 @@
     catch_up.compare(beacon)
     context.clock.advance(1000)
     catch_up.compare(beacon)
-    assert context.knowledge.table.get('a') is not None
+    assert context.fleet_state.upstream_table.get('a') is not None
 
 
 @when('a peer announces a newer state of the configuration')
 def newer_configuration(context):
-    context.knowledge.overtaken('config')
+    context.fleet_state.refresh('config')
 
 
 @then('the router restarts the watch on the {what}')
@@ -426,7 +426,7 @@
 def start_halved_watch(context):
     context.clock = clock_.ManualClock()
     context.halving = HalvingStore(context)
-    context.follower = doubt_steps.Follower()
+    context.follower = store_outage_steps.Follower()
     # A long time-out, so that only a peer's newer state can end the watch.
     store = store_.PlatformStore(
         context.halving.raw.address,
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -9,11 +9,11 @@
 
 from google.protobuf import message
 
+from peridotmast import compression
 from peridotmast.coordination import beacon_check
 from peridotmast.coordination import members as members_
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _MAX_LOGGED = 200
@@ -160,7 +160,7 @@
     def _pack(self, beacon: pb.Beacon) -> bytes:
         # Compression halves a beacon of 1.8 kB, and traffic between failure
         # domains is billed. It costs 46 us a round and 15 us at each peer.
-        data = packing.pack(beacon.SerializeToString())
+        data = compression.compress(beacon.SerializeToString())
         return self._tag(data) + data
 
     def _unpack(self, data: bytes) -> ty.Optional[pb.Beacon]:
@@ -171,9 +171,9 @@
             return None
         try:
             beacon = pb.Beacon.FromString(
-                packing.unpack(body, _MAX_BEACON_BYTES)
+                compression.decompress(body, _MAX_BEACON_BYTES)
             )
-        except (packing.Unpackable, message.DecodeError) as exc:
+        except (compression.DecompressionError, message.DecodeError) as exc:
             self._log.warning('beacon_undecodable', error=str(exc))
             return None
         found = beacon_check.check(beacon)
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -235,7 +235,7 @@
         config: pb.Config,
     ) -> ConfigPart:
         self._checks.check(
-            invariants_.Promise.CONFIG_GROWS,
+            invariants_.Invariant.CONFIG_GROWS,
             version > part.version,
             f'{version} after {part.version}',
         )
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -83,7 +83,7 @@
         pb.UpstreamLoad(upstream=f'i-{number:010x}', running=3)
         for number in range(_WORKED_AT)
     ]
-    table.take_loads('edge-2', loads)
+    table.set_peer_loads('edge-2', loads)
 
 
 def _table_of(
@@ -110,8 +110,8 @@
         team='kalnins',
         priority=0,
         urgency=4,
-        entered=0,
-        ends_at=0,
+        arrived_at=0,
+        deadline=0,
         caller=ty.cast(ty.Any, None),
         prompt=exchange_.Prompt('m', 10_500, 300, parts),
     )
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -24,7 +24,7 @@
 from peridotmast import web
 from peridotmast.wire import caller_connection
 
-MAX_ID = 120
+MAX_REQUEST_ID_LENGTH = 120
 """Longest request id of a caller."""
 
 PRIORITIES = {'interactive': 0, 'standard': 1, 'draft': 2}
@@ -73,7 +73,7 @@
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
-    def routes(self, app: web.WebApp) -> None:
+    def add_routes(self, app: web.WebApp) -> None:
         """Add the handlers to `app`."""
         app.route('POST', '/v1/chat/completions', self._chat)
         app.route('POST', '/v1/services/([^/]+)/([^/]+)', self._service)
@@ -82,17 +82,21 @@
     def _chat(self, req: web.Request) -> web.Response:
         asked = self._read_chat(req)
         if isinstance(asked, failures.Failure):
-            return web.from_failure(asked)
+            return web.failure_response(asked)
         call, body = asked
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
-            return answer.whole()
+            return answer.completion()
         headers = [('X-Request-Id', call.id), ('Cache-Control', 'no-cache')]
         return web.Response(
-            200, answer.frames(), chat_answers.EVENTS, headers, answer.close
+            200,
+            answer.event_stream(),
+            chat_answers.EVENT_STREAM,
+            headers,
+            answer.close,
         )
 
     def _service(
@@ -100,16 +104,16 @@
     ) -> web.Response:
         call = self._read_service(req, service, name)
         if isinstance(call, failures.Failure):
-            return web.from_failure(call)
+            return web.failure_response(call)
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.failure_response(reply, call.id, _status(reply))
         try:
-            body = chat_answers.collect(reply)
+            body = chat_answers.read_body(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
-            return web.from_failure(body, call.id)
+            return web.failure_response(body, call.id)
         response = web.Response(reply.head.status, body, 'text/plain')
         response.headers.append(('X-Request-Id', call.id))
         return response
@@ -126,7 +130,9 @@
 
     def _read_chat(
         self, req: web.Request
-    ) -> ty.Union[tuple[gateway_.Asked, pb.ChatRequest], failures.Failure]:
+    ) -> ty.Union[
+        tuple[gateway_.IncomingRequest, pb.ChatRequest], failures.Failure
+    ]:
         body = _parse(req, pb.ChatRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -134,10 +140,10 @@
         model = next((m for m in config.models if m.name == body.model), None)
         if model is None:
             unknown = failures.invalid('unknown_model', body.model[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         if body.adapter and body.adapter not in model.adapters:
             unknown = failures.invalid('unknown_adapter', body.adapter[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         max_tokens = body.max_tokens or min(
             _DEFAULT_MAX_TOKENS, model.max_tokens
         )
@@ -145,7 +151,7 @@
             beyond = failures.invalid(
                 'max_tokens', f'must be from 1 to {model.max_tokens}'
             )
-            return self._gateway.unless_behind(beyond)
+            return self._gateway.retryable_if_stale(beyond)
         if not body.messages:
             return failures.invalid('messages', 'at least one is needed')
         route = next((r for r in config.routes if r.name == model.route), None)
@@ -168,7 +174,7 @@
 
     def _read_service(
         self, req: web.Request, service: str, name: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         body = _parse(req, pb.ServiceRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -185,7 +191,7 @@
         )
         if route is None:
             missing = failures.missing('no_route', service[:80])
-            return self._gateway.unless_behind(missing)
+            return self._gateway.retryable_if_stale(missing)
         asked = self._asked(req, body, route, name)
         if not isinstance(asked, failures.Failure):
             asked.body = body.payload.encode()
@@ -193,14 +199,16 @@
 
     def _asked(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         """Return what both kinds of request have in common."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
-            len(request_id) > MAX_ID or not _ID.fullmatch(request_id)
+            len(request_id) > MAX_REQUEST_ID_LENGTH
+            or not _ID.fullmatch(request_id)
         ):
             return failures.invalid(
-                'request_id', f'at most {MAX_ID} of A-Z a-z 0-9 . _ : -'
+                'request_id',
+                f'at most {MAX_REQUEST_ID_LENGTH} of A-Z a-z 0-9 . _ : -',
             )
         work = body.work or req.header('X-Work') or 'standard'
         if work not in PRIORITIES:
@@ -208,7 +216,7 @@
         if body.deadline_ms < 0:
             return failures.invalid('deadline_past', 'deadline_ms is negative')
         request_id = request_id or uuid.uuid4().hex
-        return gateway_.Asked(
+        return gateway_.IncomingRequest(
             id=request_id,
             method='POST',
             target=route.prefix + path,
@@ -216,8 +224,8 @@
             key=_key(req.header('Authorization')),
             headers=[('Host', route.host), ('Content-Type', web.JSON)],
             body=b'',
-            entered=self._clock.now(),
-            patience_ms=body.deadline_ms or _DEADLINES_MS[work],
+            arrived_at=self._clock.now(),
+            caller_timeout_ms=body.deadline_ms or _DEADLINES_MS[work],
             prompt=exchange_.Prompt(),
             caller=ty.cast(caller_connection.CallerConnection, req.connection),
             route=route,
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -152,7 +152,7 @@
         self._allow(caller, READ)
         reply = pb.UpstreamListReply()
         for view in sorted(self._table.all(), key=lambda view: view.name):
-            load = view.load()
+            load = view.total_load()
             reply.upstreams.add(
                 record=view.record,
                 load=pb.UpstreamLoad(
@@ -170,7 +170,7 @@
     ) -> pb.RequestShowReply:
         """Tell what all routers decided on a request."""
         self._allow(caller, READ)
-        reply = self.own_steps(req)
+        reply = self.local_steps(req)
         for other in self._members.live_peers():
             theirs = self._peers.call(
                 other.member.peer_address, 'FetchRequest', req, _CALL_MS
@@ -188,16 +188,19 @@
         plan = event_plan.plan(self._feed.config, self._clock.wall())
         return pb.PlanReply(lines=event_plan.explain(plan))
 
-    def own_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
+    def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
         """Return what this router decided on a request."""
         reply = pb.RequestShowReply()
-        for at, text in self._decisions.of(req.request_id):
+        for at, text in self._decisions.history(req.request_id):
             reply.steps.add(router=self._members.me.name, at_ms=at, text=text)
         return reply
 
     def _allow(self, caller: rpc.Caller, role: str) -> None:
-        """Raise `rpc.Denied` where the caller has not the role."""
-        if not self._tls.cert_file or self._tls.router_name in caller.others:
+        """Raise `rpc.PermissionDenied` where the caller has not the role."""
+        if (
+            not self._tls.cert_file
+            or self._tls.router_name in caller.alt_names
+        ):
             return
         operators = self._feed.config.operators
         if not operators and not self._feed.product.version:
@@ -205,7 +208,7 @@
             return
         if any(caller.name == o.name and role in o.may for o in operators):
             return
-        raise rpc.Denied(f'{caller.name or "nobody"} may not {role}')
+        raise rpc.PermissionDenied(f'{caller.name or "nobody"} may not {role}')
 
     def _node_status(self, member: pb.Member) -> pb.ConfigStatusReply.Node:
         node = pb.ConfigStatusReply.Node(name=member.name)
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -126,7 +126,7 @@
     ) -> ty.Optional[failures.Failure]:
         deadline = self._clock.now() + silence_ms
         while not stream.held and not stream.ended:
-            bound = min(stream.exchange.ends_at, deadline)
+            bound = min(stream.exchange.deadline, deadline)
             data = stream.sent.conn.read_some(bound)
             if isinstance(data, failures.Failure):
                 moved = self._go_where_moved(stream)
@@ -136,17 +136,17 @@
                 if isinstance(moved, failures.Failure):
                     return moved
                 continue
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.take(data)
-        stream.sent.place.was_read()
-        stream.sent.place.view.health.succeeded()
+        stream.sent.place.mark_prompt_read()
+        stream.sent.place.view.health.record_success()
         return None
 
     def _read_more(self, stream: Stream) -> None:
         exchange = stream.exchange
         data = stream.sent.conn.read_some(self._patient_until(stream))
         if not isinstance(data, failures.Failure):
-            stream.sent.place.view.was_heard()
+            stream.sent.place.view.note_activity()
             stream.take(data)
             return
         failure: ty.Optional[failures.Failure] = data
@@ -183,9 +183,9 @@
         """
         exchange = stream.exchange
         if not stream.may_go_on():
-            return exchange.ends_at
+            return exchange.deadline
         silence = _SILENCE_GAPS * exchange.route.target_gap_ms
-        return min(exchange.ends_at, self._clock.now() + silence)
+        return min(exchange.deadline, self._clock.now() + silence)
 
     def _go_where_moved(
         self, stream: Stream
@@ -209,7 +209,7 @@
             If it may not go on anywhere.
         """
         exchange = stream.exchange
-        over = self._clock.now() >= exchange.ends_at
+        over = self._clock.now() >= exchange.deadline
         if over or not stream.may_go_on():
             raise reply_.BrokenAnswer(failure.reason)
         if self._crashes.retry_after_ms(exchange.fingerprint):
@@ -227,7 +227,7 @@
     def _send_on(
         self,
         stream: Stream,
-        place: placement.Place,
+        place: placement.Reservation,
         point: dialect_.ResumePoint,
     ) -> ty.Union[sender_.Sent, failures.Failure]:
         exchange = stream.exchange
@@ -245,7 +245,7 @@
             result.conn.close()
             return failures.not_run(result.verdict.value)
         stream.go_on(result)
-        self._metrics.resumed.labels(stream.service.name).inc()
+        self._metrics.resumed_streams.labels(stream.service.name).inc()
         self._decisions.note(
             exchange.id,
             'stream_goes_on',
@@ -260,7 +260,7 @@
 class Moved:
     """Where a run that was moved goes on."""
 
-    place: placement.Place
+    place: placement.Reservation
     copy: str
     """Where its memory lies."""
 
