--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -12,15 +12,15 @@
   # 306 each where others had 30. Directories listed the routers of the caller's failure
   # domain and then always the same first 30 others by name.
   Scenario: All routers are listed about equally often
-    Given 195 routers in 6 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64, all of the caller's failure domain first
+    Given 195 routers in 6 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers, all of the caller's failure domain first
     And no router is named more than 1.5 times as often as the mean
 
   Scenario: A failure domain has more routers than a directory lists
-    Given 330 routers in 3 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64 of the caller's failure domain
+    Given 330 routers in 3 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers of the caller's failure domain
     And no router is named more than 1.5 times as often as the mean
 
   Scenario: A router that joins during a store outage is found through seeds
@@ -37,25 +37,25 @@
   # four calls each to enter the store again, with three for its other contents. Their
   # writes were refused because the entries, with the same content, already existed.
   Scenario: A router that restarts at its address keeps its store entry
-    Given a store that 5 routers have entered
-    When one of them starts again at its address
-    Then it knows all the others after 1 call of the store
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at its address
+    Then it knows all other routers after 1 call to the store
 
   Scenario: A router that restarts at another address updates its store entry
-    Given a store that 5 routers have entered
-    When one of them starts again at another address
-    Then it knows all the others after 3 calls of the store
-    And one that starts after it finds it at its new address
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at another address
+    Then it knows all other routers after 3 calls to the store
+    And a router that starts later finds it at its new address
 
   Scenario: A router whose first write got no reply has one store entry
-    Given a store that 5 routers have entered
-    When its entry is not answered, and it tries again
-    Then it knows all the others, who find it
+    Given a store with the entries of 5 routers
+    When a new router gets no answer to its entry, and retries
+    Then it knows all other routers, and a later one finds it
 
   Scenario: Of two routers that start concurrently at least one knows the other
-    Given a store that 0 routers have entered
-    When two start at once, each step of the one between two of the other
-    Then at least one of them knows the other
+    Given a store with the entries of 0 routers
+    When two routers start at once, with their calls interleaved
+    Then at least one of the two knows the other
 
   Scenario: An unsigned beacon is ignored
     Given a fleet of 2 routers that sign their beacons
