--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -1,4 +1,4 @@
-"""Taking over from peers what this router does not know yet."""
+"""Fetches from peers the state that this router does not have yet."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 from peridotmast import rpc
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_PATIENCE_MS = 300
-"""How long a peer may be ahead before it is asked: the own watch usually
-brings the same news in this time, without another call."""
+_WATCH_GRACE_MS = 300
+"""How long a peer may be ahead before it is called: this router's own watch of
+the store usually brings the same change in this time, without another call."""
 
 _STORE_FIRST_MS = 400
-"""Time for the store's answers before peers are asked; what a router that
-starts asks of it comes within a tenth of a second where all of it is well."""
+"""Time that a starting router waits for the store before it calls peers; a
+healthy store answers a starting router within 0.1 s."""
 
-_CALL_MS = 800
+_CALL_TIMEOUT_MS = 800
 """Bound on one call of a peer."""
 
 
-_MEMBERS_BYTES = 1 << 20
-"""Most that the members of a fleet may unpack to: 10,000 of them."""
+_MAX_MEMBERS_BYTES = 1 << 20
+"""Largest size that a packed list of members may unpack to: 10,000 members."""
 
 
 class CatchUp:
-    """Asks peers that are ahead, and those that a starting router knows.
+    """Fetches missing state from peers that are ahead, or from seed routers.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times how long a peer has been ahead.
+        Measures how long a peer has been ahead.
     fleet_state : fleet_state.FleetState
-        What is known from the store, and of the members.
+        State from the store, and the members.
     peers : rpc.RpcClient
-        Calls of peers.
+        Calls peers.
     spawn : callable
-        Runs a call in a task of its own.
+        Runs a call in its own task.
     """
 
     def __init__(
@@ -73,19 +73,19 @@
             fleet_state.members.me,
             spawn,
         )
-        """Gets the configuration from peers."""
-        self._behind: dict[str, tuple[ty.Any, int]] = {}
-        self._asking: set[str] = set()
+        """Fetches the configuration from peers."""
+        self._behind_since: dict[str, tuple[ty.Any, int]] = {}
+        self._fetching: set[str] = set()
         self._log = logs.get('catch_up', router=fleet_state.members.me.name)
 
     def compare(self, beacon: pb.Beacon) -> None:
-        """Ask a peer that is ahead of this router, by its beacon."""
+        """Schedule a call to the sender of `beacon` if it is ahead."""
         address = beacon.member.peer_address
         self.config_fetcher.record_versions(
             address, beacon.config_version, beacon.document_version
         )
         self.tick()
-        self._note(
+        self._schedule_fetch(
             'upstreams',
             self._table.revision,
             beacon.upstreams_revision > self._table.revision,
@@ -93,10 +93,10 @@
         )
 
     def merge_upstreams(self, beacon: pb.Beacon) -> None:
-        """Take in the statements on upstreams that came with news.
+        """Merge the upstream records in an update beacon.
 
-        Where earlier ones are missing here, a peer is asked for all as if
-        these had not come.
+        If this router lacks earlier records, its revision stays as it was, so
+        that it fetches all of them from a peer.
         """
         if not beacon.upstreams:
             return
@@ -108,11 +108,11 @@
             self._table.revision = known
 
     def tick(self) -> None:
-        """Ask for a configuration that was heard of and did not come.
+        """Schedule a fetch of a configuration that was reported but not seen.
 
-        Called now and then as well: the word of it may have come but once.
+        Called periodically as well, since the report may be sent only once.
         """
-        self._note(
+        self._schedule_fetch(
             'config',
             (self._config.routes.version, self._config.own.version),
             self.config_fetcher.is_behind(),
@@ -120,53 +120,56 @@
         )
 
     def join(self, seeds: ty.Iterable[str]) -> None:
-        """Learn of the others from those whose addresses are known.
+        """Learn the members and the state from the seed addresses.
 
-        Used where the store does not answer while this router starts: what
-        it tells is newer, and it is not asked by all routers of a fleet that
-        starts as a whole over the links of three.
+        Skipped if the store has answered: its state is newer, and reading it
+        does not put a whole starting fleet on the links of three seeds.
         """
         green.sleep_ms(_STORE_FIRST_MS)
         if self._fleet_state.is_synced_with_store:
             return
-        order = list(seeds)
-        # Those who start together are told the same ones: asked by all at
-        # once, a seed on a thin link answers none of them in time.
-        random.Random(self._members.me.name).shuffle(order)
-        for address in order:
+        addresses = list(seeds)
+        # All routers of a starting fleet have the same seeds. If all called
+        # the same one first, a seed on a slow link would answer none in time.
+        random.Random(self._members.me.name).shuffle(addresses)
+        for address in addresses:
             if address == self._members.me.peer_address:
                 continue
-            if self._join_at(address):
+            if self._join_via(address):
                 self.fetch_config(address)
                 self.fetch_upstreams(address)
 
     def fetch_config(self, address: str) -> bool:
-        """Take a peer's configuration, if it is newer; say whether it was."""
+        """Fetch a peer's configuration; return whether it was newer."""
         return (
             self.config_fetcher.fetch_from(address)
             is config_fetcher.FetchResult.UPDATED
         )
 
     def fetch_upstreams(self, address: str) -> bool:
-        """Take in what a peer knows of upstreams; say whether it was news."""
+        """Fetch a peer's upstream records; return whether any was newer."""
         request = pb.UpstreamsRequest(since=self._table.revision)
-        reply = self._calls.call(address, 'FetchUpstreams', request, _CALL_MS)
+        reply = self._calls.call(
+            address, 'FetchUpstreams', request, _CALL_TIMEOUT_MS
+        )
         if isinstance(reply, failures.Failure):
             return False
         return self._merge(reply.upstreams, reply.revision, address)
 
-    def _join_at(self, address: str) -> bool:
-        """Learn of the members that one peer knows; say whether it did."""
+    def _join_via(self, address: str) -> bool:
+        """Learn the members that a peer knows; return whether it answered."""
         request = pb.JoinRequest(member=self._members.me, takes_packed=True)
-        reply = self._calls.call(address, 'Join', request, _CALL_MS)
+        reply = self._calls.call(address, 'Join', request, _CALL_TIMEOUT_MS)
         if isinstance(reply, failures.Failure):
             return False
         try:
             if reply.packed:
-                text = packing.unpack(reply.packed, _MEMBERS_BYTES)
+                text = packing.unpack(reply.packed, _MAX_MEMBERS_BYTES)
                 reply = pb.JoinReply.FromString(text)
         except (packing.Unpackable, message.DecodeError) as exc:
-            self._log.error('peer_garbled', peer=address, error=str(exc)[:200])
+            self._log.error(
+                'peer_reply_malformed', peer=address, error=str(exc)[:200]
+            )
             return False
         for member in reply.members:
             self._members.learn(member)
@@ -178,16 +181,16 @@
         revision: int,
         peer: str,
     ) -> bool:
-        """Take in what a peer says of upstreams; return whether it is news.
+        """Merge a peer's upstream records; return whether any was newer.
 
         Parameters
         ----------
         revision : int
-            Up to which the peer knows all.
+            Revision up to which the peer knows all records.
         """
-        news = [record for record in records if self._table.merge(record)]
+        newer = [record for record in records if self._table.merge(record)]
         self._table.revision = max(self._table.revision, revision)
-        for record in news:
+        for record in newer:
             self._log.info(
                 'upstream_from_peer',
                 peer=peer,
@@ -195,38 +198,41 @@
                 state=pb.UpstreamState.Name(record.state),
                 revision=record.revision,
             )
-        return bool(news)
+        return bool(newer)
 
-    def _note(
+    def _schedule_fetch(
         self,
-        what: str,
+        subject: str,
         own: ty.Any,
         ahead: bool,
-        ask: ty.Callable[[], bool],
+        fetch: ty.Callable[[], bool],
     ) -> None:
-        """Ask those that are ahead, once the own watch had its time.
+        """Schedule a fetch once the local watch has had time to deliver.
 
         Parameters
         ----------
         own : int or tuple
-            What this router has got: while it stays so, time counts.
+            Version known here; the time that a peer is ahead restarts when it
+            changes.
         """
         if not ahead:
             return
         now = self._clock.now()
-        known, since = self._behind.get(what, (None, now))
+        known, since = self._behind_since.get(subject, (None, now))
         if known != own:
             since = now
-        self._behind[what] = own, since
-        patience = _PATIENCE_MS if self._fleet_state.is_watching(what) else 0
-        if now - since < patience or what in self._asking:
+        self._behind_since[subject] = own, since
+        grace_ms = (
+            _WATCH_GRACE_MS if self._fleet_state.is_watching(subject) else 0
+        )
+        if now - since < grace_ms or subject in self._fetching:
             return
-        self._asking.add(what)
-        self._spawn(f'ask_{what}', self._ask, what, ask)
+        self._fetching.add(subject)
+        self._spawn(f'ask_{subject}', self._run_fetch, subject, fetch)
 
-    def _ask(self, what: str, ask: ty.Callable[[], bool]) -> None:
+    def _run_fetch(self, subject: str, fetch: ty.Callable[[], bool]) -> None:
         try:
-            if ask():
-                self._fleet_state.refresh(what)
+            if fetch():
+                self._fleet_state.refresh(subject)
         finally:
-            self._asking.discard(what)
+            self._fetching.discard(subject)
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -1,4 +1,4 @@
-"""Copies of the configuration for peers: packed, and few at a time."""
+"""Serves copies of the configuration to peers, packed and rate-limited."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _RATE = 250
-"""Bytes a millisecond that are given away in the long run: less than half of
-the thinnest link, 625 bytes a millisecond, which callers need as well."""
+"""Average rate at which copies are sent, in bytes a millisecond: less than
+half of the slowest link (625 bytes a millisecond), which also carries answers
+to callers."""
 
 _BURST_BYTES = 128_000
-"""Bytes that may be given at once, a fifth of a second of that link: four
-copies of 1,600 routes, any number of small ones."""
+"""Bytes that may be sent in a burst, a fifth of a second of the slowest link:
+four copies of 1,600 routes, or any number of small ones."""
 
-_HOLDERS = 8
-"""Peers that were given a copy lately and are named to others. Those who ask
-next go on to them, so that the number of givers grows with each copy."""
+_MAX_HOLDERS = 8
+"""Peers that recently received a copy and are named to the others. Deferred
+peers turn to them, so that the number of sources grows with each copy."""
 
 
 class ConfigCopies:
-    """Gives peers what they lack of the configuration in force.
+    """Serves the parts of the configuration that a peer lacks.
 
-    A link that carries many copies at once carries none of them in time,
-    and callers' answers wait behind them: eleven copies of 0.33 MB kept a
-    router on 5 Mbit/s from answering for six seconds. So one router gives
-    few at a time and names those who have it by now to the others.
+    A link that carries many copies at once delivers none of them in time and
+    delays answers to callers: eleven copies of 0.33 MB kept a router on
+    5 Mbit/s from answering for six seconds. A router therefore sends few
+    copies at a time and names the peers that already hold one.
 
     Parameters
     ----------
     config : config_feed.ConfigFeed
         The configuration in force.
     clock : clock.Clock
-        Times what is given.
+        Times the copies.
     router : str
         Name of this router, for the log.
     """
@@ -53,15 +54,15 @@
         self._clock = clock
         self._packed: dict[str, tuple[int, bytes]] = {}
         self._holders: collections.deque[str] = collections.deque(
-            maxlen=_HOLDERS
+            maxlen=_MAX_HOLDERS
         )
-        self._held = 0, 0
-        self._left: float = _BURST_BYTES
-        self._at = clock.now()
+        self._held_versions = 0, 0
+        self._budget: float = _BURST_BYTES
+        self._refilled_at = clock.now()
         self._log = logs.get('config_copies', router=router)
 
-    def fetch(self, req: pb.ConfigRequest) -> pb.ConfigReply:
-        """Return what is newer than the caller's, or who else has it."""
+    def reply_to(self, req: pb.ConfigRequest) -> pb.ConfigReply:
+        """Return the newer parts, or a delay and peers that hold a copy."""
         routes, own = self._config.routes, self._config.own
         reply = pb.ConfigReply(
             config_version=routes.version, document_version=own.version
@@ -72,17 +73,17 @@
         )
         if not any(lacks):
             return reply
-        if self._held != (routes.version, own.version):
-            # Who was given the one before does not have this one.
-            self._held = routes.version, own.version
+        if self._held_versions != (routes.version, own.version):
+            # Holders of the previous version do not have this one.
+            self._held_versions = routes.version, own.version
             self._holders.clear()
         wait_ms = self._wait_ms()
         if wait_ms:
             reply.retry_after_ms = wait_ms
-            reply.holders.extend(self._others(req.peer_address))
+            reply.holders.extend(self._holders_except(req.peer_address))
         else:
             self._fill(reply, req.takes_packed, *lacks)
-            self._left -= reply.ByteSize()
+            self._budget -= reply.ByteSize()
             if req.peer_address:
                 self._holders.append(req.peer_address)
         self._log.info(
@@ -95,8 +96,8 @@
         )
         return reply
 
-    def _others(self, address: str) -> list[str]:
-        """Return who was given a copy lately, but for one."""
+    def _holders_except(self, address: str) -> list[str]:
+        """Return the recent holders except `address`."""
         return [h for h in dict.fromkeys(self._holders) if h != address]
 
     def _fill(
@@ -110,31 +111,31 @@
         if lacks_routes and packed:
             reply.packed_config = self._pack('routes', routes)
         elif lacks_routes:
-            reply.config = _text(routes)
+            reply.config = _serialized(routes)
         if lacks_own and packed:
             reply.packed_document = self._pack('own', own)
         elif lacks_own:
-            reply.document = _text(own)
+            reply.document = _serialized(own)
 
-    def _pack(self, what: str, part: config_feed_.Part) -> bytes:
-        """Return a part's text, packed once a version."""
-        version, data = self._packed.get(what, (0, b''))
+    def _pack(self, name: str, part: config_feed_.Part) -> bytes:
+        """Return the packed text of a part, packed once per version."""
+        version, data = self._packed.get(name, (0, b''))
         if version != part.version:
             # 1,649 routes with random names, 421 kB, become 35 kB in 2 ms.
-            data = packing.pack(_text(part))
-            self._packed[what] = part.version, data
+            data = packing.pack(_serialized(part))
+            self._packed[name] = part.version, data
         return data
 
     def _wait_ms(self) -> int:
-        """Return when another copy may be given, in ms; 0 for now."""
+        """Return the time until another copy may be sent, in ms; 0 if now."""
         now = self._clock.now()
-        gained = (now - self._at) * _RATE
-        self._left = min(_BURST_BYTES, self._left + gained)
-        self._at = now
-        return 0 if self._left > 0 else 1 + int(-self._left / _RATE)
+        refilled = (now - self._refilled_at) * _RATE
+        self._budget = min(_BURST_BYTES, self._budget + refilled)
+        self._refilled_at = now
+        return 0 if self._budget > 0 else 1 + int(-self._budget / _RATE)
 
 
-def _text(part: config_feed_.Part) -> bytes:
+def _serialized(part: config_feed_.Part) -> bytes:
     document: dict[str, ty.Any] = part.document
     if not document:
         return b''
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -1,4 +1,4 @@
-"""Getting from peers a configuration that they have and this router not."""
+"""Fetches from peers a configuration that is newer than the local one."""
 
 from __future__ import annotations
 
@@ -18,127 +18,134 @@
 from peridotmast.router import peer_calls
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_CALL_MS = 1500
-"""Bound on one call: a copy of 35 kB takes 0.06 s of the thinnest link by
-itself, 0.2 s beside three others, and waits there behind callers' answers."""
+_CALL_TIMEOUT_MS = 1500
+"""Bound on one call. A copy of 35 kB takes 0.06 s on the slowest link, 0.2 s
+beside three others, and may queue there behind answers to callers."""
 
-_SLOW_MS = 500
-"""Time after which a second peer is asked beside a first that does not answer:
-it may be gone, and a change must be in force in two seconds."""
+_HEDGE_DELAY_MS = 500
+"""Time after which a second peer is called while the first has not answered:
+the first may be down, and a change must be in force within two seconds."""
 
-_AT_ONCE = 2
-"""Peers that are asked at once; more would use up what peers may give."""
+_MAX_CONCURRENT_CALLS = 2
+"""Peers that are called at the same time; more would exhaust the rate at which
+peers may send copies."""
 
-_HEARD_MS = 10_000
-"""How long a peer is asked after its last word: longer than the silence after
-which a router counts as gone."""
+_PEER_EXPIRY_MS = 10_000
+"""How long a peer is called after its last message: longer than the silence
+after which a router counts as gone."""
 
-_AFTER_FAILURE_MS = 1000
-"""How long a peer that did not answer, or not in order, is left alone: two
-others have had their time by then."""
+_FAILURE_BACKOFF_MS = 1000
+"""How long a peer is not called after a call failed or its reply was
+malformed: enough time to try two other peers."""
 
-_AFTER_NOTHING_MS = 150
-"""How long one is left alone that does not have it yet: it was named while
-its own copy was on the way."""
+_UNCHANGED_BACKOFF_MS = 150
+"""How long a peer is not called after it had nothing newer: another router
+named it as a holder while its own copy was still in transit."""
 
-_MOST_PUT_OFF_MS = 2000
-"""Longest pause that a peer may ask for."""
+_MAX_RETRY_AFTER_MS = 2000
+"""Longest delay that a peer may ask for."""
 
-_PAUSE_MS = 60
-"""Mean pause before another peer is asked; each call costs 0.4 ms of processor
-time at both ends."""
+_POLL_INTERVAL_MS = 60
+"""Mean delay before another peer is called; each call costs 0.4 ms of
+processor time at both ends."""
 
-_IDLE_PAUSE_MS = 250
-"""The same where nobody is left to be asked."""
+_IDLE_POLL_INTERVAL_MS = 250
+"""Mean delay while no peer is left to call."""
 
-_STORE_MS = 1000
-"""Time without success after which the store itself is asked, and again and
-again; by chance up to twice that, since the whole text takes 0.5 s of the
-thinnest link and should not come to all at one moment."""
+_STORE_DELAY_MS = 1000
+"""Time without success after which the store itself is read, and between
+further reads. The actual delay is drawn between one and two times this value,
+because the whole text takes 0.5 s on the slowest link and routers must not all
+read it at the same moment."""
 
-_USELESS_MS = 10_000
-"""How long a version that this router can't read is not asked for: each time
-costs a copy. As long is nothing believed of a peer that the store gave the
-lie to."""
+_IGNORE_MS = 10_000
+"""How long a version that this router cannot parse is not fetched again, since
+each attempt costs a copy. A peer whose claim the store contradicted is ignored
+for the same time."""
 
-_TEXT_BYTES = 16 << 20
-"""Most that a packed text may unpack to; the store takes values of 1 MB."""
+_MAX_UNPACKED_BYTES = 16 << 20
+"""Largest size that a packed text may unpack to; the store accepts values of
+1 MB."""
 
 
 class FetchResult(enum.Enum):
-    """What came of asking a peer."""
+    """Result of fetching the configuration from a peer."""
 
     UPDATED = 'news'
-    """Something newer is in force now."""
+    """A newer configuration was put into force."""
     UNCHANGED = 'nothing'
-    """It has nothing newer, or gives it to others first."""
+    """The peer has nothing newer, or its rate limit deferred the copy."""
     FAILED = 'failed'
-    """It did not answer, or with what is no configuration."""
+    """The call failed, or the reply holds no valid configuration."""
 
 
 class _Versions(ty.NamedTuple):
-    """Versions of both parts of a configuration."""
+    """Versions of the two parts of a configuration.
+
+    `routes` is the version of the platform's object, `own` the version of the
+    product's own document.
+    """
 
     routes: int = 0
     own: int = 0
 
-    def is_over(self, other: _Versions) -> bool:
-        """Return whether either part is newer than the other's."""
+    def is_ahead_of(self, other: _Versions) -> bool:
+        """Return whether either part is newer than in `other`."""
         return self.routes > other.routes or self.own > other.own
 
-    def joined(self, other: _Versions) -> _Versions:
+    def merged(self, other: _Versions) -> _Versions:
         """Return the newer version of each part."""
         return _Versions(
             max(self.routes, other.routes), max(self.own, other.own)
         )
 
 
-_NONE = _Versions()
+_NO_VERSIONS = _Versions()
 
 
 @dataclasses.dataclass
-class _Peer:
-    """A peer that said, or was said, to have something newer."""
+class _KnownPeer:
+    """A peer that has a newer version, by its own or by others' messages."""
 
-    has: _Versions
+    versions: _Versions
     heard_at: int
-    """Moment of the newest word of it, in ms."""
+    """Time of the latest message about its versions, in ms."""
     not_before: int = 0
-    """Moment until which it is left alone, in ms."""
+    """Time before which the peer is not called, in ms."""
 
 
 @dataclasses.dataclass
 class _Unreadable:
-    """Versions that this router can't read."""
+    """Versions that this router cannot parse."""
 
-    versions: _Versions = _NONE
+    versions: _Versions = _NO_VERSIONS
     until: int = 0
-    """Moment until which they are not asked for, in ms."""
+    """Time until which these versions are not fetched, in ms."""
 
-    def at(self, now: int) -> _Versions:
-        """Return them as they hold at a moment."""
-        return self.versions if now < self.until else _NONE
+    def versions_at(self, now: int) -> _Versions:
+        """Return the versions not to be fetched at the time `now`."""
+        return self.versions if now < self.until else _NO_VERSIONS
 
 
 class ConfigFetcher:
-    """Asks those that are ahead until nobody is.
+    """Fetches the configuration from peers until none has a newer version.
 
-    That something newer is in force elsewhere is believed until it is in
-    force here, or until the store says that there is nothing newer: a peer
-    that told of it may be gone, and another may be wrong.
+    A reported newer version counts as in force elsewhere until it is in force
+    here, or until the store shows that there is nothing newer: the peer that
+    reported it may be down by then, and a peer may report a wrong version.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times what was heard, and the calls.
+        Times messages and calls.
     config : config_feed.ConfigFeed
         The configuration in force here.
     peers : peer_calls.PeerCalls
-        Calls of peers.
+        Calls peers.
     me : pb.Member
         This router.
     spawn : callable
-        Runs a call in a task of its own.
+        Runs a call in its own task.
     """
 
     def __init__(
@@ -154,102 +161,109 @@
         self._peers = peers
         self._me = me
         self._spawn = spawn
-        self._choice = random.Random(me.name)
-        self._known: dict[str, _Peer] = {}
-        self._newest = _NONE
-        self._denied: dict[str, int] = {}
+        self._random = random.Random(me.name)
+        self._peers_ahead: dict[str, _KnownPeer] = {}
+        self._newest_reported = _NO_VERSIONS
+        self._ignored_until: dict[str, int] = {}
         self._unreadable = _Unreadable()
-        self._calls: dict[str, int] = {}
-        self._asks_store = False
+        self._calls_started_at: dict[str, int] = {}
+        self._is_reading_store = False
         self._log = logs.get('config_asking', router=me.name)
 
     def record_versions(
         self, address: str, version: int, document: int
     ) -> None:
-        """Take in which versions a peer has."""
+        """Record the versions that a peer has."""
         now = self._clock.now()
-        has = _Versions(version, document)
-        if now < self._denied.get(address, 0):
+        versions = _Versions(version, document)
+        if now < self._ignored_until.get(address, 0):
             return
-        if not has.is_over(self._in_force()):
+        if not versions.is_ahead_of(self._versions_in_force()):
             return
-        self._newest = self._newest.joined(has)
-        peer = self._known.setdefault(address, _Peer(has, now))
-        peer.has = peer.has.joined(has)
+        self._newest_reported = self._newest_reported.merged(versions)
+        peer = self._peers_ahead.setdefault(address, _KnownPeer(versions, now))
+        peer.versions = peer.versions.merged(versions)
         peer.heard_at = now
 
     def is_behind(self) -> bool:
-        """Return whether something newer is believed to be in force."""
-        return self._newest.is_over(self._in_force())
+        """Return whether a newer version is believed to be in force."""
+        return self._newest_reported.is_ahead_of(self._versions_in_force())
 
     def fetch_until_current(self) -> bool:
-        """Ask until nobody is ahead; return whether there was any news."""
-        before = self._in_force()
-        store_at = self._next_store()
-        while self._newest.is_over(self._floor()):
-            address = self._choose()
+        """Fetch until no peer is ahead; return whether anything was newer."""
+        before = self._versions_in_force()
+        read_at = self._next_store_read_at()
+        while self._newest_reported.is_ahead_of(self._versions_to_skip()):
+            address = self._choose_peer()
             if address:
                 self._spawn('ask_peer', self.fetch_from, address)
-            if self._clock.now() >= store_at and not self._asks_store:
-                self._spawn('ask_store', self._ask_store)
-                store_at = self._next_store()
-            pause = _PAUSE_MS if self._known else _IDLE_PAUSE_MS
-            # Those who are put off at the same moment don't come again so.
-            green.sleep_ms(pause * self._choice.uniform(0.5, 1.5))
-        return self._in_force().is_over(before)
+            if self._clock.now() >= read_at and not self._is_reading_store:
+                self._spawn('ask_store', self._fetch_from_store)
+                read_at = self._next_store_read_at()
+            pause = (
+                _POLL_INTERVAL_MS
+                if self._peers_ahead
+                else _IDLE_POLL_INTERVAL_MS
+            )
+            # Random delays spread out callers that were deferred together.
+            green.sleep_ms(pause * self._random.uniform(0.5, 1.5))
+        return self._versions_in_force().is_ahead_of(before)
 
     def fetch_from(self, address: str) -> FetchResult:
-        """Take over what one peer has that is newer."""
+        """Fetch the parts that are newer at one peer and put them in force."""
         reply = self._call(address)
         if isinstance(reply, failures.Failure):
-            self._leave_alone(address, _AFTER_FAILURE_MS)
+            self._back_off(address, _FAILURE_BACKOFF_MS)
             return FetchResult.FAILED
         for holder in filter(addresses.is_usable, reply.holders):
             self.record_versions(
                 holder, reply.config_version, reply.document_version
             )
-        put_off = min(_MOST_PUT_OFF_MS, reply.retry_after_ms)
-        self._leave_alone(address, put_off or _AFTER_NOTHING_MS)
-        answer = self._take(reply, address)
-        if answer is FetchResult.FAILED:
-            self._leave_alone(address, _AFTER_FAILURE_MS)
-        return answer
-
-    def _in_force(self) -> _Versions:
+        retry_after = min(_MAX_RETRY_AFTER_MS, reply.retry_after_ms)
+        self._back_off(address, retry_after or _UNCHANGED_BACKOFF_MS)
+        result = self._apply_reply(reply, address)
+        if result is FetchResult.FAILED:
+            self._back_off(address, _FAILURE_BACKOFF_MS)
+        return result
+
+    def _versions_in_force(self) -> _Versions:
         return _Versions(self._config.routes.version, self._config.own.version)
 
-    def _floor(self) -> _Versions:
-        """Return the versions up to which nothing is asked for."""
-        unreadable = self._unreadable.at(self._clock.now())
-        return self._in_force().joined(unreadable)
+    def _versions_to_skip(self) -> _Versions:
+        """Return the versions up to which nothing is fetched."""
+        unreadable = self._unreadable.versions_at(self._clock.now())
+        return self._versions_in_force().merged(unreadable)
 
-    def _next_store(self) -> int:
-        wait_ms = _STORE_MS * self._choice.uniform(1, 2)
+    def _next_store_read_at(self) -> int:
+        wait_ms = _STORE_DELAY_MS * self._random.uniform(1, 2)
         return self._clock.now() + int(wait_ms)
 
-    def _leave_alone(self, address: str, ms: int) -> None:
-        peer = self._known.get(address)
+    def _back_off(self, address: str, ms: int) -> None:
+        peer = self._peers_ahead.get(address)
         if peer is not None:
             peer.not_before = self._clock.now() + ms
 
-    def _choose(self) -> str:
-        """Return whom to ask now; empty where it is time for nobody."""
+    def _choose_peer(self) -> str:
+        """Return the peer to call now; empty if none is due."""
         now = self._clock.now()
-        began = self._calls.values()
-        if len(began) >= _AT_ONCE or any(at > now - _SLOW_MS for at in began):
+        started = self._calls_started_at.values()
+        if len(started) >= _MAX_CONCURRENT_CALLS or any(
+            at > now - _HEDGE_DELAY_MS for at in started
+        ):
             return ''
-        floor = self._floor()
-        self._known = {
+        to_skip = self._versions_to_skip()
+        self._peers_ahead = {
             address: peer
-            for address, peer in self._known.items()
-            if peer.heard_at > now - _HEARD_MS and peer.has.is_over(floor)
+            for address, peer in self._peers_ahead.items()
+            if peer.heard_at > now - _PEER_EXPIRY_MS
+            and peer.versions.is_ahead_of(to_skip)
         }
-        free = [
+        due = [
             address
-            for address, peer in self._known.items()
-            if peer.not_before <= now and address not in self._calls
+            for address, peer in self._peers_ahead.items()
+            if peer.not_before <= now and address not in self._calls_started_at
         ]
-        return self._choice.choice(free) if free else ''
+        return self._random.choice(due) if due else ''
 
     def _call(self, address: str) -> ty.Any:
         request = pb.ConfigRequest(
@@ -258,96 +272,109 @@
             takes_packed=True,
             peer_address=self._me.peer_address,
         )
-        self._calls[address] = self._clock.now()
+        self._calls_started_at[address] = self._clock.now()
         try:
-            return self._peers.call(address, 'FetchConfig', request, _CALL_MS)
+            return self._peers.call(
+                address, 'FetchConfig', request, _CALL_TIMEOUT_MS
+            )
         finally:
-            self._calls.pop(address, None)
+            self._calls_started_at.pop(address, None)
 
-    def _take(self, reply: pb.ConfigReply, address: str) -> FetchResult:
-        """Put into force what a peer gave."""
+    def _apply_reply(self, reply: pb.ConfigReply, address: str) -> FetchResult:
+        """Put the configuration in a peer's reply into force."""
         source = f'peer {address}'
-        news = False
+        is_updated = False
         try:
-            routes = _text(reply.packed_config, reply.config)
+            routes = _unpacked_text(reply.packed_config, reply.config)
             if routes:
-                news = self._config.offer_routes(json.loads(routes), source)
-            own = _text(reply.packed_document, reply.document)
+                is_updated = self._config.offer_routes(
+                    json.loads(routes), source
+                )
+            own = _unpacked_text(reply.packed_document, reply.document)
             if own:
-                news |= self._config.offer_own(
+                is_updated |= self._config.offer_own(
                     reply.document_version, json.loads(own), source
                 )
         except (ValueError, RecursionError) as exc:
-            self._log.error('peer_garbled', peer=address, error=str(exc)[:200])
+            self._log.error(
+                'peer_reply_malformed', peer=address, error=str(exc)[:200]
+            )
             return FetchResult.FAILED
-        if not news and (routes or own):
-            self._give_up(
+        if not is_updated and (routes or own):
+            self._skip_unreadable(
                 _Versions(reply.config_version, reply.document_version)
             )
-        return FetchResult.UPDATED if news else FetchResult.UNCHANGED
+        return FetchResult.UPDATED if is_updated else FetchResult.UNCHANGED
 
-    def _give_up(self, found: _Versions) -> None:
-        """Ask no more for a while for a version that can't be read here."""
-        if not found.is_over(self._in_force()):
+    def _skip_unreadable(self, found: _Versions) -> None:
+        """Stop fetching for a while a version that cannot be parsed here."""
+        if not found.is_ahead_of(self._versions_in_force()):
             return
-        until = self._clock.now() + _USELESS_MS
+        until = self._clock.now() + _IGNORE_MS
         self._unreadable = _Unreadable(found, until)
         self._log.warning(
-            'config_useless', version=found.routes, document=found.own
+            'config_unparseable', version=found.routes, document=found.own
         )
 
-    def _ask_store(self) -> None:
-        """Read from the store what is lacking; believe it before peers."""
-        known, claimed = self._in_force(), self._newest
+    def _fetch_from_store(self) -> None:
+        """Read the outdated part from the store, which overrides peers."""
+        known, claimed = self._versions_in_force(), self._newest_reported
         part = 'routes' if claimed.routes > known.routes else 'own'
-        # Those whose word is older than the reading.
-        said = {a: peer.has for a, peer in self._known.items()}
-        self._asks_store = True
+        # Only claims that were made before the store was read.
+        claims = {a: peer.versions for a, peer in self._peers_ahead.items()}
+        self._is_reading_store = True
         try:
             stored = self._config.refresh(part == 'routes')
         finally:
-            self._asks_store = False
+            self._is_reading_store = False
         outcome = 'answered'
         if isinstance(stored, failures.Failure):
             outcome = stored.reason
         else:
-            # By what the store has, which need not be readable here.
-            self._give_up(_NONE._replace(**{part: stored}))
+            # Uses the version in the store even if it cannot be parsed here.
+            self._skip_unreadable(_NO_VERSIONS._replace(**{part: stored}))
             found = claimed._replace(**{part: stored})
-            wrong = [a for a, has in said.items() if has.is_over(found)]
-            self._deny(wrong, claimed, found)
+            contradicted = [
+                a
+                for a, versions in claims.items()
+                if versions.is_ahead_of(found)
+            ]
+            self._ignore_peers(contradicted, claimed, found)
         self._log.info(
             'config_from_store',
             known=known.routes,
             claimed=claimed.routes,
-            version=self._in_force().routes,
+            version=self._versions_in_force().routes,
             outcome=outcome,
         )
 
-    def _deny(
-        self, wrong: list[str], claimed: _Versions, found: _Versions
+    def _ignore_peers(
+        self, contradicted: list[str], claimed: _Versions, found: _Versions
     ) -> None:
-        """Believe none of those for a while who said what the store denies.
+        """Ignore for a while the peers whose claims the store contradicted.
 
-        Not by the version: one that comes later may be below what was said.
+        The peers are ignored and not the version: a real later version may be
+        lower than the claimed one.
         """
         now = self._clock.now()
-        self._denied = {a: t for a, t in self._denied.items() if t > now}
-        for address in wrong:
-            self._known.pop(address, None)
-            self._denied[address] = now + _USELESS_MS
-        for peer in self._known.values():
-            found = found.joined(peer.has)
-        if self._newest == claimed:
-            self._newest = found
+        self._ignored_until = {
+            a: t for a, t in self._ignored_until.items() if t > now
+        }
+        for address in contradicted:
+            self._peers_ahead.pop(address, None)
+            self._ignored_until[address] = now + _IGNORE_MS
+        for peer in self._peers_ahead.values():
+            found = found.merged(peer.versions)
+        if self._newest_reported == claimed:
+            self._newest_reported = found
 
 
-def _text(packed: bytes, plain: bytes) -> bytes:
-    """Return a text that came packed or plain; empty where none came.
+def _unpacked_text(packed: bytes, plain: bytes) -> bytes:
+    """Return the text from a packed or a plain field; empty if both are empty.
 
     Raises
     ------
     packing.Unpackable
-        If it is not packed as it should be, or unpacks to too much.
+        If the packed text is invalid or its unpacked size exceeds the limit.
     """
-    return packing.unpack(packed, _TEXT_BYTES) if packed else plain
+    return packing.unpack(packed, _MAX_UNPACKED_BYTES) if packed else plain
--- a/src/peridotmast/router/peer_calls.py
+++ b/src/peridotmast/router/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls of peers, each with a line of log."""
+"""Calls to peers that are logged with their duration and outcome."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class PeerCalls:
-    """Calls peers, and notes how long it took and what came of it.
+    """Calls peers and logs the duration and the outcome of each call.
 
     Parameters
     ----------
     clock : clock.Clock
         Times the calls.
     peers : rpc.RpcClient
-        Carries them.
+        Sends the calls.
     router : str
         Name of this router, for the log.
     """
@@ -33,12 +33,12 @@
     def call(
         self, address: str, method: str, request: ty.Any, timeout_ms: int
     ) -> ty.Any:
-        """Return the reply, or a `failures.Failure` where none came."""
+        """Return the reply, or a `failures.Failure` if there was none."""
         began = self._clock.now()
         reply = self._peers.call(address, method, request, timeout_ms)
         failed = isinstance(reply, failures.Failure)
         self._log.info(
-            'peer_asked',
+            'peer_called',
             peer=address,
             method=method,
             outcome=reply.reason if failed else 'answered',
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -72,7 +72,7 @@
     ) -> pb.ConfigReply:
         """Give what the caller lacks of the configuration in force."""
         self._check(caller)
-        return self._copies.fetch(req)
+        return self._copies.reply_to(req)
 
     def FetchUpstreams(  # noqa: N802
         self, req: pb.UpstreamsRequest, caller: rpc.Caller
