--- a/src/peridotmast/router/__init__.py
+++ b/src/peridotmast/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: its parts, its start and its stop."""
+"""The router process: its components, its start and its stop."""
--- a/src/peridotmast/router/beacon_rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -1,4 +1,4 @@
-"""What a router tells in its rounds, and to whom."""
+"""Beacons that a router sends in regular rounds, and their recipients."""
 
 from __future__ import annotations
 
@@ -20,50 +20,50 @@
 from peridotmast.serving import quota as quota_
 from peridotmast.serving import upstream_limits as upstream_limits_
 
-_GROUP_ROUNDS = 2
-"""Rounds of which a large fleet uses one: each thing is told on three times
-there, so that totals are as late as a second and a half; at every round they
-would be half as late and cost twice as many bytes."""
+_ROUNDS_PER_BEACON = 2
+"""A large fleet sends beacons only once in this many rounds. Each value is
+relayed over three hops, so that totals are up to 1.5 s old; beacons in every
+round would halve this delay and double the traffic."""
 
-_LED_MS = 1500
-"""How long a head does not say of anybody that it is not there: three rounds,
-in which it hears its members and the other heads."""
+_HEAD_WARMUP_MS = 1500
+"""How long a new head reports no router as missing: three rounds, in which its
+members and the other heads report to it."""
 
 _CHANGED_MS = 3000
-_CHANGED_MOST = 64
-"""How long changed entries are told of, and how many at most: as often as
-a beacon may be lost on its way over two heads."""
+_MAX_CHANGED = 64
+"""How long changed member entries are repeated, and how many at most: often
+enough to make up for beacons that are lost on the path over two heads."""
 
-_ASKED_LEVELS_MS = 1200
-"""How long a peer's word holds that it was not told yet what is left of the
-teams' limits: two rounds of a large fleet."""
+_LEVELS_REQUEST_MS = 1200
+"""How long a peer's request for the remaining team limits is valid: two rounds
+of a large fleet."""
 
 
 class BeaconRounds:
-    """Fills this router's beacons, as a member of its group or as its head.
+    """Builds this router's beacons, as a member of its group or as its head.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times what is told for a while.
+        Times what is repeated for a while.
     fleet_state : fleet_state.FleetState
-        What is known from the store, and of the members.
+        State from the store, and the members.
     quota : quota.Quota
-        What is left of the teams' limits.
+        The remaining limits of the teams.
     crashes : crash_tracker.CrashTracker
         Tracks requests that crash upstreams.
     limits : upstream_limits.UpstreamLimits
         Splits the limits of upstreams between routers.
     totals : shared_totals.SharedTotals
-        What routers count together.
+        Counts of all routers.
     lease : lease.Lease
         The lease on the duties.
     outages : outage_word.OutageWord
-        What others say of outages.
+        Store outages that peers report.
     groups : groups.Groups
         The groups of a large fleet.
-    look : callable
-        Returns the groups as they were a moment ago at most.
+    current_groups : callable
+        Returns the groups, which may be cached for a round.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         lease: lease_.Lease,
         outages: outage_word.OutageWord,
         groups: groups_.Groups,
-        look: ty.Callable[[], groups_.Look],
+        current_groups: ty.Callable[[], groups_.Look],
     ) -> None:
         self._clock = clock
         self._fleet_state = fleet_state
@@ -89,94 +89,97 @@
         self._lease = lease
         self._outages = outages
         self._groups = groups
-        self._look = look
-        self._choice = random.Random(fleet_state.members.me.name)
+        self._current_groups = current_groups
+        self._random = random.Random(fleet_state.members.me.name)
         self._numbers = itertools.count()
-        self._untold: dict[str, int] = {}
-        self._leads_since = 0
+        self._needs_levels_at: dict[str, int] = {}
+        self._head_since = 0
 
     def next_round(self) -> beacons_.Round:
-        """Return the beacons of a round, and the peers that each goes to.
+        """Return the beacons of a round with the peers that each is sent to.
 
-        In a small fleet all tell all. In a large one members tell their head
-        and the one after it, heads tell each other of their groups, and each
-        of their members of all others: the messages of a router stay the
-        same in number and size, however large the fleet is.
+        In a small fleet all routers report to all others. In a large fleet
+        members report to their head and its successor, heads report on their
+        groups to each other, and each head reports to its members on all
+        other routers. The number and size of a router's messages thus do not
+        grow with the fleet.
         """
         if not self._groups.is_split():
-            return self._own_round(self._members.peers())
-        if next(self._numbers) % _GROUP_ROUNDS:
+            return self._member_round(self._members.peers())
+        if next(self._numbers) % _ROUNDS_PER_BEACON:
             return []
-        look = self._look()
+        look = self._current_groups()
         if look.leads:
             return self._head_round(look)
-        return self._own_round(look.heads())
+        return self._member_round(look.heads())
 
     def start_leading(self) -> None:
-        """Take note that this router leads its group from now on."""
-        self._leads_since = self._clock.now()
+        """Record that this router is the head of its group from now on."""
+        self._head_since = self._clock.now()
 
-    def set_needs_levels(self, peer: str, untold: bool) -> None:
-        """Take note of whether a peer asks what is left of the limits."""
+    def set_needs_levels(self, peer: str, needs_levels: bool) -> None:
+        """Record whether a peer lacks the remaining team limits."""
         now = self._clock.now()
-        limit = now - _ASKED_LEVELS_MS
-        self._untold = {p: at for p, at in self._untold.items() if at > limit}
-        self._untold.pop(peer, None)
-        if untold:
-            self._untold[peer] = now
-
-    def _fill(self) -> pb.Beacon:
-        """Return what every beacon of a round says."""
-        beacon = update_beacons.beacon_of(self._fleet_state)
+        oldest = now - _LEVELS_REQUEST_MS
+        self._needs_levels_at = {
+            p: at for p, at in self._needs_levels_at.items() if at > oldest
+        }
+        self._needs_levels_at.pop(peer, None)
+        if needs_levels:
+            self._needs_levels_at[peer] = now
+
+    def _base_beacon(self) -> pb.Beacon:
+        """Return a beacon with the contents common to all rounds."""
+        beacon = update_beacons.base_beacon(self._fleet_state)
         beacon.wall_ms = self._clock.wall()
         beacon.outage_felt = self._fleet_state.outage.is_felt()
         beacon.untold = self._quota.is_untold()
         beacon.crash_suspects.extend(self._crashes.updates())
         beacon.upstream_limits.extend(self._limits.updates())
-        hint, other = self._lease.hint(), self._some_peer()
+        hint, other = self._lease.hint(), self._random_peer()
         if hint is not None:
             beacon.lease.CopyFrom(hint)
         if other is not None:
             beacon.other.CopyFrom(other)
         return beacon
 
-    def _own_round(self, peers: list[members_.Peer]) -> beacons_.Round:
-        """Yield what this router counts itself, for some peers."""
-        beacon = self._fill()
+    def _member_round(self, peers: list[members_.Peer]) -> beacons_.Round:
+        """Yield this router's own counts for `peers`."""
+        beacon = self._base_beacon()
         beacon.own.CopyFrom(self._totals.own())
         yield from self._with_levels(beacon, peers)
 
     def _with_levels(
         self, beacon: pb.Beacon, peers: list[members_.Peer]
     ) -> beacons_.Round:
-        """Yield a beacon; for those not told yet, with what is left."""
-        limit = self._clock.now() - _ASKED_LEVELS_MS
-        untold = [
+        """Yield `beacon`, with team limits for the peers that lack them."""
+        oldest = self._clock.now() - _LEVELS_REQUEST_MS
+        lacking = [
             peer
             for peer in peers
-            if self._untold.get(peer.member.name, limit) > limit
+            if self._needs_levels_at.get(peer.member.name, oldest) > oldest
         ]
-        if not untold:
+        if not lacking:
             yield beacon, peers
             return
-        yield beacon, [peer for peer in peers if peer not in untold]
-        fuller = pb.Beacon()
-        fuller.CopyFrom(beacon)
-        fuller.levels.extend(
+        yield beacon, [peer for peer in peers if peer not in lacking]
+        with_levels = pb.Beacon()
+        with_levels.CopyFrom(beacon)
+        with_levels.levels.extend(
             pb.TeamLevel(team=team, tokens=tokens)
             for team, tokens in self._quota.levels().items()
         )
-        yield fuller, untold
+        yield with_levels, lacking
 
     def _head_round(self, look: groups_.Look) -> beacons_.Round:
-        """Yield what a head tells other heads, and each of its members."""
+        """Yield a head's beacons for the other heads and for its members."""
         heard = {peer.member.name for peer in self._members.heard()}
         members = [peer.member.name for peer in look.members()]
-        base = self._fill()
+        base = self._base_beacon()
         base.wall_ms = self._fleet_state.fleet_clock.now()
-        base.changed.extend(self._members.changed(_CHANGED_MS, _CHANGED_MOST))
-        led_ms = self._clock.now() - self._leads_since
-        base.others_alive = led_ms < _LED_MS
+        base.changed.extend(self._members.changed(_CHANGED_MS, _MAX_CHANGED))
+        head_ms = self._clock.now() - self._head_since
+        base.others_alive = head_ms < _HEAD_WARMUP_MS
         lease = self._lease.known_holder()
         if lease is not None:
             base.lease.CopyFrom(lease)
@@ -195,6 +198,6 @@
             beacon.others.CopyFrom(totals)
             yield from self._with_levels(beacon, [peers[name]])
 
-    def _some_peer(self) -> ty.Optional[pb.Member]:
+    def _random_peer(self) -> ty.Optional[pb.Member]:
         heard = self._members.heard()
-        return self._choice.choice(heard).member if heard else None
+        return self._random.choice(heard).member if heard else None
--- a/src/peridotmast/router/chat_answers.py
+++ b/src/peridotmast/router/chat_answers.py
@@ -1,4 +1,4 @@
-"""Answers of engines, as chat completions are answered."""
+"""Converts answers of engines to chat completions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from peridotmast import web
 
 EVENT_STREAM = 'text/event-stream'
-"""Content type of streams."""
+"""Content type of event streams."""
 
 
 def read_body(
     reply: reply_.Reply,
 ) -> ty.Union[bytes, failures.Failure]:
-    """Return the whole body of an answer."""
+    """Return the complete body of an answer."""
     if isinstance(reply.body, bytes):
         return reply.body
     try:
@@ -26,14 +26,14 @@
 
 
 class ChatAnswer:
-    """One engine's answer, written as a chat completion.
+    """An engine's answer as a chat completion.
 
     Parameters
     ----------
     reply : reply.Reply
         The engine's answer.
     request_id, model : str
-        What the completion is marked with.
+        Id and model that are stated in the completion.
     """
 
     def __init__(
@@ -42,19 +42,19 @@
         self._reply = reply
         self._id = request_id
         self._model = model
-        self._count = 0
+        self._last_event_id = 0
 
     @property
     def has_failed(self) -> bool:
-        """Whether the engine says that it could not answer."""
+        """Whether the engine answered with an error status."""
         return self._reply.head.status != 200
 
     def close(self) -> None:
-        """Give back what the answer holds."""
+        """Release the resources of the engine's answer."""
         self._reply.close()
 
     def completion(self) -> web.Response:
-        """Return the answer in one piece."""
+        """Return the complete answer as one chat completion."""
         try:
             body = read_body(self._reply)
         finally:
@@ -66,7 +66,7 @@
                 'engine_failed', str(self._reply.head.status)
             )
             return web.from_failure(failure, self._id)
-        texts = [text for _, text in _events(body)]
+        texts = [text for _, text in _parse_events(body)]
         message = {'role': 'assistant', 'content': ''.join(texts)}
         choice = {'index': 0, 'message': message, 'finish_reason': 'stop'}
         response = web.json_response(
@@ -81,26 +81,28 @@
         return response
 
     def event_stream(self) -> ty.Iterator[bytes]:
-        """Yield the answer as server-sent events; not for one that failed."""
+        """Yield a successful answer as server-sent events."""
         parts = self._reply.body
         if isinstance(parts, bytes):
             parts = iter((parts,))
         try:
             for data in parts:
-                frames = [
-                    self._frame(number, {'content': text}, None)
-                    for number, text in _events(data)
+                chunks = [
+                    self._chunk(number, {'content': text}, None)
+                    for number, text in _parse_events(data)
                 ]
-                yield b''.join(frames)
+                yield b''.join(chunks)
         except reply_.BrokenAnswer as exc:
-            yield self._error(str(exc))
+            yield self._error_event(str(exc))
             return
-        yield self._frame(self._count, {}, 'stop') + b'data: [DONE]\n\n'
+        yield (
+            self._chunk(self._last_event_id, {}, 'stop') + b'data: [DONE]\n\n'
+        )
 
-    def _frame(
+    def _chunk(
         self, number: int, delta: dict[str, str], reason: ty.Optional[str]
     ) -> bytes:
-        self._count = number
+        self._last_event_id = number
         choice = {'index': 0, 'delta': delta, 'finish_reason': reason}
         chunk = {
             'id': self._id,
@@ -110,7 +112,7 @@
         }
         return f'id: {number}\ndata: {json.dumps(chunk)}\n\n'.encode()
 
-    def _error(self, reason: str) -> bytes:
+    def _error_event(self, reason: str) -> bytes:
         error = {
             'code': failures.FailureKind.OUTCOME_UNKNOWN.value,
             'reason': reason,
@@ -120,8 +122,8 @@
         return b'data: ' + json.dumps({'error': error}).encode() + b'\n\n'
 
 
-def _events(data: bytes) -> ty.Iterator[tuple[int, str]]:
-    """Yield id and text of each whole event in `data`."""
+def _parse_events(data: bytes) -> ty.Iterator[tuple[int, str]]:
+    """Yield the id and the text of each complete event in `data`."""
     for event in data.replace(b'\r\n', b'\n').split(b'\n\n'):
         number, texts = 0, []
         for line in event.decode('utf-8', 'replace').split('\n'):
@@ -129,13 +131,13 @@
             if name == 'id' and value.strip().isdigit():
                 number = int(value)
             elif name == 'data':
-                texts.append(_text(value.removeprefix(' ')))
+                texts.append(_event_text(value.removeprefix(' ')))
         if texts:
             yield number, ''.join(texts)
 
 
-def _text(data: str) -> str:
-    """Return the text in an event's data; other data is text itself."""
+def _event_text(data: str) -> str:
+    """Return the text of an event; data in any other format is text itself."""
     try:
         value = json.loads(data)
     except ValueError:
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -1,4 +1,4 @@
-"""The product's own HTTP for callers: chat completions and service calls."""
+"""HTTP API for callers: chat completions and service calls."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 from peridotmast.wire import caller_connection
 
 MAX_REQUEST_ID_LENGTH = 120
-"""Longest request id of a caller."""
+"""Maximum length of a caller's request id, in characters."""
 
 PRIORITIES = {'interactive': 0, 'standard': 1, 'draft': 2}
-"""Ranks by the kind of work that a caller names."""
+"""Priority of a request by its kind of work; 0 is the highest."""
 
 _DEADLINES_MS = {
     'interactive': 30_000,
     'standard': 60_000,
     'draft': 600_000,
 }
-_ID = re.compile(r'[A-Za-z0-9._:-]+')
+_REQUEST_ID = re.compile(r'[A-Za-z0-9._:-]+')
 _DEFAULT_MAX_TOKENS = 256
-_RESOLVED = 3
+_MAX_RESOLVED = 3
 _SCHEME = 'bearer '
 
 
 class ChatApi:
-    """A face of the one way of a request, in the product's own terms.
+    """Serves chat completions and service calls through the gateway.
 
     Parameters
     ----------
@@ -51,11 +51,11 @@
     feed : config_feed.ConfigFeed
         Models and routes.
     gateway : gateway.Gateway
-        The way of a request.
+        Handles the requests.
     members : members.Members
         Routers that callers may use.
     keep_ms : int
-        How long callers may keep an answer on those.
+        How long callers may cache resolved addresses.
     """
 
     def __init__(
@@ -69,21 +69,21 @@
         self._clock = clock
         self._feed = feed
         self._gateway = gateway
-        self._nearest = nearest.Nearest(members, _RESOLVED)
+        self._nearest = nearest.Nearest(members, _MAX_RESOLVED)
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
     def add_routes(self, app: web.WebApp) -> None:
-        """Add the handlers to `app`."""
+        """Register the handlers with `app`."""
         app.route('POST', '/v1/chat/completions', self._chat)
         app.route('POST', '/v1/services/([^/]+)/([^/]+)', self._service)
         app.route('GET', '/resolve', self._resolve)
 
     def _chat(self, req: web.Request) -> web.Response:
-        asked = self._read_chat(req)
-        if isinstance(asked, failures.Failure):
-            return web.from_failure(asked)
-        call, body = asked
+        parsed = self._read_chat(req)
+        if isinstance(parsed, failures.Failure):
+            return web.from_failure(parsed)
+        call, body = parsed
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
             return web.from_failure(reply, call.id, _status(reply))
@@ -155,20 +155,20 @@
         route = next((r for r in config.routes if r.name == model.route), None)
         if route is None:
             return failures.not_run('no_route', model.route)
-        asked = self._asked(req, body, route, 'chat')
-        if isinstance(asked, failures.Failure):
-            return asked
+        call = self._build_request(req, body, route, 'chat')
+        if isinstance(call, failures.Failure):
+            return call
         if body.HasField('idempotent') and not body.idempotent:
-            asked.route = _once(route)
+            call.route = _without_retries(route)
         content = {
             'model': body.model,
             'adapter': body.adapter,
             'messages': [[m.role, m.content] for m in body.messages],
             'max_tokens': max_tokens,
         }
-        asked.body = json.dumps(content).encode()
-        asked.prompt = _prompt(body, max_tokens)
-        return asked, body
+        call.body = json.dumps(content).encode()
+        call.prompt = _prompt(body, max_tokens)
+        return call, body
 
     def _read_service(
         self, req: web.Request, service: str, name: str
@@ -190,19 +190,19 @@
         if route is None:
             missing = failures.missing('no_route', service[:80])
             return self._gateway.unless_behind(missing)
-        asked = self._asked(req, body, route, name)
-        if not isinstance(asked, failures.Failure):
-            asked.body = body.payload.encode()
-        return asked
+        call = self._build_request(req, body, route, name)
+        if not isinstance(call, failures.Failure):
+            call.body = body.payload.encode()
+        return call
 
-    def _asked(
+    def _build_request(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
     ) -> ty.Union[gateway_.Asked, failures.Failure]:
-        """Return what both kinds of request have in common."""
+        """Return a request with what chat and service calls have in common."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
             len(request_id) > MAX_REQUEST_ID_LENGTH
-            or not _ID.fullmatch(request_id)
+            or not _REQUEST_ID.fullmatch(request_id)
         ):
             return failures.invalid(
                 'request_id',
@@ -219,7 +219,7 @@
             method='POST',
             target=route.prefix + path,
             host=route.host,
-            key=_key(req.header('Authorization')),
+            key=_bearer_token(req.header('Authorization')),
             headers=[('Host', route.host), ('Content-Type', web.JSON)],
             body=b'',
             entered=self._clock.now(),
@@ -247,25 +247,26 @@
         return failures.invalid('malformed', str(exc)[:200])
 
 
-def _key(authorization: str) -> str:
+def _bearer_token(authorization: str) -> str:
     if authorization.lower().startswith(_SCHEME):
         return authorization[len(_SCHEME) :].strip()
     return ''
 
 
-def _once(route: pb.Route) -> pb.Route:
-    """Return the route for a request that may run only once."""
-    once = pb.Route()
-    once.CopyFrom(route)
-    once.resumable = False
-    once.attempts = 1
-    return once
+def _without_retries(route: pb.Route) -> pb.Route:
+    """Return a copy of the route that allows a single attempt."""
+    single = pb.Route()
+    single.CopyFrom(route)
+    single.resumable = False
+    single.attempts = 1
+    return single
 
 
 def _prompt(body: pb.ChatRequest, max_tokens: int) -> exchange_.Prompt:
-    """Return the prompt's parts: instructions, conversation, last message.
+    """Return the prompt split into instructions, history and last message.
 
-    Words stand for tokens: the parts only serve to find what is held.
+    Words are counted as tokens; the parts are only used to find engines that
+    already hold a prefix of the prompt in memory.
     """
     groups: dict[str, list[str]] = {'system': [], 'history': [], 'own': []}
     for message in body.messages[:-1]:
@@ -289,5 +290,5 @@
 
 
 def _status(failure: failures.Failure) -> int:
-    """Return the status of failures that have one of their own, else 0."""
+    """Return the HTTP status of failures that have their own, else 0."""
     return {'team_limit': 429, 'no_key': 401}.get(failure.reason, 0)
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -1,4 +1,4 @@
-"""A planned stop: out of sight at once, then everything in work is ended."""
+"""Planned stop of a router, which finishes the running requests."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from peridotmast import logs
 from peridotmast.serving import gateway as gateway_
 
-_LOOK_MS = 50
-_LISTEN_MS = 1500
-"""How long connections are taken at least: callers that have not heard of
-the stop come back a few times in this time, and the others are told."""
+_POLL_MS = 50
+_MIN_ACCEPT_MS = 1500
+"""Shortest time for which connections are accepted. Callers that do not know
+of the stop yet connect again a few times in this period and are told."""
 
-_TAKES_ALL_MS = 2000
-"""How long everything is still taken on: callers go elsewhere within the two
-seconds that they keep an answer on where to connect. Later ones would be cut
-off by the end; a refusal costs them a few milliseconds."""
+_ACCEPT_ALL_MS = 2000
+"""How long every request is still accepted. Callers keep a resolved address
+for two seconds and go elsewhere after that. Requests that come later might be
+cut off at the end, while a refusal costs the caller a few milliseconds."""
 
-_LAST_MS = 250
-"""Kept back of the grace time for the way out."""
+_EXIT_RESERVE_MS = 250
+"""Part of the grace time that is reserved for the exit of the process."""
 
 
 class Drain:
-    """Ends one router's work within its grace time.
+    """Finishes a router's running requests within its grace time.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times the stop.
+        Times the drain.
     members : members.Members
-        This router's entry, which says that it leaves.
+        This router's entry, which is marked as leaving.
     announce : callable
-        Tells the peers.
+        Sends the changed entry to the peers.
     close_idle : callable
-        Closes kept connections, and the others after their answers.
+        Closes idle connections, and the other ones after their answers.
     gateway : gateway.Gateway
-        Knows what is in work, and takes less on.
+        Counts running requests, and refuses those that may last too long.
     release : callable
-        Gives up the duties that this router may have.
+        Releases the duties if this router holds them.
     grace_ms : int
         Time from the signal to the kill.
     """
@@ -65,28 +65,29 @@
         self._log = logs.get('drain', router=members.me.name)
 
     def run(self) -> None:
-        """Leave, then wait until nothing is in work."""
-        began = self._clock.now()
+        """Withdraw the router, then wait until no request is running."""
+        started_at = self._clock.now()
         self._gateway.leave(
-            began + _TAKES_ALL_MS, began + self._grace_ms - _LAST_MS
+            started_at + _ACCEPT_ALL_MS,
+            started_at + self._grace_ms - _EXIT_RESERVE_MS,
         )
         self._members.change_me(state=members_.LEAVING, ready=False)
         self._announce()
         self._close_idle()
-        self._log.info('drain_begun', in_work=self._gateway.in_work)
-        # Last, since the store may be slow to answer.
+        self._log.info('drain_started', in_work=self._gateway.in_work)
+        # Called last, since the store may be slow to answer.
         self._release()
-        while not self._is_over(self._clock.now() - began):
-            green.sleep_ms(_LOOK_MS)
-        # Nothing may begin between this look and the end.
+        while not self._is_over(self._clock.now() - started_at):
+            green.sleep_ms(_POLL_MS)
+        # No request may start between the last check and the end.
         self._gateway.close()
         self._log.info(
             'drain_over',
             in_work=self._gateway.in_work,
-            ms=self._clock.now() - began,
+            ms=self._clock.now() - started_at,
         )
 
-    def _is_over(self, spent_ms: int) -> bool:
-        if spent_ms >= self._grace_ms - _LAST_MS:
+    def _is_over(self, elapsed_ms: int) -> bool:
+        if elapsed_ms >= self._grace_ms - _EXIT_RESERVE_MS:
             return True
-        return spent_ms >= _LISTEN_MS and not self._gateway.in_work
+        return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_work
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one router knows of platform and fleet, and how it stays up to date."""
+"""A router's state of platform and fleet, and how it is kept up to date."""
 
 from __future__ import annotations
 
@@ -25,40 +25,41 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 
-_KINDS = {
+_KINDS_OF_PART = {
     'config': (names.CONFIG_KIND, config_feed.KIND),
     'upstreams': (names.UPSTREAM_KIND,),
 }
-"""Kinds of objects that what routers know is made from."""
+"""Kinds of stored objects by the part of the state that they determine."""
 
-_SILENT_BEACONS = 5
-"""Beacons missed after which callers are not sent to a peer any more: a few
-may be lost in a row, and a dead one costs a caller a connection."""
+_MAX_MISSED_BEACONS = 5
+"""Missed beacons after which callers are no longer sent to a peer: a few may
+be lost in a row, and a dead peer costs a caller a connection."""
 
-_LATE_BEACONS = 2
-"""Beacons' time within which a router that runs reads its clock. What goes
-beyond that it stood still for; then the last beacons that it has read may be
-three old, and the ones after them come before they count as missed."""
+_MAX_CLOCK_GAP_BEACONS = 2
+"""Beacon intervals within which a running router reads its clock again. Longer
+gaps count as time in which the process was suspended. The last beacons that it
+has read may then be three intervals old, and later ones are read before they
+count as missed."""
 
-_LATE_MS = 500
-"""The same where beacons are more frequent than the 250 ms at which a router
-looks at its peers in any case: twice that."""
+_MIN_CLOCK_GAP_MS = 500
+"""Lower bound of the same time for short beacon intervals: twice the 250 ms at
+which a router checks its peers in any case."""
 
-_REGISTER_MS = 1000
+_REGISTER_RETRY_MS = 1000
 
-_ALONE_MS = 1500
-"""Time after which a router that could not enter the store goes by whom it
-hears, and watches for itself where that is nobody."""
+_UNREGISTERED_WAIT_MS = 1500
+"""Time after which a router that could not register in the store chooses the
+watchers by the peers that it hears, and watches itself if it hears none."""
 
-_CHECK_MS = 500
-"""Time between two looks at a store that has failed: it is asked where nothing
-has asked it since the last look, so half a second to a second after the call
-that failed. With the 2 s in which entries come back, a doubt ends in the 3 s
-in which an upstream that leaves may still get work."""
+_STORE_CHECK_MS = 500
+"""Interval of checks of a store that has failed. A check probes the store if
+there was no other call since the last check, so 0.5 s to 1 s after the failed
+call. Together with the 2 s in which entries reappear, an outage is cleared
+within the 3 s in which a leaving upstream may still get requests."""
 
 
 class FleetState:
-    """The platform's store, and what is known from it.
+    """The platform's store and the state that is read from it.
 
     Parameters
     ----------
@@ -67,7 +68,7 @@
     clock : clock.Clock
         Times everything.
     checks : invariants.Invariants
-        Promises that are checked on the way.
+        Invariants that are checked at run time.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         lapse_ms = int(bounds.lapse_s * 1000)
         self._clock = clock
         self.outage = outage_.Outage(clock, lapse_ms)
-        """Whether the store answers."""
+        """Tracks whether the store answers."""
         self.store = store_.PlatformStore(
             platform.objects, platform.timeout_ms, self.outage
         )
@@ -95,12 +96,13 @@
         self.members = members_.Members(
             me,
             clock_.AwakeClock(
-                clock, max(_LATE_MS, _LATE_BEACONS * cfg.beacon_ms)
+                clock,
+                max(_MIN_CLOCK_GAP_MS, _MAX_CLOCK_GAP_BEACONS * cfg.beacon_ms),
             ),
-            _SILENT_BEACONS * cfg.beacon_ms,
+            _MAX_MISSED_BEACONS * cfg.beacon_ms,
             groups_.WHOLE,
         )
-        """The routers, this one too."""
+        """All routers, including this one."""
         self.upstream_table = upstreams_.UpstreamTable(
             clock, bounds.drain_ms, lapse_ms
         )
@@ -114,46 +116,46 @@
         )
         """The configuration in force."""
         self.fleet_clock = fleet_clock.FleetClock(clock)
-        """True time, as far as the fleet can tell."""
+        """Time of day, as the median of the fleet's clocks."""
         self.watchers = watchers_.Watchers(self.members)
-        """Which routers watch the store."""
+        """Chooses the routers that watch the store."""
         self._upstreams = upstream_feed.UpstreamFeed(
             self.upstream_table, upstream_codec.read_upstream
         )
         self._registry = registry_.Registry(self.store, self.members)
         self._watches: list[kind_watch.KindWatch] = []
-        self._is_entered = False
-        self._began = clock.now()
+        self._is_registered = False
+        self._created_at = clock.now()
         self._spawn: ty.Callable[..., None] = lambda name, func: None
 
     @property
     def has_config_and_upstreams(self) -> bool:
-        """Whether it is known what to do with callers."""
+        """Whether a configuration and upstreams are known to route by."""
         return bool(self.config.routes.version and self.upstream_table.all())
 
     @property
     def is_synced_with_store(self) -> bool:
-        """Whether the store has told of platform and fleet, all of it."""
-        return self._is_entered and all(w.is_listed for w in self._watches)
+        """Whether this router is registered and has listed every kind."""
+        return self._is_registered and all(w.is_listed for w in self._watches)
 
     def start(
         self,
         tasks: green.Tasks,
         is_outage_felt: ty.Callable[[], bool],
-        tell: ty.Callable[[], None],
+        on_change: ty.Callable[[], None],
     ) -> None:
-        """Begin to follow the store, and enter this router there.
+        """Start to watch the store, and register this router there.
 
         Parameters
         ----------
         is_outage_felt : callable
-            Says whether what is missing may be missing due to an outage.
-        tell : callable
-            Called once news was taken in.
+            Returns whether missing entries may be due to a store outage.
+        on_change : callable
+            Called after a change was applied.
         """
-        # Those that watch may be just the ones that the store turns away.
+        # The chosen watchers may be just the routers that the store refuses.
         self.watchers.is_outage_felt = is_outage_felt
-        for kind, follower in (
+        for kind, receiver in (
             (names.CONFIG_KIND, self.config),
             (config_feed.KIND, self.config),
             (names.UPSTREAM_KIND, self._upstreams),
@@ -161,77 +163,79 @@
             watch = kind_watch.KindWatch(
                 self.store,
                 kind,
-                follower,
+                receiver,
                 self._clock,
                 is_outage_felt,
-                tell,
-                functools.partial(self._is_due, kind),
+                on_change,
+                functools.partial(self._must_watch, kind),
             )
             self._watches.append(watch)
             tasks.spawn(f'watch_{kind}', watch.run)
         self._spawn = tasks.spawn
-        # What the store had to say meanwhile is lost on connections that may
-        # live on: a watch that waits there hears nothing for 25 s.
-        self.outage.on_back = self._watch_anew
+        # Changes during an outage are lost on connections that stay open: a
+        # watch waiting on one of them would hear nothing for 25 s.
+        self.outage.on_back = self._restart_watches
         tasks.spawn('register', self._register)
         check = store_check.StoreCheck(self.store, self.outage)
-        tasks.every('check_store', _CHECK_MS, check.tick)
+        tasks.every('check_store', _STORE_CHECK_MS, check.tick)
 
-    def is_watching(self, what: str) -> bool:
-        """Return whether this router hears of `what` from the store itself.
+    def is_watching(self, part: str) -> bool:
+        """Return whether this router watches a part of the state itself.
 
         Parameters
         ----------
-        what : str
+        part : str
             ``config`` or ``upstreams``.
         """
-        return all(map(self.watchers.is_due, _KINDS[what]))
+        return all(map(self.watchers.is_due, _KINDS_OF_PART[part]))
 
-    def refresh(self, what: str) -> None:
-        """Ask the store anew: a peer had news that no watch has brought.
+    def refresh(self, part: str) -> None:
+        """Restart the watches that missed a change which a peer had.
 
-        Watches of other kinds go on: it was not theirs to bring.
+        Watches of other kinds go on, since the change was not theirs.
 
         Parameters
         ----------
-        what : str
+        part : str
             ``config`` or ``upstreams``.
         """
         for watch in self._watches:
-            if watch.kind in _KINDS[what]:
+            if watch.kind in _KINDS_OF_PART[part]:
                 watch.overtaken()
 
     def check_store(self) -> None:
-        """Find out whether the store answers here: a peer gets no answer.
+        """Check whether the store answers here, since it fails for a peer.
 
-        Nothing that waits here need ever fail, or be answered.
+        Waiting calls may otherwise neither fail nor be answered.
         """
-        self._watch_anew()
+        self._restart_watches()
         if any(self.watchers.is_due(watch.kind) for watch in self._watches):
             self._spawn('probe_store', self.store.probe)
 
     def tick(self) -> None:
-        """Give up and forget the upstreams whose time is over."""
+        """Expire lapsed upstreams and remove the ones that are gone."""
         self._upstreams.tick()
         self.upstream_table.forget_gone()
 
-    def _is_due(self, kind: str) -> bool:
-        """Return whether this router is to watch a kind.
+    def _must_watch(self, kind: str) -> bool:
+        """Return whether this router must watch a kind.
 
-        Not before it knows of the others: in a fleet that starts as a whole
-        each would take itself for one of few.
+        A router that knows no peers yet does not watch: when a whole fleet
+        starts, each router would take the fleet for a small one.
         """
-        waits = self._clock.now() - self._began < _ALONE_MS
-        if waits and not self._is_entered:
+        is_waiting = (
+            self._clock.now() - self._created_at < _UNREGISTERED_WAIT_MS
+        )
+        if is_waiting and not self._is_registered:
             return False
         return self.watchers.is_due(kind)
 
-    def _watch_anew(self) -> None:
-        """Ask for what may have waited through an outage of the store."""
+    def _restart_watches(self) -> None:
+        """Restart watches that may have missed changes in an outage."""
         for watch in self._watches:
             watch.doubt()
 
     def _register(self) -> None:
         while not self._registry.enter():
-            green.sleep_ms(_REGISTER_MS)
-        self._is_entered = True
+            green.sleep_ms(_REGISTER_RETRY_MS)
+        self._is_registered = True
--- a/src/peridotmast/router/http_servers.py
+++ b/src/peridotmast/router/http_servers.py
@@ -1,4 +1,4 @@
-"""The HTTP faces of one router: platform, chat API, metrics."""
+"""HTTP servers of a router: platform callers, chat API, metrics."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from peridotmast.wire import server as server_
 
 _RESOLVE_TTL_S = 2.0
-"""How long callers may keep an answer on where to connect: a router that is
-lost is left alone after that, and each question costs about a millisecond."""
+"""How long callers may cache a resolved address: the longest time for which a
+lost router still gets requests. Each lookup costs about a millisecond."""
 
 
 class HttpServers:
-    """Listens where the settings say, and hands requests to the gateway.
+    """Serves HTTP on the configured addresses and passes requests on.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     serving : serving.Serving
         Answers requests.
     registry : prometheus_client.CollectorRegistry
-        What metrics show.
+        Metrics that are served.
     """
 
     def __init__(
@@ -51,16 +51,18 @@
         self._fleet_state = fleet_state
         self._registry = registry
         self._limits = server_.ServerLimits(write_ms=cfg.write_ms)
-        face = callers.PlatformCallers(
+        application = callers.PlatformCallers(
             clock, serving.gateway, self._limits, serving.decisions
         )
-        self.platform = server_.HttpServer(cfg.listen, face, self._limits)
-        """Where the platform's callers connect."""
+        self.platform = server_.HttpServer(
+            cfg.listen, application, self._limits
+        )
+        """Server for callers of the platform."""
         self.platform.retry_ms = serving.gateway.retry_ms
         self.chat: ty.Optional[server_.HttpServer] = None
-        """Where the chat API is served, if anywhere."""
+        """Server of the chat API, if it is configured."""
         if cfg.chat_listen:
-            app = self._own_app()
+            app = self._base_app()
             chat_api.ChatApi(
                 clock,
                 fleet_state.config,
@@ -77,30 +79,30 @@
             for name, address, application in (
                 ('ready', cfg.ready_listen, directory.ready),
                 ('directory', cfg.directory_listen, directory.resolve),
-                ('metrics', file.telemetry.metrics_listen, self._own_app()),
+                ('metrics', file.telemetry.metrics_listen, self._base_app()),
             )
             if address
         }
-        """The other servers by name."""
+        """Readiness, directory and metrics servers by name."""
 
     def start(self) -> None:
-        """Begin to take connections."""
+        """Start to accept connections."""
         for server in self._servers():
             server.start()
 
     def stop(self) -> None:
-        """End at once."""
+        """Stop at once."""
         for server in self._servers():
             server.stop()
 
     def close_idle(self) -> None:
-        """Close kept connections, and the others after their answers."""
+        """Close idle connections, and the other ones after their answers."""
         self.platform.close_idle()
         if self.chat is not None:
             self.chat.close_idle()
 
     def set_limits(self, limits: pb.CallerLimits) -> None:
-        """Put what callers may send, and how slowly, into force."""
+        """Apply the limits on size and duration of callers' requests."""
         if limits.max_header_bytes:
             self._limits.max_header_bytes = limits.max_header_bytes
             self._limits.max_body_bytes = limits.max_body_bytes
@@ -111,7 +113,7 @@
         chat = [self.chat] if self.chat else []
         return [self.platform, *chat, *self.auxiliary.values()]
 
-    def _own_app(self) -> web.WebApp:
+    def _base_app(self) -> web.WebApp:
         app = web.WebApp('http')
         app.route('GET', '/metrics', self._show_metrics)
         app.route('GET', '/healthz', self._show_health)
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -1,4 +1,4 @@
-"""What a router answers to operators over gRPC."""
+"""Calls that a router answers to operators over gRPC."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from peridotmast.serving import decisions as decisions_
 from peridotmast.serving import upstreams as upstreams_
 
-_CALL_MS = 1000
+_CALL_TIMEOUT_MS = 1000
 _ANY_VERSION = (1 << 63) - 1
-"""Known version of who wants no text at all."""
+"""Known version that is sent to ask for versions without texts."""
 READ = 'read'
 CONFIG = 'config'
 DRAIN = 'drain'
@@ -27,9 +27,9 @@
 class OperatorService:
     """Handlers of the Operators service.
 
-    Who may call what stands in the configuration's ``[operator NAME]``
-    sections, by the name in the operator's certificate. Without TLS there
-    are no names, and every caller may do everything.
+    The ``[operator NAME]`` sections of the configuration state the roles of
+    each operator, by the name in the operator's certificate. Without TLS there
+    are no names, and every caller has all roles.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         decisions: decisions_.Decisions,
         peers: rpc.RpcClient,
         operators: rpc.RpcClient,
-        begin_drain: ty.Callable[[], None],
+        start_drain: ty.Callable[[], None],
         tls: pb.TlsSettings,
     ) -> None:
         self._clock = clock
@@ -53,15 +53,15 @@
         self._decisions = decisions
         self._peers = peers
         self._operators = operators
-        self._begin_drain = begin_drain
+        self._start_drain = start_drain
         self._tls = tls
         self._log = logs.get('operators', router=members.me.name)
 
     def ConfigApply(  # noqa: N802
         self, req: pb.ConfigApplyRequest, caller: rpc.Caller
     ) -> pb.ConfigApplyReply:
-        """Check a document and commit it where its base still stands."""
-        self._allow(caller, READ if req.check_only else CONFIG)
+        """Check a document, and commit it if its base version is current."""
+        self._require_role(caller, READ if req.check_only else CONFIG)
         found = config_feed_.check(req.document)
         if found or req.check_only:
             texts = [pb.FindingText(place=f.place, text=f.text) for f in found]
@@ -74,15 +74,15 @@
             self._clock.wall(),
         )
         if isinstance(result, failures.Failure):
-            return self._not_committed(result)
+            return self._commit_failed(result)
         self._log.info('document_committed', version=result, by=caller.name)
         return pb.ConfigApplyReply(version=result)
 
     def ConfigStatus(  # noqa: N802
         self, req: pb.ConfigStatusRequest, caller: rpc.Caller
     ) -> pb.ConfigStatusReply:
-        """Tell which versions are in force where, and the own document."""
-        self._allow(caller, READ)
+        """Return the versions in force at each router, and the document."""
+        self._require_role(caller, READ)
         members = [self._members.me]
         members += [peer.member for peer in self._members.peers()]
         return pb.ConfigStatusReply(
@@ -94,8 +94,8 @@
     def ConfigHistory(  # noqa: N802
         self, req: pb.ConfigHistoryRequest, caller: rpc.Caller
     ) -> pb.ConfigHistoryReply:
-        """Tell who changed the own document, and when."""
-        self._allow(caller, READ)
+        """Return who changed the document, and when."""
+        self._require_role(caller, READ)
         history = self._feed.own.document.get('history') or ()
         return pb.ConfigHistoryReply(
             changes=[
@@ -112,14 +112,14 @@
     def NodeList(  # noqa: N802
         self, req: pb.NodeListRequest, caller: rpc.Caller
     ) -> pb.NodeListReply:
-        """Tell which routers there are and who has the duties."""
-        self._allow(caller, READ)
+        """Return the routers and the holder of the duties."""
+        self._require_role(caller, READ)
         now = self._members.clock.now()
         reply = pb.NodeListReply()
         reply.nodes.add(member=self._members.me, silent_ms=-1)
         for other in self._members.peers():
-            silent = now - other.heard_at if other.heard_at else now
-            reply.nodes.add(member=other.member, silent_ms=silent)
+            silent_ms = now - other.heard_at if other.heard_at else now
+            reply.nodes.add(member=other.member, silent_ms=silent_ms)
         hint = self._lease.known_holder()
         if hint is not None:
             reply.lease.CopyFrom(hint)
@@ -128,16 +128,16 @@
     def NodeDrain(  # noqa: N802
         self, req: pb.NodeDrainRequest, caller: rpc.Caller
     ) -> pb.NodeDrainReply:
-        """Begin a planned stop of this router or of another."""
-        self._allow(caller, DRAIN)
+        """Start a planned stop of this router or of another one."""
+        self._require_role(caller, DRAIN)
         if req.name == self._members.me.name:
-            self._begin_drain()
+            self._start_drain()
             return pb.NodeDrainReply(begun=True)
         other = self._members.get(req.name)
         if other is None:
             return pb.NodeDrainReply(reason=f'no router {req.name}')
         reply = self._operators.call(
-            other.member.peer_address, 'NodeDrain', req, _CALL_MS
+            other.member.peer_address, 'NodeDrain', req, _CALL_TIMEOUT_MS
         )
         if isinstance(reply, failures.Failure):
             return pb.NodeDrainReply(reason=reply.reason)
@@ -146,8 +146,8 @@
     def UpstreamList(  # noqa: N802
         self, req: pb.UpstreamListRequest, caller: rpc.Caller
     ) -> pb.UpstreamListReply:
-        """Tell which upstreams there are and what they do."""
-        self._allow(caller, READ)
+        """Return the upstreams with their load and health."""
+        self._require_role(caller, READ)
         reply = pb.UpstreamListReply()
         for view in sorted(self._table.all(), key=lambda view: view.name):
             load = view.load()
@@ -166,12 +166,15 @@
     def RequestShow(  # noqa: N802
         self, req: pb.RequestShowRequest, caller: rpc.Caller
     ) -> pb.RequestShowReply:
-        """Tell what all routers decided on a request."""
-        self._allow(caller, READ)
+        """Return the decisions of all routers on a request."""
+        self._require_role(caller, READ)
         reply = self.local_steps(req)
         for other in self._members.heard():
             theirs = self._peers.call(
-                other.member.peer_address, 'FetchRequest', req, _CALL_MS
+                other.member.peer_address,
+                'FetchRequest',
+                req,
+                _CALL_TIMEOUT_MS,
             )
             if not isinstance(theirs, failures.Failure):
                 reply.steps.extend(theirs.steps)
@@ -181,25 +184,25 @@
     def EventPlan(  # noqa: N802
         self, req: pb.PlanRequest, caller: rpc.Caller
     ) -> pb.PlanReply:
-        """Explain what will be ordered for the events, when and why."""
-        self._allow(caller, READ)
+        """Explain the capacity that is planned for the events."""
+        self._require_role(caller, READ)
         plan = event_plan.plan(self._feed.config, self._clock.wall())
         return pb.PlanReply(lines=event_plan.explain(plan))
 
     def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
-        """Return what this router decided on a request."""
+        """Return this router's decisions on a request."""
         reply = pb.RequestShowReply()
         for at, text in self._decisions.of(req.request_id):
             reply.steps.add(router=self._members.me.name, at_ms=at, text=text)
         return reply
 
-    def _allow(self, caller: rpc.Caller, role: str) -> None:
-        """Raise `rpc.Denied` where the caller has not the role."""
+    def _require_role(self, caller: rpc.Caller, role: str) -> None:
+        """Raise `rpc.Denied` if the caller does not have `role`."""
         if not self._tls.cert_file or self._tls.router_name in caller.others:
             return
         operators = self._feed.config.operators
         if not operators and not self._feed.own.version:
-            # Before the first document there is nobody to ask.
+            # Before the first document no operators are defined.
             return
         if any(caller.name == o.name and role in o.may for o in operators):
             return
@@ -211,12 +214,12 @@
             node.config_version = self._feed.routes.version
             node.document_version = self._feed.own.version
             return node
-        # Versions only: the texts of a whole fleet would fill the link.
+        # Versions only: the texts of a whole fleet would saturate the link.
         request = pb.ConfigRequest(
             known_version=_ANY_VERSION, known_document=_ANY_VERSION
         )
         reply = self._peers.call(
-            member.peer_address, 'FetchConfig', request, _CALL_MS
+            member.peer_address, 'FetchConfig', request, _CALL_TIMEOUT_MS
         )
         if isinstance(reply, failures.Failure):
             node.reason = reply.reason
@@ -225,7 +228,7 @@
             node.document_version = reply.document_version
         return node
 
-    def _not_committed(self, failure: failures.Failure) -> pb.ConfigApplyReply:
+    def _commit_failed(self, failure: failures.Failure) -> pb.ConfigApplyReply:
         if failure.kind is not failures.FailureKind.CONFLICT:
             text = f'not known to be committed: {failure.reason}'
             return pb.ConfigApplyReply(
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -1,4 +1,4 @@
-"""What a router answers to its peers over gRPC."""
+"""Calls that a router answers to its peers over gRPC."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 class PeerService:
     """Handlers of the Peer service.
 
-    Only routers may call it, which their certificates tell by a name that
-    they share: whoever else has one from the same authorities could enter
-    itself as a router. Without TLS there are no names.
+    Only routers may call it. They are recognized by a name that all router
+    certificates share: otherwise any holder of a certificate from the same
+    authorities could join as a router. Without TLS every caller is accepted.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times what is given; the machine's, since links are free as well
-        while this router stands still.
+        Times the copies of the configuration. This is the machine's clock,
+        since links also become free while this router is suspended.
     members : members.Members
         This router and its peers.
     config : config_feed.ConfigFeed
@@ -33,9 +33,9 @@
     table : upstreams.UpstreamTable
         The upstreams.
     local_steps : callable
-        Returns what this router decided on a request.
+        Returns this router's decisions on a request.
     tls : pb.TlsSettings
-        Says by which name routers are told.
+        Gives the name that router certificates share.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
     def Join(  # noqa: N802
         self, req: pb.JoinRequest, caller: rpc.Caller
     ) -> pb.JoinReply:
-        """Learn of a starting router; tell it of the others."""
-        self._check(caller)
+        """Add a starting router to the members and return all of them."""
+        self._require_router(caller)
         self._members.learn(req.member)
         peers = [peer.member for peer in self._members.peers()]
         reply = pb.JoinReply(members=[self._members.me, *peers])
@@ -70,15 +70,15 @@
     def FetchConfig(  # noqa: N802
         self, req: pb.ConfigRequest, caller: rpc.Caller
     ) -> pb.ConfigReply:
-        """Give what the caller lacks of the configuration in force."""
-        self._check(caller)
+        """Return the parts of the configuration that the caller lacks."""
+        self._require_router(caller)
         return self._copies.reply_to(req)
 
     def FetchUpstreams(  # noqa: N802
         self, req: pb.UpstreamsRequest, caller: rpc.Caller
     ) -> pb.UpstreamsReply:
-        """Give the upstreams that have changed since a revision."""
-        self._check(caller)
+        """Return the upstream records that changed since a revision."""
+        self._require_router(caller)
         return pb.UpstreamsReply(
             upstreams=self._table.told_since(req.since),
             revision=self._table.revision,
@@ -87,12 +87,12 @@
     def FetchRequest(  # noqa: N802
         self, req: pb.RequestShowRequest, caller: rpc.Caller
     ) -> pb.RequestShowReply:
-        """Give what this router decided on a request."""
-        self._check(caller)
+        """Return this router's decisions on a request."""
+        self._require_router(caller)
         return self._local_steps(req)
 
-    def _check(self, caller: rpc.Caller) -> None:
-        """Raise `rpc.Denied` where the caller is no router."""
-        known = self._tls.router_name in caller.others
-        if self._tls.cert_file and not known:
+    def _require_router(self, caller: rpc.Caller) -> None:
+        """Raise `rpc.Denied` if the caller is not a router."""
+        is_router = self._tls.router_name in caller.others
+        if self._tls.cert_file and not is_router:
             raise rpc.Denied(f'{caller.name or "nobody"} is no router')
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -1,4 +1,4 @@
-"""What routers know of each other: beacons out and in, and what follows."""
+"""State exchange between routers: beacons in and out, and their effects."""
 
 from __future__ import annotations
 
@@ -22,44 +22,47 @@
 from peridotmast.serving import quota as quota_
 from peridotmast.serving import upstream_view
 
-_GROUP_SILENT_MS = 2000
-"""Silence after which a group's work counts no more, and another head may be
-followed: four of its beacons."""
+_GROUP_TIMEOUT_MS = 2000
+"""Silence after which a group's load is dropped and another head may be
+accepted: four of its beacons."""
 
-_LOOK_MS = 500
-"""Time for which the groups are not looked at anew: a round."""
+_GROUPS_TTL_MS = 500
+"""How long the computed groups are cached: one round."""
 
-_FLEET = 'fleet'
-"""The way by which a member hears of all others."""
+_FLEET_SOURCE = 'fleet'
+"""Source of the totals that a group member receives from its head."""
 
 
 class _Role(ty.NamedTuple):
-    """By which way a router hears of the others' counts."""
+    """How a router receives the counts of the other routers."""
 
     split: bool
-    """Whether there are groups."""
+    """Whether the fleet is split into groups."""
     leads: bool
-    """Whether it is the head of its own."""
+    """Whether this router is the head of its group."""
     groups: int
 
 
 class Peering:
-    """Joins the state that routers share to the parts that keep it.
+    """Exchanges the shared state with other routers.
+
+    Received beacons are passed to the components that hold the state, and
+    beacons to be sent are built from them.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times silences and words of outages.
+        Times silences and reports of outages.
     fleet_state : fleet_state.FleetState
-        What is known from the store, and of the members.
+        State from the store, and the members.
     serving : serving.Serving
-        What is counted on the way of requests.
+        Components that count requests.
     totals : shared_totals.SharedTotals
-        What routers count together.
+        Counts of all routers.
     lease : lease.Lease
         The lease on the duties.
     catch_up : catch_up.CatchUp
-        Asks peers that are ahead.
+        Fetches missing state from peers that are ahead.
     """
 
     def __init__(
@@ -80,14 +83,14 @@
         self._lease = lease
         self._catch_up = catch_up
         self.updates = update_beacons_.UpdateBeacons(fleet_state, catch_up)
-        """What this router tells all others at once."""
+        """Builds and receives beacons that are sent between rounds."""
         self._outages = outage_word.OutageWord(clock, fleet_state.check_store)
         self._totals = totals
         self._groups = groups_.Groups(members)
         self.borrowing = quota_borrowing_.QuotaBorrowing(
-            members, serving.quota, self._look_if_split
+            members, serving.quota, self._current_groups_if_split
         )
-        """What heads lend of the teams' limits."""
+        """Borrows team quota from the group head, or lends it."""
         self.rounds = beacon_rounds_.BeaconRounds(
             clock,
             fleet_state,
@@ -98,23 +101,24 @@
             lease,
             self._outages,
             self._groups,
-            self._look,
+            self._current_groups,
         )
-        """What this router tells in its rounds."""
+        """Builds the beacons that are sent in rounds."""
         self._gaps = gaps_.Gaps(clock, serving.quota.worth)
         self._role = _Role(False, False, 1)
-        self._group_heard: dict[int, int] = {}
+        self._group_heard_at: dict[int, int] = {}
         serving.quota.routers = serving.retry_budget.routers = members.counted
         serving.quota.knows_late = self.has_delayed_totals
         serving.crashes.relays_updates = self.has_delayed_totals
-        self._followed = '', -_GROUP_SILENT_MS
-        self._looked: tuple[ty.Optional[groups_.Look], int] = None, 0
+        self._accepted_head = '', -_GROUP_TIMEOUT_MS
+        self._cached_groups: tuple[ty.Optional[groups_.Look], int] = None, 0
         self._log = logs.get('peering', router=members.me.name)
 
     def load_beacons(self, view: upstream_view.UpstreamView) -> beacons_.Round:
-        """Return news of this router's work at an upstream, and for whom.
+        """Return a beacon with this router's load at an upstream.
 
-        In a large fleet there are too many to tell each other.
+        Nothing is sent in a large fleet, which has too many routers for each
+        to report to all others.
         """
         if self._groups.is_split():
             return []
@@ -127,7 +131,7 @@
         return [(pb.Beacon(load_news=news), self._members.heard())]
 
     def serving_beacons(self) -> beacons_.Round:
-        """Return updates on crashes and upstreams' limits, for all peers."""
+        """Return crash and upstream limit updates for all peers."""
         crashes, limits = self._serving.crashes, self._serving.limits
         beacon = self.updates.build_serving(
             crashes.updates(), limits.updates()
@@ -135,9 +139,9 @@
         return [(beacon, self._members.peers())]
 
     def receive(self, beacon: pb.Beacon) -> None:
-        """Take in a peer's beacon."""
+        """Apply the contents of a peer's beacon."""
         if beacon.HasField('load_news'):
-            self._take_load(beacon.load_news)
+            self._apply_load(beacon.load_news)
             return
         if beacon.HasField('limit_ask'):
             self.borrowing.handle_request(beacon.limit_ask)
@@ -159,7 +163,7 @@
             self._members.learn(beacon.other)
         for changed in beacon.changed:
             self._members.learn(changed)
-        self._take_totals(beacon)
+        self._apply_totals(beacon)
         if beacon.outage_felt:
             self._outages.hear(member.name, beacon.HasField('own'))
         self.rounds.set_needs_levels(member.name, beacon.untold)
@@ -170,7 +174,7 @@
         self._catch_up.compare(beacon)
 
     def tick(self) -> None:
-        """Take note of who has fallen silent."""
+        """Expire the state of routers and groups that have fallen silent."""
         self._members.tick()
         heard = self._members.heard()
         quota = self._serving.quota
@@ -182,12 +186,14 @@
             else quota_.TOLD_MS
         )
         quota.tick()
-        limit = self._clock.now() - _GROUP_SILENT_MS
-        self._group_heard = {
-            group: at for group, at in self._group_heard.items() if at >= limit
+        oldest = self._clock.now() - _GROUP_TIMEOUT_MS
+        self._group_heard_at = {
+            group: at
+            for group, at in self._group_heard_at.items()
+            if at >= oldest
         }
-        self._outages.forget(limit)
-        look, split = self._look(), self._groups.is_split()
+        self._outages.forget(oldest)
+        look, split = self._current_groups(), self._groups.is_split()
         if split:
             self._totals.add_estimates(self._gaps.tick(self._shares(look)))
         self._totals.prune(
@@ -195,32 +201,32 @@
             look.members_heard()
             if split
             else {peer.member.name for peer in heard},
-            self._group_heard,
+            self._group_heard_at,
             split and not look.leads,
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether others' work is known later than it lasts."""
+        """Return whether load reports arrive after the work may be over."""
         return self._groups.is_split()
 
     def is_outage_felt(self) -> bool:
-        """Return whether what is missing may be missing due to an outage."""
+        """Return whether missing entries may be due to a store outage."""
         is_heard = self._outages.is_heard()
         return is_heard or self._fleet_state.outage.is_felt()
 
-    def _take_load(self, news: pb.LoadNews) -> None:
+    def _apply_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
         if peer is None or not peer.heard_at:
             return
         if news.incarnation == peer.member.incarnation:
             self._table.take_load(news.router, news.load)
 
-    def _take_totals(self, beacon: pb.Beacon) -> None:
-        """Take in what a peer counts, as far as it is the one to tell it."""
+    def _apply_totals(self, beacon: pb.Beacon) -> None:
+        """Apply a peer's totals, as far as this router takes them from it."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_split()
-        look = self._look()
+        look = self._current_groups()
         if beacon.HasField('own'):
             clock.hear(name, beacon.wall_ms)
             counted = not split or (look.leads and look.is_member(name))
@@ -228,93 +234,96 @@
         if beacon.HasField('group'):
             clock.hear(name, beacon.wall_ms)
             group = look.group_of(name)
-            self._group_heard[group] = self._clock.now()
-            told_of = () if beacon.others_alive else look.names_in(group)
-            self._members.hear_some(beacon.alive, told_of)
+            self._group_heard_at[group] = self._clock.now()
+            covered = () if beacon.others_alive else look.names_in(group)
+            self._members.hear_some(beacon.alive, covered)
             counted = split and look.leads
             self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
-                self._close_gap(_source(group), (name, run), look)
-        if beacon.HasField('others') and self._follows(name):
-            told_of = () if beacon.others_alive else self._members.names()
-            self._members.hear_some(beacon.alive, told_of)
+                self._close_gap(_group_source(group), (name, run), look)
+        if beacon.HasField('others') and self._accepts(name):
+            covered = () if beacon.others_alive else self._members.names()
+            self._members.hear_some(beacon.alive, covered)
             counted = split and not look.leads
             if counted:
                 clock.follow(beacon.wall_ms)
             self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
-                self._close_gap(_FLEET, (name, run), look)
+                self._close_gap(_FLEET_SOURCE, (name, run), look)
 
     def _close_gap(
-        self, source: str, teller: tuple[str, int], look: groups_.Look
+        self, source: str, reporter: tuple[str, int], look: groups_.Look
     ) -> None:
-        """Take note that a source is told of."""
+        """Record that a source reports again and add what it had missed."""
         share = self._shares(look).get(source, 0.0)
-        self._totals.add_estimates(self._gaps.hear(source, teller, share))
+        self._totals.add_estimates(self._gaps.hear(source, reporter, share))
 
     def _shares(self, look: groups_.Look) -> dict[str, float]:
-        """Return the parts of the fleet that others tell this router of.
+        """Return the share of the fleet that each source reports on.
 
-        Only of those that count as there: what the others might spend comes
-        off the limits already.
+        Only routers that are heard are included: what the missing ones might
+        spend is deducted from the limits elsewhere.
         """
         whole = self._members.counted()
         if not look.leads:
-            return {_FLEET: len(self._members.heard()) / whole}
+            return {_FLEET_SOURCE: len(self._members.heard()) / whole}
         return {
-            _source(group): look.heard_in(group) / whole
+            _group_source(group): look.heard_in(group) / whole
             for group in range(look.count)
             if group != look.mine
         }
 
-    def _follows(self, head: str) -> bool:
-        """Return whether `head` is the one whose totals are gone by.
+    def _accepts(self, head: str) -> bool:
+        """Return whether the totals of `head` are accepted.
 
-        For a moment two may think that they are; what both tell counts
-        once. The one that this router takes for the head is followed at
-        once, another one only in silence.
+        Two routers may briefly both act as the head; what both report counts
+        only once. The router that is the head in this router's view is
+        accepted at once, any other one only after the accepted head has been
+        silent.
         """
         now = self._clock.now()
-        followed, at = self._followed
-        first = [peer.member.name for peer in self._look().heads()[:1]]
-        known = head == followed or head in first
-        if not known and now - at < _GROUP_SILENT_MS:
+        accepted, at = self._accepted_head
+        expected = [
+            peer.member.name for peer in self._current_groups().heads()[:1]
+        ]
+        is_expected = head == accepted or head in expected
+        if not is_expected and now - at < _GROUP_TIMEOUT_MS:
             return False
-        self._followed = head, now
+        self._accepted_head = head, now
         return True
 
-    def _look(self) -> groups_.Look:
-        """Return the groups, as they were a moment ago at most."""
+    def _current_groups(self) -> groups_.Look:
+        """Return the groups, at most `_GROUPS_TTL_MS` old."""
         now = self._clock.now()
-        look, at = self._looked
-        if look is None or now - at >= _LOOK_MS:
+        look, at = self._cached_groups
+        if look is None or now - at >= _GROUPS_TTL_MS:
             look = self._groups.look()
-            self._looked = look, now
-            self._take_role(look)
+            self._cached_groups = look, now
+            self._update_role(look)
         return look
 
-    def _look_if_split(self) -> ty.Optional[groups_.Look]:
-        return self._look() if self._groups.is_split() else None
+    def _current_groups_if_split(self) -> ty.Optional[groups_.Look]:
+        return self._current_groups() if self._groups.is_split() else None
 
-    def _take_role(self, look: groups_.Look) -> None:
-        """Take note of whether this router leads, and of how many groups.
+    def _update_role(self, look: groups_.Look) -> None:
+        """Record whether this router is a head, and the number of groups.
 
-        Each change of the way by which it hears of the others' counts could
-        count some of them twice.
+        A new role may change the source of the other routers' counts, which
+        must not count any of them twice.
         """
         split = self._groups.is_split()
         role = _Role(split, split and look.leads, look.count if split else 1)
-        known, self._role = self._role, role
-        if role.leads and not known.leads:
+        previous, self._role = self._role, role
+        if role.leads and not previous.leads:
             self.rounds.start_leading()
         if role.leads or not split:
             self._fleet_state.fleet_clock.lead()
-        if role.groups != known.groups:
-            everybody = not split
+        if role.groups != previous.groups:
+            keep_all = not split
             self._totals.retain_members(
-                lambda name: everybody or look.is_member(name)
+                lambda name: keep_all or look.is_member(name)
             )
-        if role != known:
+        if role != previous:
             self._totals.change_source()
             self._gaps.begin(self._shares(look) if split else ())
             self._log.info(
@@ -325,6 +334,6 @@
             )
 
 
-def _source(group: int) -> str:
-    """Return the way by which a head hears of another group."""
+def _group_source(group: int) -> str:
+    """Return the source of the totals that a head receives for a group."""
     return f'group-{group}'
--- a/src/peridotmast/router/quota_borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -1,4 +1,4 @@
-"""Parts of teams' limits that heads lend while a fleet starts as a whole."""
+"""Team quota that group heads lend while a whole fleet starts."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import quota as quota_
 
-_ANSWER_MS = 100
-"""Longest wait for a head's answer, which takes a few ms: a caller may as well
-be told to come back."""
+_ANSWER_TIMEOUT_MS = 100
+"""Longest wait for a head's answer, which takes a few ms. After this time the
+caller is better told to retry."""
 
 
 class QuotaBorrowing:
-    """Asks this router's head for tokens of a team, or lends them as a head.
+    """Borrows team tokens from this router's group head, or lends them.
 
-    A router that has just started knows only its own part of what a team may
-    use. In a large fleet that is less than one request, and few of its
-    routers are asked for one: the parts of a group are of use together.
+    A router that has just started knows only its own share of a team's limit.
+    In a large fleet this share is smaller than one request, and few routers
+    get a request of that team, so that only the pooled shares of a group are
+    of use.
 
     Parameters
     ----------
@@ -29,30 +30,30 @@
         This router and its peers.
     quota : quota.Quota
         The teams' limits.
-    look : callable
-        Returns the groups; None where there are none.
+    current_groups : callable
+        Returns the groups; None if the fleet has none.
     """
 
     def __init__(
         self,
         members: members_.Members,
         quota: quota_.Quota,
-        look: ty.Callable[[], ty.Optional[groups_.Look]],
+        current_groups: ty.Callable[[], ty.Optional[groups_.Look]],
     ) -> None:
         self._members = members
         self._quota = quota
-        self._look = look
+        self._current_groups = current_groups
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, ty.Any] = {}
+        self._pending: dict[int, ty.Any] = {}
         self.send: ty.Callable[
             [pb.Beacon, ty.Sequence[members_.Peer]], None
         ] = lambda beacon, peers: None
-        """Sends a beacon."""
+        """Sends a beacon to some peers."""
 
     def acquire(self, team: str, tokens: int) -> int:
-        """Let a request pass, or say how long to wait, in ms (0: passed).
+        """Take tokens for a request; return the wait in ms, 0 if admitted.
 
-        Asks the head where that is of use, and waits for its answer.
+        Asks the head if that can help, and waits for its answer.
         """
         wait_ms = self._quota.take(team, tokens)
         if not wait_ms or self._quota.is_sure(team):
@@ -60,12 +61,12 @@
         if self._borrow(team, tokens):
             self._quota.take_lent(team, tokens)
             return 0
-        # What is left may have been told meanwhile.
+        # The remaining limit may have been received in the meantime.
         return self._quota.take(team, tokens)
 
     def handle_request(self, ask: pb.LimitAsk) -> None:
-        """Answer a member of this router's group, if it is the head."""
-        peer, look = self._members.get(ask.router), self._look()
+        """Answer a member of this router's group, as its head."""
+        peer, look = self._members.get(ask.router), self._current_groups()
         if peer is None or look is None or not look.leads:
             return
         if not look.is_member(ask.router):
@@ -77,20 +78,20 @@
         self.send(pb.Beacon(limit_answer=answer), [peer])
 
     def handle_answer(self, answer: pb.LimitAnswer) -> None:
-        """Take in what the head says to the ask with a number."""
-        waiting = self._waiting.get(answer.number)
+        """Pass the head's answer on to the request that waits for it."""
+        pending = self._pending.get(answer.number)
         is_mine = answer.incarnation == self._members.me.incarnation
-        if waiting is not None and is_mine and not waiting.ready():
-            waiting.send(answer.lent)
+        if pending is not None and is_mine and not pending.ready():
+            pending.send(answer.lent)
 
     def _borrow(self, team: str, tokens: int) -> bool:
-        look = self._look()
+        look = self._current_groups()
         if look is None:
             return False
         if look.leads:
             return self._lend(look, team, tokens)
         number = next(self._numbers)
-        answered = self._waiting[number] = green.Event()
+        answered = self._pending[number] = green.Event()
         me = self._members.me
         ask = pb.LimitAsk(
             router=me.name,
@@ -102,10 +103,10 @@
         self.send(pb.Beacon(limit_ask=ask), look.heads()[:1])
         lent: ty.Optional[bool] = None
         try:
-            with green.Timeout(_ANSWER_MS / 1000, False):
+            with green.Timeout(_ANSWER_TIMEOUT_MS / 1000, False):
                 lent = answered.wait()
         finally:
-            del self._waiting[number]
+            del self._pending[number]
         if lent is False:
             self._quota.note_used_up(team)
         return bool(lent)
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -1,4 +1,4 @@
-"""One router: its parts, its tasks, its start and its stop."""
+"""A router: its components, its periodic tasks, its start and stop."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 from peridotmast import tracing
 
 LEASE_NAME = 'duties'
-"""Name of the lease on all duties."""
+"""Name of the lease that covers all duties."""
 
 _LEASE_SLACK_MS = 1000
-"""How much longer than the platform's shortest time our lease is."""
+"""How much longer the lease is than the platform's minimum."""
 
 _LEASE_GUARD_MS = 600
-"""Last part of the lease in which no order is begun: what an order may take
-on its way while the platform answers."""
+"""Last part of the lease in which no order is started: the time that an order
+may take while the platform answers."""
 
-_SERVING_GATHER_MS = 20
-"""Delay of updates on crashes and limits, so that one beacon reports all
-requests that lose their connections as an upstream crashes."""
+_SERVING_UPDATE_DELAY_MS = 20
+"""Delay of crash and limit updates, so that one beacon covers all requests
+that lose their connections when an upstream crashes."""
 
 _HOUSEKEEPING_MS = 250
 _LEASE_TICK_MS = 200
@@ -55,14 +55,14 @@
 
 
 class Router:
-    """One router, ready to be started in a daemon or embedded.
+    """A router, for use in a daemon or embedded in another process.
 
     Parameters
     ----------
     file : pb.RouterFile
         Checked settings.
     clock : clock.Clock, optional
-        The machine's by default.
+        The machine's clock by default.
     """
 
     def __init__(
@@ -80,19 +80,19 @@
         self.invariants = invariants_.Invariants(
             self.registry, self.cfg.fatal_invariants
         )
-        """Promises checked while it runs."""
+        """Invariants that are checked at run time."""
         self._tracer = tracing.Tracing(self.cfg.name, file.telemetry)
-        self._is_serving_tell_due = False
+        self._is_serving_update_due = False
         self.is_running = False
-        """Whether it was started and not stopped yet."""
+        """Whether the router was started and not yet stopped."""
         self.fleet_state = fleet_state_.FleetState(
             file, self._clock, self.invariants
         )
-        """What it knows of platform and fleet."""
+        """State of platform and fleet."""
         self.store = self.fleet_state.store
         """The platform's store."""
         self.members = self.fleet_state.members
-        """The routers, this one too."""
+        """All routers, including this one."""
         self.upstream_table = self.fleet_state.upstream_table
         """The upstreams."""
         self.config = self.fleet_state.config
@@ -106,16 +106,16 @@
             self._tracer,
             self._tasks.spawn,
         )
-        """The parts on a request's way."""
-        self._make_peering()
-        self._make_duties()
+        """Components that serve requests."""
+        self._create_peering()
+        self._create_duties()
         self._http_servers = http_servers_.HttpServers(
             file, self._clock, self.fleet_state, self.serving, self.registry
         )
         self.config.listen(self._configure)
-        self.upstream_table.listen(lambda view: self._see_ready())
+        self.upstream_table.listen(lambda view: self._update_readiness())
 
-    def _make_peering(self) -> None:
+    def _create_peering(self) -> None:
         cfg, tls = self.cfg, self._file.tls
         self._rpc = rpc.RpcServer(cfg.peer_listen, tls)
         self._peers = rpc.RpcClient(pb_grpc.PeerStub, tls)
@@ -130,7 +130,7 @@
             _LEASE_GUARD_MS,
             self._clock,
         )
-        """The lease on all duties."""
+        """The lease that covers all duties."""
         self._catch_up = catch_up_.CatchUp(
             self._clock, self.fleet_state, self._peers, self._tasks.spawn
         )
@@ -150,21 +150,21 @@
             self._peering.rounds.next_round,
             self._peering.updates.build,
             self._peering.receive,
-            _secret(tls),
+            _read_secret(tls),
         )
-        """What the routers tell each other."""
+        """Sends and receives the beacons between routers."""
         self._peering.borrowing.send = self.beacons.send
         self.serving.gateway.take = self._peering.borrowing.acquire
         self.serving.gateway.is_behind = (
             self._catch_up.config_fetcher.is_behind
         )
-        self.serving.placement.tell = self._tell_load
+        self.serving.placement.tell = self._send_load
         self.serving.placement.knows_late = self._peering.has_delayed_totals
-        self.serving.crashes.tell = self._tell_serving_soon
-        self.serving.limits.tell = self._tell_serving_soon
+        self.serving.crashes.tell = self._schedule_serving_update
+        self.serving.limits.tell = self._schedule_serving_update
         self.serving.crashes.may_retry = self.lease.may_act
 
-    def _make_duties(self) -> None:
+    def _create_duties(self) -> None:
         platform, bounds = self._file.platform, self._file.bounds
         fleet_now = self.fleet_state.fleet_clock.now
         self._cloud = cloud_api.PlatformCloud(
@@ -191,7 +191,7 @@
             fleet_now,
             self.invariants,
         )
-        self._holder = holder_.DutyHolder(
+        self._duty_holder = holder_.DutyHolder(
             self.lease,
             self.members,
             (
@@ -200,38 +200,38 @@
                 crash_blocks.CrashBlocks(self.serving.crashes),
             ),
             self._clock,
-            self._tell_heirs,
+            self._send_lease,
             fleet_now,
         )
 
     @property
     def address(self) -> ids.Address:
-        """Address of the platform's callers."""
+        """Address for callers of the platform."""
         return self._http_servers.platform.address
 
     @property
     def chat_address(self) -> str:
-        """Address of the chat API; empty where there is none."""
+        """Address of the chat API; empty if it is not served."""
         return (
             self._http_servers.chat.address if self._http_servers.chat else ''
         )
 
     @property
     def peer_address(self) -> str:
-        """Address of the peers' and operators' gRPC."""
+        """Address of the gRPC services for peers and operators."""
         return self._rpc.address
 
-    def address_of(self, what: str) -> str:
+    def address_of(self, server: str) -> str:
         """Return the address of ``ready``, ``directory`` or ``metrics``."""
-        return self._http_servers.auxiliary[what].address
+        return self._http_servers.auxiliary[server].address
 
     def start(self) -> None:
-        """Begin to learn and to serve.
+        """Start to collect state and to serve.
 
         Raises
         ------
         OSError
-            If an address can't be listened on.
+            If an address cannot be listened on.
         """
         self._start_rpc()
         self.members.change_me(
@@ -254,19 +254,19 @@
         )
 
     def drain(self) -> None:
-        """Stop as planned: cut off nothing."""
+        """Finish the running requests before a planned stop."""
         drain_.Drain(
             self._clock,
             self.members,
             self._announce,
             self._http_servers.close_idle,
             self.serving.gateway,
-            self._holder.release,
+            self._duty_holder.release,
             int(self._file.bounds.grace_s * 1000),
         ).run()
 
     def stop(self) -> None:
-        """End, at once; call `drain` before for a planned stop."""
+        """Stop at once; call `drain` first for a planned stop."""
         if not self.is_running:
             return
         self.is_running = False
@@ -281,7 +281,7 @@
         self._log.info('stopped')
 
     def apply_settings(self, file: pb.RouterFile) -> None:
-        """Take changed settings in; addresses listened on stay as they are."""
+        """Apply changed settings, except for the addresses listened on."""
         self._file = file
         self.store.address = file.platform.objects
         self._cloud.address = file.platform.cloud
@@ -317,41 +317,43 @@
     def _start_tasks(self) -> None:
         every = self._tasks.every
         self.fleet_state.start(
-            self._tasks, self._peering.is_outage_felt, self._tell_news
+            self._tasks, self._peering.is_outage_felt, self._send_changes
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
-        every('keep_house', _HOUSEKEEPING_MS, self._keep_house)
-        every('lease', _LEASE_TICK_MS, self._holder.keep_lease)
-        every('duties', _DUTY_TICK_MS, self._holder.act)
+        every('keep_house', _HOUSEKEEPING_MS, self._run_housekeeping)
+        every('lease', _LEASE_TICK_MS, self._duty_holder.keep_lease)
+        every('duties', _DUTY_TICK_MS, self._duty_holder.act)
 
     def _announce(self) -> None:
-        """Tell the peers at once what has changed of this router."""
+        """Send this router's changed entry to the peers at once."""
         self.beacons.send_news()
         self.beacons.send_round()
 
-    def _tell_heirs(self, heirs: ty.Sequence[pb.Member]) -> None:
-        found = [self.members.get(member.name) for member in heirs]
+    def _send_lease(self, successors: ty.Sequence[pb.Member]) -> None:
+        found = [self.members.get(member.name) for member in successors]
         beacon = self._peering.updates.build_lease(self.lease.hint())
         self.beacons.send(beacon, [peer for peer in found if peer])
 
-    def _tell_load(self, view: upstream_view.UpstreamView) -> None:
+    def _send_load(self, view: upstream_view.UpstreamView) -> None:
         for beacon, peers in self._peering.load_beacons(view):
             self.beacons.send(beacon, peers)
 
-    def _tell_serving_soon(self) -> None:
+    def _schedule_serving_update(self) -> None:
         """Schedule updates on crashes and limits, unless already scheduled."""
-        if not self._is_serving_tell_due:
-            self._is_serving_tell_due = True
-            green.call_after_ms(_SERVING_GATHER_MS, self._tell_serving)
-
-    def _tell_serving(self) -> None:
-        self._is_serving_tell_due = False
+        if not self._is_serving_update_due:
+            self._is_serving_update_due = True
+            green.call_after_ms(
+                _SERVING_UPDATE_DELAY_MS, self._send_serving_update
+            )
+
+    def _send_serving_update(self) -> None:
+        self._is_serving_update_due = False
         for beacon, peers in self._peering.serving_beacons():
             self.beacons.send(beacon, peers)
 
-    def _tell_news(self) -> None:
-        """Tell those who don't watch that there is news."""
+    def _send_changes(self) -> None:
+        """Send changes to the peers that do not watch the store themselves."""
         if not self.fleet_state.watchers.all_watch():
             self.beacons.send_news()
 
@@ -359,20 +361,20 @@
         if self.config.routes.version:
             self.serving.gateway.configure(config)
         self._http_servers.set_limits(config.limits)
-        self._see_ready()
+        self._update_readiness()
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         self.fleet_state.tick()
         self._peering.tick()
         self._catch_up.tick()
         self.serving.tick()
-        self._see_ready()
+        self._update_readiness()
 
-    def _see_ready(self) -> None:
-        """Take callers as soon as it is known what to do with them."""
+    def _update_readiness(self) -> None:
+        """Mark this router as ready once it knows how to route requests."""
         me = self.members.me
-        knows = self.fleet_state.has_config_and_upstreams
-        if knows and not me.ready and me.state == members_.ALIVE:
+        can_route = self.fleet_state.has_config_and_upstreams
+        if can_route and not me.ready and me.state == members_.ALIVE:
             self.members.change_me(ready=True)
             self._announce()
             self._log.info('ready', config=self.config.routes.version)
@@ -381,7 +383,7 @@
         self._log.error('task_failed', task=name, error=repr(exc))
 
 
-def _secret(tls: pb.TlsSettings) -> bytes:
+def _read_secret(tls: pb.TlsSettings) -> bytes:
     if not tls.secret_file:
         return b''
     with open(tls.secret_file, 'rb') as file:
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -1,4 +1,4 @@
-"""The parts on a request's way, joined for one router."""
+"""Creates and connects the components that serve requests in a router."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from peridotmast import tracing
 from peridotmast.wire import pool as pool_
 
-_MOVE_MS = 1000
-"""Bound on moving a stream's memory to another engine."""
+_MOVE_TIMEOUT_MS = 1000
+"""Bound on moving the KV memory of a stream to another engine."""
 
 
 class Serving:
-    """Makes the gateway and all that stands behind it.
+    """Creates the gateway and the components behind it.
 
     Parameters
     ----------
@@ -47,11 +47,11 @@
     registry : prometheus_client.CollectorRegistry
         Metrics.
     checks : invariants.Invariants
-        Promises that are checked on the way.
+        Invariants that are checked at run time.
     tracer : tracing.Tracing
         Opens spans.
     spawn : callable
-        Runs a task.
+        Runs a function in a task.
     """
 
     def __init__(
@@ -69,22 +69,22 @@
         self._checks = checks
         self._tracer = tracer
         self.decisions = decisions_.Decisions(clock, cfg.name)
-        """What was decided on each request."""
+        """Decisions on each request."""
         self.usage = usage_.Usage(
             fleet_state.fleet_clock.now, int(bounds.usage_window_s * 1000)
         )
-        """Requests that upstreams began."""
+        """Counts requests that upstreams have started."""
         self.quota = quota_.Quota(clock)
-        """The teams' limits."""
+        """Limits of the teams."""
         self.demand = demand_.Demand(clock)
-        """What the services are asked for."""
+        """Demand for each service."""
         self.retry_budget = retry_budget.RetryBudget(
             clock,
             bounds.budget_ratio,
             int(bounds.budget_window_s * 1000),
             bounds.budget_slack,
         )
-        """How many repeats may be sent."""
+        """Limits the number of retries."""
         self.crashes = crash_tracker_.CrashTracker(clock, cfg.name)
         """Tracks requests that crash upstreams."""
         self.limits = upstream_limits_.UpstreamLimits(clock, cfg.name)
@@ -107,7 +107,7 @@
             cfg.name,
             self.limits,
         )
-        """Which upstream each request goes to."""
+        """Chooses an upstream for each request."""
         self._relay = stream_relay.StreamRelay(
             clock,
             self._sender,
@@ -121,7 +121,7 @@
             clock,
             self._relay,
             self.placement,
-            engine_control.EngineControl(_MOVE_MS),
+            engine_control.EngineControl(_MOVE_TIMEOUT_MS),
             self.decisions,
             spawn,
             bounds.drain_ms,
@@ -130,24 +130,24 @@
         fleet_state.upstream_table.listen_ends(self._sender.run_ended)
         self.gateway = gateway_.Gateway(
             clock,
-            self._make_desk(),
+            self._create_desk(),
             self.quota,
             self.demand,
             self._metrics,
             self.decisions,
             tracer,
         )
-        """The one way of a request."""
+        """Handles the requests."""
 
     def tick(self) -> None:
-        """Take rates from here on; close connections that are too old."""
+        """Update rates and close expired connections."""
         self.pool.drop_old()
         self.demand.tick()
         self.crashes.tick()
         self.limits.tick()
 
     def apply_settings(self, file: pb.RouterFile) -> None:
-        """Take changed settings in."""
+        """Apply changed settings."""
         bounds = file.bounds
         self.pool.connect_ms = file.router.connect_ms
         self.retry_budget.set_limits(
@@ -156,7 +156,7 @@
             bounds.budget_slack,
         )
 
-    def _make_desk(self) -> desk_.Desk:
+    def _create_desk(self) -> desk_.Desk:
         return desk_.Desk(
             self._clock,
             self._sender,
--- a/src/peridotmast/router/settings_watch.py
+++ b/src/peridotmast/router/settings_watch.py
@@ -1,4 +1,4 @@
-"""A settings file that may change while the program runs."""
+"""Reloads a settings file that changes while the program runs."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class SettingsWatch(ty.Generic[M]):
-    """Looks at the file, with or without a signal, and hands changes on.
+    """Reloads a file, periodically or on a signal, and applies its changes.
 
-    Settings that are found wrong change nothing: the program goes on with
-    those it has, and the log says what is wrong where.
+    Invalid settings change nothing: the program keeps the current ones, and
+    the findings are logged.
 
     Parameters
     ----------
@@ -41,18 +41,18 @@
         self._current = current
         self._load = load
         self._apply = apply
-        self._seen = self._read()
+        self._last_text = self._read()
         self._log = logs.get('settings')
 
     def reload_if_changed(self) -> None:
-        """Take in the file if its text has changed."""
+        """Apply the settings if the text of the file has changed."""
         text = self._read()
-        if text is None or text == self._seen:
+        if text is None or text == self._last_text:
             return
-        self._seen = text
-        settings, found = self._load(self._path)
-        if found:
-            self._log.error('settings_refused', findings=str(found)[:500])
+        self._last_text = text
+        settings, findings = self._load(self._path)
+        if findings:
+            self._log.error('settings_refused', findings=str(findings)[:500])
             return
         if settings == self._current:
             return
@@ -65,6 +65,6 @@
             with open(self._path, encoding='utf-8') as file:
                 return file.read()
         except (OSError, UnicodeDecodeError) as exc:
-            # It may be on the point of being replaced.
-            logs.get('settings').warning('settings_unread', error=str(exc))
+            # The file may be in the middle of being replaced.
+            logs.get('settings').warning('settings_unreadable', error=str(exc))
             return None
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -1,4 +1,4 @@
-"""What routers count together: spends, demand, usage and work."""
+"""Counts shared between routers: spends, demand, usage and upstream load."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 
-_FLEET = '|fleet'
-"""Whom the work of all others is entered for, where a head tells of it; no
-router has such a name."""
+_FLEET_NAME = '|fleet'
+"""Name under which a member enters the load of all other routers as its head
+reports it; no router can have this name."""
 
 Loads = ty.Iterable[pb.UpstreamLoad]
 
-_Loads = list[pb.UpstreamLoad]
+_LoadList = list[pb.UpstreamLoad]
 
-_Work = dict[tuple[str, int], tuple[int, int, int]]
-"""Requests, unread tokens and tokens in memory by upstream and its run; there
-are requests wherever there is work."""
+_LoadSums = dict[tuple[str, int], tuple[int, int, int]]
+"""Running requests, unread prompt tokens and tokens in memory by upstream name
+and run. Every entry with any load has running requests."""
 
-_NOTHING = (0, 0, 0)
+_NO_LOAD = (0, 0, 0)
 
 
 class SharedTotals:
-    """Counts of this router, of those it hears, and of all.
+    """Counts of this router, of the routers it hears, and of the whole fleet.
 
     Parameters
     ----------
     serving : serving.Serving
-        What is counted on the way of requests.
+        Components that count requests.
     table : upstreams.UpstreamTable
-        Where work is entered.
+        Table in which the load of other routers is entered.
     """
 
     def __init__(
@@ -47,14 +47,14 @@
         self._spends = tally.Tally(
             self._quota.spent, self._quota.spent_elsewhere
         )
-        self._asked = tally.Tally(
+        self._offered = tally.Tally(
             self._demand.counts, self._demand.offered_elsewhere
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
         self._group_loads: dict[int, list[pb.UpstreamLoad]] = {}
 
     def own(self) -> pb.Totals:
-        """Return what this router itself counts and has in work."""
+        """Return this router's own counts and load."""
         return pb.Totals(
             spends=_spends(self._quota.spent()),
             loads=self._table.my_loads(),
@@ -63,101 +63,102 @@
         )
 
     def group(self) -> pb.Totals:
-        """Return what this router and the members that it heads have."""
+        """Return the totals of this router's group, for a head."""
         return pb.Totals(
             spends=_spends(self._spends.group()),
-            loads=_listed(_add_up(self._members_loads())),
+            loads=_to_messages(_summed(self._members_loads())),
             usage=self._usage.group(),
-            demand=_demand(self._asked.group(), self._readings()),
+            demand=_demand(self._offered.group(), self._prefill_speeds()),
         )
 
     def totals_for_members(
         self, members: ty.Sequence[str]
     ) -> ty.Iterator[tuple[str, pb.Totals]]:
-        """Yield for each of some members what all but that one have.
+        """Yield for each of `members` the totals of all routers except it.
 
-        All of it is added up once, and each member's own is taken off again:
-        adding up for each what all the others have would grow with the
-        square of a group.
+        The sum over all is computed once, and each member's own part is
+        subtracted: separate sums would cost time quadratic in the group size.
         """
-        loads = _add_up([*self._members_loads(), *self._group_loads.values()])
-        readings = self._readings()
-        told = zip(
+        loads = _summed([*self._members_loads(), *self._group_loads.values()])
+        speeds = self._prefill_speeds()
+        rows = zip(
             members,
             self._spends.others(members),
-            self._asked.others(members),
+            self._offered.others(members),
             self._usage.others(members),
             strict=True,
         )
-        for member, spent, asked, used in told:
-            own = _add_up([self._loads.get(member, ())])
+        for member, spent, offered, used in rows:
+            own = _summed([self._loads.get(member, ())])
             yield (
                 member,
                 pb.Totals(
                     spends=_spends(spent),
-                    loads=_listed(loads, without=own),
+                    loads=_to_messages(loads, except_for=own),
                     usage=used,
-                    demand=_demand(asked, readings),
+                    demand=_demand(offered, speeds),
                 ),
             )
 
     def update_peer(
         self, router: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
-        """Take in what another router counts and has in work.
+        """Update the counts and the load of another router.
 
         Parameters
         ----------
         counted : bool
-            Whether it is counted by this way; else it is kept for the time
-            when this router is the head.
+            Whether this router takes the peer's counts from this message.
+            Otherwise they are only kept in case this router becomes the head.
         """
         self._spends.hear(router, run, _by_team(totals), counted)
-        self._asked.hear(router, run, _by_service(totals), counted)
+        self._offered.hear(router, run, _by_service(totals), counted)
         self._usage.hear(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
             self._table.take_loads(router, totals.loads)
-            self._hear_readings(router, totals)
+            self._update_prefill_speeds(router, totals)
 
     def update_group(
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
-        """Take in from another head what its group has."""
+        """Update the totals of another group from its head."""
         self._spends.hear_group(group, head, run, _by_team(totals), counted)
-        self._asked.hear_group(group, head, run, _by_service(totals), counted)
+        self._offered.hear_group(
+            group, head, run, _by_service(totals), counted
+        )
         self._usage.hear_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
             self._table.take_loads(_group_name(group), totals.loads)
-            self._hear_readings(head, totals)
+            self._update_prefill_speeds(head, totals)
 
     def update_fleet(
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
-        """Take in from the own head what all others have."""
+        """Update the totals of all other routers from this router's head."""
         self._spends.follow(head, run, _by_team(totals), counted)
-        self._asked.follow(head, run, _by_service(totals), counted)
+        self._offered.follow(head, run, _by_service(totals), counted)
         self._usage.follow(totals.usage)
         if counted:
-            self._table.take_loads(_FLEET, totals.loads)
-            self._hear_readings(head, totals)
+            self._table.take_loads(_FLEET_NAME, totals.loads)
+            self._update_prefill_speeds(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
-        """Take in what others may have spent while nobody told of it."""
+        """Add what others may have spent while nobody reported it."""
         if spends:
             self._spends.reckon(spends)
 
     def retain_members(self, is_member: ty.Callable[[str], bool]) -> None:
-        """Begin anew with groups that are not those of before."""
+        """Drop the state of all routers but members after a regrouping."""
         self._group_loads = {}
         self._loads = {r: v for r, v in self._loads.items() if is_member(r)}
         self._usage.regroup(is_member)
 
     def change_source(self) -> None:
-        """Count what others do by another way from now on."""
+        """Take the other routers' counts from another source from now on."""
         self._spends.switch()
-        self._asked.switch()
+        self._offered.switch()
 
     def prune(
         self,
@@ -166,28 +167,28 @@
         groups: ty.Collection[int],
         follows: bool,
     ) -> None:
-        """Drop what came from those who are not there any more.
+        """Drop the state of routers and groups that are gone.
 
         Parameters
         ----------
         known : collection of str
             Routers whose counts are kept.
         heard : collection of str
-            Routers whose own word of their work still counts.
+            Routers whose own reports of their load are kept.
         groups : collection of int
-            Groups whose work still counts.
+            Groups whose load is kept.
         follows : bool
-            Whether a head tells of the work of all others.
+            Whether a head reports the load of all other routers.
         """
         self._spends.forget(known)
-        self._asked.forget(known)
+        self._offered.forget(known)
         self._demand.forget(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({_FLEET})
+            self._table.forget_loads({_FLEET_NAME})
             return
         names = {_group_name(group) for group in self._group_loads}
         self._table.forget_loads({*self._loads, *names})
@@ -195,13 +196,13 @@
     def _members_loads(self) -> list[Loads]:
         return [self._table.my_loads(), *self._loads.values()]
 
-    def _readings(self) -> dict[str, float]:
+    def _prefill_speeds(self) -> dict[str, float]:
         found = {s: self._demand.reading(s) for s in self._demand.counts()}
         return {service: speed for service, speed in found.items() if speed}
 
-    def _hear_readings(self, teller: str, totals: pb.Totals) -> None:
+    def _update_prefill_speeds(self, reporter: str, totals: pb.Totals) -> None:
         speeds = {d.service: d.reading for d in totals.demand}
-        self._demand.hear_readings(teller, speeds)
+        self._demand.hear_readings(reporter, speeds)
 
 
 def _group_name(group: int) -> str:
@@ -213,11 +214,11 @@
 
 
 def _demand(
-    counts: dict[str, int], readings: dict[str, float]
+    counts: dict[str, int], speeds: dict[str, float]
 ) -> list[pb.ServiceDemand]:
     return [
         pb.ServiceDemand(
-            service=service, tokens=tokens, reading=readings.get(service, 0)
+            service=service, tokens=tokens, reading=speeds.get(service, 0)
         )
         for service, tokens in counts.items()
     ]
@@ -231,12 +232,12 @@
     return {demand.service: demand.tokens for demand in totals.demand}
 
 
-def _add_up(parts: ty.Iterable[Loads]) -> _Work:
-    """Return the work at each run of an upstream, of all parts together."""
-    found: _Work = {}
+def _summed(parts: ty.Iterable[Loads]) -> _LoadSums:
+    """Return the sum of some loads by upstream and run."""
+    found: _LoadSums = {}
     for load in (load for part in parts for load in part):
         key = load.upstream, load.born
-        running, unread, memory = found.get(key, _NOTHING)
+        running, unread, memory = found.get(key, _NO_LOAD)
         found[key] = (
             running + load.running,
             unread + load.unread,
@@ -245,12 +246,14 @@
     return found
 
 
-def _listed(work: _Work, without: ty.Optional[_Work] = None) -> _Loads:
-    """Return work as it is told, less what one router has of it."""
-    less = without or {}
+def _to_messages(
+    sums: _LoadSums, except_for: ty.Optional[_LoadSums] = None
+) -> _LoadList:
+    """Return load entries for a message, less the load of one router."""
+    subtracted = except_for or {}
     found = []
-    for (upstream, born), (running, unread, memory) in work.items():
-        own = less.get((upstream, born), _NOTHING)
+    for (upstream, born), (running, unread, memory) in sums.items():
+        own = subtracted.get((upstream, born), _NO_LOAD)
         if running > own[0]:
             found.append(
                 pb.UpstreamLoad(
--- a/src/peridotmast/router/update_beacons.py
+++ b/src/peridotmast/router/update_beacons.py
@@ -1,4 +1,4 @@
-"""Beacons with updates that a router sends to all others between rounds."""
+"""Beacons that a router sends to all others between rounds."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_MOST = 12
-"""Statements on upstreams that are told with a word of news: packed, they
-leave it within one packet of 1,500 bytes."""
+_MAX_RECORDS = 12
+"""Most upstream records in an update beacon: packed, it then fits into one
+packet of 1,500 bytes."""
 
 
 class UpdateBeacons:
-    """Fills and takes in words of news.
+    """Builds and receives update beacons.
 
-    One says how new its teller's knowledge is, and what has changed of
-    upstreams since its last one: else each peer would ask for that.
+    An update beacon states the versions of the sender's state and the upstream
+    records that changed since its previous one. Without the records, each peer
+    would call the sender to fetch them.
 
     Parameters
     ----------
     fleet_state : fleet_state.FleetState
-        What is known from the store, and of the members.
+        State from the store, and the members.
     catch_up : catch_up.CatchUp
-        Takes statements in, and asks for what did not come along.
+        Merges records and fetches those that a beacon omits.
     """
 
     def __init__(
@@ -33,21 +34,21 @@
         self._fleet_state = fleet_state
         self._table = fleet_state.upstream_table
         self._catch_up = catch_up
-        self._told_revision = 0
+        self._sent_revision = 0
 
     def build(self) -> pb.Beacon:
-        """Return what is new of this router."""
-        since, self._told_revision = self._told_revision, self._table.revision
+        """Return a beacon with the changes since the previous one."""
+        since, self._sent_revision = self._sent_revision, self._table.revision
         changed = self._table.told_since(since)
-        beacon = _word(self._fleet_state)
+        beacon = _empty_update(self._fleet_state)
         beacon.upstreams_since = since
-        if len(changed) <= _MOST:
+        if len(changed) <= _MAX_RECORDS:
             beacon.upstreams.extend(changed)
         return beacon
 
     def build_lease(self, hint: ty.Optional[pb.LeaseHint]) -> pb.Beacon:
-        """Return until when the lease on the duties is held here."""
-        beacon = _word(self._fleet_state)
+        """Return a beacon with the state of the lease on the duties."""
+        beacon = _empty_update(self._fleet_state)
         if hint is not None:
             beacon.lease.CopyFrom(hint)
         return beacon
@@ -57,20 +58,20 @@
         suspects: ty.Iterable[pb.CrashSuspect],
         limits: ty.Iterable[pb.UpstreamLimit],
     ) -> pb.Beacon:
-        """Return a beacon with updates on crashes and upstreams' limits."""
-        beacon = _word(self._fleet_state)
+        """Return a beacon with crash and upstream limit updates."""
+        beacon = _empty_update(self._fleet_state)
         beacon.crash_suspects.extend(suspects)
         beacon.upstream_limits.extend(limits)
         return beacon
 
     def receive(self, beacon: pb.Beacon) -> None:
-        """Take a peer's news in."""
+        """Apply a peer's update beacon."""
         self._catch_up.merge_upstreams(beacon)
         self._catch_up.compare(beacon)
 
 
-def beacon_of(fleet_state: fleet_state_.FleetState) -> pb.Beacon:
-    """Return who a router is and how new its knowledge is."""
+def base_beacon(fleet_state: fleet_state_.FleetState) -> pb.Beacon:
+    """Return a beacon with this router's member entry and state versions."""
     return pb.Beacon(
         member=fleet_state.members.me,
         config_version=fleet_state.config.routes.version,
@@ -79,8 +80,8 @@
     )
 
 
-def _word(fleet_state: fleet_state_.FleetState) -> pb.Beacon:
-    """Return what each word of news says."""
-    beacon = beacon_of(fleet_state)
+def _empty_update(fleet_state: fleet_state_.FleetState) -> pb.Beacon:
+    """Return an update beacon without any changes."""
+    beacon = base_beacon(fleet_state)
     beacon.news_only = True
     return beacon
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -103,15 +103,15 @@
     Mutation(
         'trust a new head that routers are missing',
         ROUTER + 'beacon_rounds.py',
-        'base.others_alive = led_ms < _LED_MS',
+        'base.others_alive = head_ms < _HEAD_WARMUP_MS',
         'base.others_alive = False',
         'groups',
     ),
     Mutation(
         'ignore a new head until the old one times out',
         ROUTER + 'peering.py',
-        'known = head == followed or head in first',
-        'known = head == followed',
+        'is_expected = head == accepted or head in expected',
+        'is_expected = head == accepted',
         'groups',
     ),
     Mutation(
@@ -590,8 +590,8 @@
     Mutation(
         'end the drain before requests have finished',
         'peridotmast/router/drain.py',
-        'return spent_ms >= _LISTEN_MS and not self._gateway.in_work',
-        'return spent_ms >= 100',
+        'return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_work',
+        'return elapsed_ms >= 100',
         'router_stop',
     ),
     Mutation(
@@ -695,7 +695,7 @@
     Mutation(
         'send the remaining limits to no peer',
         ROUTER + 'beacon_rounds.py',
-        'if not untold:',
+        'if not lacking:',
         'if True:',
         'groups',
     ),
@@ -1030,7 +1030,7 @@
     Mutation(
         'restart every watch for an update of one kind',
         ROUTER + 'fleet_state.py',
-        'if watch.kind in _KINDS[what]:',
+        'if watch.kind in _KINDS_OF_PART[part]:',
         'if True:',
         'store_reads',
     ),
