--- a/features/config.feature
+++ b/features/config.feature
@@ -1,62 +1,63 @@
-Feature: An accepted configuration is in force everywhere and never reverts
+Feature: An accepted configuration comes into force everywhere and never reverts
 
   Scenario: A change reaches every router
     Given a fleet of 4 routers
     When the operators change the configuration 5 times
-    Then the last one is in force everywhere within 2000 ms
+    Then every router has the last version in force within 2000 ms
 
-  Scenario: A stale peer and a stale read change nothing
+  Scenario: Older versions from a peer and from the store are ignored
     Given a fleet of 2 routers
     When the operators change the configuration 2 times
     And an older version is offered to a router
-    Then the last one is in force everywhere within 2000 ms
+    Then every router has the last version in force within 2000 ms
 
-  Scenario: A router that the store turns away hears of it from its peers
+  Scenario: A router that the store refuses gets the configuration from its peers
     Given a fleet of 3 routers
-    When one router's store calls fail from then on
+    When all further store calls of one router fail
     And the operators change the configuration 1 times
-    Then the last one is in force everywhere within 3000 ms
+    Then every router has the last version in force within 3000 ms
 
-  # By reading: who watches is chosen by who is heard, not by whom the store answers.
-  Scenario: All that watch for the others are turned away by the store
+  # Watchers are chosen among the routers that are heard, whether or not the store
+  # answers them, so that the store may refuse all of them. Found by reading the code.
+  Scenario: The store refuses all routers that watch on behalf of the others
     Given a fleet of 12 routers
-    When the store calls of all that watch the configuration fail from then on
+    When all further store calls of the routers that watch the configuration fail
     And the operators change the configuration 1 times
-    Then the last one is in force everywhere within 5000 ms
+    Then every router has the last version in force within 5000 ms
 
-  Scenario: A router that starts in an outage has it from its peers
+  Scenario: A router that starts during an outage gets the configuration from its peers
     Given a fleet of 2 routers
     When the operators change the configuration 1 times
-    And the store is out and a third router starts
-    Then the last one is in force everywhere within 4000 ms
+    And the store is unavailable and a third router starts
+    Then every router has the last version in force within 4000 ms
 
-  Scenario: The store forgets its history
+  Scenario: The store compacts its history
     Given a fleet of 2 routers
-    When the store forgets its history while changes are made
-    Then the last one is in force everywhere within 4000 ms
+    When the store compacts its history while the configuration changes
+    Then every router has the last version in force within 4000 ms
 
   Scenario: A malformed configuration changes nothing
     Given a fleet of 1 routers
-    When the operators write something malformed
-    Then the version before stays in force
+    When the operators write a malformed configuration
+    Then the previous version stays in force
 
-  Scenario: Operators race for the product's own document
+  Scenario: Two operators commit documents at the same time
     Given a fleet of 2 routers
-    When two operators commit from the same version
-    Then one is told of the other's change
-    And both routers have the winner's document within 2000 ms
+    When two operators commit documents based on the same version
+    Then exactly one of the commits fails with a conflict
+    And both routers have the committed document within 2000 ms
 
-  Scenario: An operator whose base is behind changes nothing
+  Scenario: A commit based on an outdated version is rejected
     Given a fleet of 1 routers
-    When an operator commits from a base that is behind
-    Then that one is told of the conflict and the newer document stays
+    When an operator commits a document based on an outdated version
+    Then the commit fails with a conflict and the newer document stays
 
   Scenario: The reply to a commit is lost
     Given a fleet of 1 routers
     When a document is committed and the reply is lost
-    Then the commit is known to have taken effect
+    Then the commit is reported as successful
 
-  Scenario: A document that belongs elsewhere is refused as a whole
+  Scenario: A document with a section that belongs elsewhere is refused as a whole
     When this document is checked
       """
       [model a]
@@ -72,5 +73,5 @@
       """
     Then the findings name "unknown model b" and "belongs into the platform" and "must be one of planner"
 
-  Scenario: Versions and documents in any order
-    Then in 100 random orders the highest version is in force
+  Scenario: Routes and documents arrive in any order
+    Then the highest version is in force after updates in 100 random orders
--- a/features/duties.feature
+++ b/features/duties.feature
@@ -11,7 +11,7 @@
     When requests go on while the holder of the duties is killed
     Then reports go on with a higher number
     And no two reports of a window differ
-    And no call to the platform came with a lower number
+    And no platform call carried an outdated fencing token
 
   # Seen: a report of usage with the former holder's number came 150 ms after the
   # next holder's. How: the holder was cut off from the store. It saw that it had the
@@ -24,7 +24,7 @@
     When the store keeps the holder waiting until another one has the duties
     Then reports go on with a higher number
     And the former holder has been answered by the store
-    And no call to the platform came with a lower number
+    And no platform call carried an outdated fencing token
 
   Scenario: What is on its way when a call is given up does not arrive later
     Given a platform that takes in little and answers nothing
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,11 +1,11 @@
 Feature: Entries, configurations and messages that others have written
 
   Scenario Outline: An entry that is not as it must be names no upstream
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" has <value> for "<field>"
-    Then "b, c" may get new work
-    When the entry of "a" is back
-    Then "a, b, c" may get new work
+    Then "b, c" may get new requests
+    When the entry of "a" reappears
+    Then "a, b, c" may get new requests
 
     Examples:
       | field          | value                   |
@@ -27,13 +27,13 @@
       | seq            | null                    |
 
   Scenario: Values of another type stand for no entry
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     Then "a" may get no work while its entry is null, [], "a", 7 or {}
 
   Scenario: One entry that can't be read does not hide those behind it
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When "a" turns unreadable in one change with one of "b" that says that it leaves
-    Then "c" may get new work
+    Then "c" may get new requests
 
   Scenario: Whatever an entry holds, it is read or refused with its findings
     Then no entry of 600 drawn ones raises anything else, and each that is read can be used
@@ -65,9 +65,9 @@
     Then nothing has changed and the peer is named in the log
 
   Scenario: A peer's word of an address that is none takes the upstream out
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When a peer tells of "a" with the address "nonsense"
-    Then "b, c" may get new work
+    Then "b, c" may get new requests
 
   Scenario Outline: A beacon with a number that can't be is not taken in
     Then a beacon with <count> for <what> is <taken>
--- a/features/router_stop.feature
+++ b/features/router_stop.feature
@@ -1,76 +1,75 @@
-Feature: A planned stop cuts off nothing
+Feature: A planned stop cuts off no requests
 
-  Scenario: What is in work ends, and callers go elsewhere
+  Scenario: Running requests finish and callers go to other routers
     Given a fleet of 3 routers
-    When a router is told to stop while it serves 4 streams of 60 tokens
-    Then all of them are complete and in order
-    And it is out of the directory and not ready at once
-    And new connections are served while it lasts, one request each
-    And the router is empty within its grace time
+    When a router starts to drain while it serves 4 streams of 60 tokens
+    Then all streams are complete and in order
+    And the draining router is at once in no directory and not ready
+    And new connections are served for one request each during the drain
+    And the drain ends within the grace time and no request is running
 
-  Scenario: What a stopping router may not finish it does not begin
+  Scenario: A draining router refuses requests that may outlast its grace time
     Given a fleet of 2 routers
-    When a router is told to stop while it serves 2 streams of 600 tokens
-    Then after 2100 ms a stream that may last longer than it is refused
-    And a request that ends in time is served
+    When a router starts to drain while it serves 2 streams of 600 tokens
+    Then after 2100 ms a stream that may outlast the grace time is refused
+    And a request with a short deadline is served
 
-  Scenario: A router does not end before what is in work
+  Scenario: A drain lasts until all running requests have finished
     Given a fleet of 2 routers
-    When a router is told to stop while it serves 2 streams of 300 tokens
-    Then it is empty by the time its stop is over
+    When a router starts to drain while it serves 2 streams of 300 tokens
+    Then no request is running when the drain ends
 
   Scenario: Idle connections are closed
     Given a fleet of 2 routers
-    When a router is told to stop while a caller keeps an idle connection
+    When a router starts to drain while a caller keeps an idle connection
     Then the idle connection is closed within 500 ms
 
-  # Seen: a caller's connection ended without an answer, and its request is in no log.
-  # How: it had connected just before the router began to stop, and its request was
-  # on the way. Cause: a connection without a first request counted as an idle one.
-  # Proof: the request is sent after the stop has begun, and answered.
-  Scenario: A connection whose first request is on the way is not idle
+  # A caller had connected just before the drain, and its first request was still in
+  # transit. The connection counted as idle and was closed without an answer. Here the
+  # request is sent after the drain has started.
+  Scenario: A new connection that has not received a request yet is not idle
     Given a fleet of 2 routers
-    When a router is told to stop while a caller has just connected
-    Then the caller's first request is answered, and its connection closed
+    When a router starts to drain just after a caller has connected
+    Then the caller's first request is answered and its connection is closed
 
-  # Seen: a request was passed on to its upstream, and its caller's connection ended
-  # without an answer, 29 ms after its router had been told to stop. How: it came on a
-  # kept connection just before, and nobody had looked at it yet. Cause: a connection
-  # counted as idle until its bytes were read, and what had come was read and served
-  # after it had been shut. Proof: the bytes are there when idle ones are closed.
-  Scenario: A request that has come and was not read yet is answered
+  # A request was forwarded to its upstream, but its caller's connection ended without
+  # an answer, 29 ms after the drain had started. The request had arrived on a kept-alive
+  # connection, which counted as idle until its bytes were read; they were read and
+  # served after the connection had been shut down. Here the bytes have arrived before
+  # idle connections are closed.
+  Scenario: A request that has arrived but was not read yet is answered
     Given a fleet of 2 routers
-    When a request comes on a kept connection in the moment of a planned stop
-    Then it is answered, and its connection closed
+    When a request arrives on a kept-alive connection just before idle ones are closed
+    Then the request is answered and its connection is closed
 
-  Scenario: A request that comes once its connection was shut is not passed on
+  Scenario: A request on a connection that was shut down is not forwarded
     Given a fleet of 2 routers
-    When a request comes on a kept connection right after it was shut
-    Then nothing comes back, and no upstream got it
+    When a request arrives on a kept-alive connection just after it was shut down
+    Then no answer is sent and the request reaches no upstream
 
-  # Seen: LOST, a request was passed on to its upstream, and its caller's connection
-  # ended without an answer, 1.52 s after its router had been told to stop. How: it came
-  # after the router had seen that nothing was in work, and before it had ended.
-  # Proof: a request to a router whose stop is over, and which has not ended yet.
-  Scenario: A request that comes as a stop ends is not passed on
+  # A request was forwarded to its upstream, but its caller's connection ended without
+  # an answer, 1.52 s after the drain had started. The request had arrived after the
+  # drain had seen no running request and before the router stopped. Here it is sent
+  # between these two moments.
+  Scenario: A request between the end of the drain and the stop is not forwarded
     Given a fleet of 2 routers
-    When a router's stop is over, and a request comes before it ends
-    Then it is refused as not run, and no upstream got it
+    When a request arrives after the drain and before the router stops
+    Then the request is refused as not run and reaches no upstream
 
-  Scenario: The holder of the duties gives them up
+  Scenario: A draining holder of the duties releases them
     Given a fleet of 3 routers
-    When the holder of the duties is told to stop
-    Then another router has them within 2500 ms
-    And no call to the platform came with a lower number
+    When the holder of the duties starts to drain
+    Then another router holds the duties within 2500 ms
+    And no platform call carried an outdated fencing token
 
-  Scenario: A killed router is out of the directory
+  Scenario: A killed router is removed from the directories
     Given a fleet of 3 routers
     When a router is killed
-    Then the directory names it no more within 3000 ms
+    Then all directories stop listing the killed router within 3000 ms
 
-  Scenario: Settings that change while a router runs
+  Scenario: Changed settings are reloaded while a router runs
     Given a settings file that names one store
-    When the file names another store
-    Then the new one is applied
+    When the file is changed to name another store
+    Then the new settings are applied
     When the file becomes malformed
-    Then the last good settings stay in force
+    Then the last valid settings stay in force
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -1,4 +1,4 @@
-"""Steps of configuration: changes, outages, races, any order."""
+"""Steps on configuration: changes, outages, concurrent commits, ordering."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @when('the operators change the configuration {count:d} times')
 def change_times(context, count):
-    follow(context)
+    record_versions(context)
     for _ in range(count):
         context.version = context.fleet.write_config(
             context.fleet.shape.config
@@ -33,19 +33,19 @@
         green.sleep_ms(30)
 
 
-def follow(context):
-    """Note each version that comes into force at each router."""
+def record_versions(context):
+    """Record the versions that come into force at each router."""
     context.histories = {}
     for router in context.fleet.serving():
         history = context.histories.setdefault(router.cfg.name, [])
 
-        def note(config, router=router, history=history):
+        def record(config, router=router, history=history):
             history.append(router.config.routes.version)
 
-        router.config.listen(note)
+        router.config.listen(record)
 
 
-@then('the last one is in force everywhere within {ms:d} ms')
+@then('every router has the last version in force within {ms:d} ms')
 def in_force(context, ms):
     helpers.wait_until(
         lambda: all(
@@ -63,7 +63,8 @@
 def older_offered(context):
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: router.config.routes.version == context.version, 'the last'
+        lambda: router.config.routes.version == context.version,
+        'the last version',
     )
     document = {**router.config.routes.document, 'version': 1}
     assert not router.config.offer_routes(document, 'a stale peer')
@@ -73,34 +74,36 @@
     router.config.on_listing(listing, False)
 
 
-@when("one router's store calls fail from then on")
+@when('all further store calls of one router fail')
 def store_calls_fail(context):
     router = context.fleet.routers[0]
     router.store.address = '127.0.0.1:1'
-    # The watch that waits already ends with the next news.
+    # A watch that is already waiting ends with the next change.
     context.fleet.write_config(context.fleet.shape.config)
     green.sleep_ms(300)
 
 
-@when('the store calls of all that watch the configuration fail from then on')
-def watchers_calls_fail(context):
+@when(
+    'all further store calls of the routers that watch the configuration fail'
+)
+def watchers_store_calls_fail(context):
     routers = context.fleet.routers
-    turned_away = [
+    refused = [
         router
         for router in routers
         if router.fleet_state.watchers.is_due(names.CONFIG_KIND)
     ]
-    assert 0 < len(turned_away) < len(routers), len(turned_away)
-    for router in turned_away:
+    assert 0 < len(refused) < len(routers), len(refused)
+    for router in refused:
         router.store.address = '127.0.0.1:1'
-    # The watches that wait already end with the next news.
+    # Watches that are already waiting end with the next change.
     context.fleet.write_config(context.fleet.shape.config)
     green.sleep_ms(1000)
 
 
-@when('the store forgets its history while changes are made')
-def forgets(context):
-    follow(context)
+@when('the store compacts its history while the configuration changes')
+def compacts_history(context):
+    record_versions(context)
     store = context.fleet.store
     store.app.set_faults(200, outage=1.0)
     green.sleep_ms(50)
@@ -111,7 +114,7 @@
     store.compact()
 
 
-@when('the operators write something malformed')
+@when('the operators write a malformed configuration')
 def write_malformed(context):
     context.before = context.fleet.routers[0].config.routes.version
     context.fleet.store.put(
@@ -122,19 +125,19 @@
     green.sleep_ms(400)
 
 
-@then('the version before stays in force')
-def stays(context):
+@then('the previous version stays in force')
+def previous_version_stays(context):
     router = context.fleet.routers[0]
     assert router.config.routes.version == context.before
     assert helpers.ask(router.address).status == 200
 
 
-@when('two operators commit from the same version')
+@when('two operators commit documents based on the same version')
 def two_commit(context):
     routers = context.fleet.routers
     helpers.wait_until(
         lambda: routers[0].config.own.version == routers[1].config.own.version,
-        'one version',
+        'the same version',
     )
     base = routers[0].config.own.version
     context.results = []
@@ -153,8 +156,8 @@
         task.wait()
 
 
-@when('an operator commits from a base that is behind')
-def commits_behind(context):
+@when('an operator commits a document based on an outdated version')
+def commits_outdated(context):
     feed = context.fleet.routers[0].config
     helpers.wait_until(lambda: feed.own.version, 'a document')
     base = feed.own.version
@@ -163,8 +166,8 @@
     context.stale = feed.commit(shape_.DOCUMENT, base, 'b', '', 2)
 
 
-@then('that one is told of the conflict and the newer document stays')
-def newer_stays(context):
+@then('the commit fails with a conflict and the newer document stays')
+def newer_document_stays(context):
     assert isinstance(context.stale, failures.Failure), context.stale
     assert context.stale.kind is failures.FailureKind.CONFLICT
     feed = context.fleet.routers[0].config
@@ -172,23 +175,23 @@
     assert feed.own.document['document'] == context.newer
 
 
-@then("one is told of the other's change")
-def one_told(context):
+@then('exactly one of the commits fails with a conflict')
+def one_conflict(context):
     results = [result for _, result in context.results]
-    lost = [r for r in results if isinstance(r, failures.Failure)]
-    assert len(lost) == 1, results
-    assert lost[0].kind is failures.FailureKind.CONFLICT, lost
+    failed = [r for r in results if isinstance(r, failures.Failure)]
+    assert len(failed) == 1, results
+    assert failed[0].kind is failures.FailureKind.CONFLICT, failed
 
 
-@then("both routers have the winner's document within {ms:d} ms")
-def winners_document(context, ms):
-    won = next(t for t, r in context.results if isinstance(r, int))
+@then('both routers have the committed document within {ms:d} ms')
+def committed_document(context, ms):
+    committed = next(t for t, r in context.results if isinstance(r, int))
     helpers.wait_until(
         lambda: all(
-            router.config.own.document.get('document') == won
+            router.config.own.document.get('document') == committed
             for router in context.fleet.routers
         ),
-        "the winner's document",
+        'the committed document',
         ms,
     )
 
@@ -214,8 +217,8 @@
     )
 
 
-@then('the commit is known to have taken effect')
-def took_effect(context):
+@then('the commit is reported as successful')
+def commit_successful(context):
     assert isinstance(context.result, int), context.result
     router = context.fleet.routers[0]
     assert '# lost' in router.config.own.document['document']
@@ -237,7 +240,9 @@
     )
 
 
-@then('in {count:d} random orders the highest version is in force')
+@then(
+    'the highest version is in force after updates in {count:d} random orders'
+)
 def any_order(context, count):
     draws = random.Random(3)
     documents = [
@@ -267,6 +272,6 @@
             assert all(a <= b for a, b in itertools.pairwise(part)), seen
 
 
-@given('a store in memory')
+@given('an in-memory store')
 def memory_store(context):
     context.store = MemoryStore()
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps of planned stops, kills, the directory and the shared state."""
+"""Steps on planned stops, killed routers, the directory and shared state."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def resolve(router, domain='fd-1'):
-    """Return the addresses that a router's directory gives."""
+    """Return the addresses that a router's directory lists."""
     path = f'{names.RESOLVE_PATH}?name=a&{names.FAILURE_DOMAIN}={domain}'
     reply = calls.HttpCalls().call('GET', router.address_of('directory'), path)
     return reply.json().get(names.ADDRESSES, []) if reply else []
@@ -48,91 +48,91 @@
 
 
 @when(
-    'a router is told to stop while it serves {count:d} streams of'
-    ' {tokens:d} tokens'
+    'a router starts to drain while it serves {count:d} streams of {tokens:d}'
+    ' tokens'
 )
-def stop_under_load(context, count, tokens):
+def drain_under_load(context, count, tokens):
     fleet = context.fleet
     context.tokens = tokens
-    context.stopping = fleet.routers[0]
+    context.draining = fleet.routers[0]
     context.bodies = [b'letter %d' % number for number in range(count)]
     context.tasks = [
-        green.spawn(fleet_steps.stream, context.stopping.address, '/once/x',
+        green.spawn(fleet_steps.stream, context.draining.address, '/once/x',
                     tokens, body)
         for body in context.bodies
     ]  # fmt: skip
     green.sleep_ms(150)
-    assert context.stopping.serving.gateway.in_work == count
-    context.drain = green.spawn(context.stopping.drain)
+    assert context.draining.serving.gateway.in_work == count
+    context.drain = green.spawn(context.draining.drain)
     green.sleep_ms(100)
 
 
-@then('all of them are complete and in order')
-def all_whole(context):
+@then('all streams are complete and in order')
+def streams_complete(context):
     for body, task in zip(context.bodies, context.tasks):
         answer = task.wait()
         assert fleet_steps.is_whole(answer, body, context.tokens), answer
 
 
-@then('it is out of the directory and not ready at once')
-def out_at_once(context):
-    assert readiness(context.stopping) == 503
+@then('the draining router is at once in no directory and not ready')
+def withdrawn_at_once(context):
+    assert readiness(context.draining) == 503
     for router in context.fleet.routers:
-        assert context.stopping.address not in resolve(router)
+        assert context.draining.address not in resolve(router)
 
 
-@then('new connections are served while it lasts, one request each')
-def served_meanwhile(context):
-    answer = helpers.ask(context.stopping.address)
+@then('new connections are served for one request each during the drain')
+def served_during_drain(context):
+    answer = helpers.ask(context.draining.address)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
 
 
-@then('the router is empty within its grace time')
-def empty_in_time(context):
+@then('the drain ends within the grace time and no request is running')
+def drained_in_time(context):
     with green.Timeout(8):
         context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
+    assert context.draining.serving.gateway.in_work == 0
 
 
-@then('after {ms:d} ms a stream that may last longer than it is refused')
-def long_one_refused(context, ms):
+@then('after {ms:d} ms a stream that may outlast the grace time is refused')
+def long_stream_refused(context, ms):
     green.sleep_ms(ms)
-    answer = helpers.ask(context.stopping.address, '/chat/x')
+    answer = helpers.ask(context.draining.address, '/chat/x')
     assert answer.status == 503, answer
     assert answer.body == b'leaving', answer
     assert float(answer.header(names.RETRY_AFTER)) < 0.1, answer
 
 
-@then('a request that ends in time is served')
-def short_one_served(context):
-    answer = helpers.ask(context.stopping.address, deadline_ms=1000)
+@then('a request with a short deadline is served')
+def short_request_served(context):
+    answer = helpers.ask(context.draining.address, deadline_ms=1000)
     assert answer.status == 200, answer
 
 
-@when("a router's stop is over, and a request comes before it ends")
-def request_at_end(context):
+@when('a request arrives after the drain and before the router stops')
+def request_after_drain(context):
     router = context.fleet.routers[0]
     router.drain()
     context.last = helpers.ask(router.address)
 
 
-@then('it is refused as not run, and no upstream got it')
+@then('the request is refused as not run and reaches no upstream')
 def refused_not_run(context):
     assert context.last.status == 503, context.last
     assert context.last.body == b'leaving', context.last
     assert not helpers.arrivals_of(context, context.last.request_id)
 
 
-@then('it is empty by the time its stop is over')
-def empty_when_over(context):
+@then('no request is running when the drain ends')
+def empty_after_drain(context):
     context.drain.wait()
-    assert context.stopping.serving.gateway.in_work == 0
-    all_whole(context)
+    assert context.draining.serving.gateway.in_work == 0
+    streams_complete(context)
 
 
-@when('a router is told to stop while a caller keeps an idle connection')
-def stop_with_idle(context):
+@when('a router starts to drain while a caller keeps an idle connection')
+def drain_with_idle(context):
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
@@ -140,34 +140,39 @@
     green.spawn(router.drain)
 
 
-@when('a request comes on a kept connection in the moment of a planned stop')
-def comes_in_the_moment(context):
-    keep_connection(context)
-    # No other task runs between these two.
-    send_on_kept(context, 'crossing-2')
+@when(
+    'a request arrives on a kept-alive connection just before idle ones are'
+    ' closed'
+)
+def request_before_close(context):
+    open_kept_alive(context)
+    # No other task runs between these two calls.
+    send_on_kept_alive(context, 'crossing-2')
     context.fleet.routers[0]._http_servers.close_idle()
 
 
-@when('a request comes on a kept connection right after it was shut')
-def comes_right_after(context):
-    keep_connection(context)
+@when(
+    'a request arrives on a kept-alive connection just after it was shut down'
+)
+def request_after_shutdown(context):
+    open_kept_alive(context)
     real = server_._shut
     context.closing.append(lambda: setattr(server_, '_shut', real))
-    # A kernel may still take in what comes, and nothing goes out any more.
+    # The kernel may still accept bytes after the shutdown, but sends none.
     server_._shut = lambda sock: sock.shutdown(socket.SHUT_WR)
     context.fleet.routers[0]._http_servers.close_idle()
-    send_on_kept(context, 'crossing-2')
+    send_on_kept_alive(context, 'crossing-2')
 
 
-def keep_connection(context):
-    """Have a connection on which the router waits for a second request."""
+def open_kept_alive(context):
+    """Open a connection on which the router waits for a second request."""
     context.sock = helpers.raw_connect(context.fleet.routers[0].address)
-    send_on_kept(context, 'crossing-1')
+    send_on_kept_alive(context, 'crossing-1')
     assert b'200 OK' in context.sock.recv(65536)
     green.sleep_ms(100)
 
 
-def send_on_kept(context, request_id):
+def send_on_kept_alive(context, request_id):
     context.sock.sendall(
         f'POST /holds/seat HTTP/1.1\r\nHost: {shape_.HOST}\r\n'
         f'{names.REQUEST_ID}: {request_id}\r\n'
@@ -176,9 +181,9 @@
     )
 
 
-@then('nothing comes back, and no upstream got it')
-def nothing_back(context):
-    # The connection's end comes at once, what is passed on some ms later.
+@then('no answer is sent and the request reaches no upstream')
+def not_answered(context):
+    # The connection ends at once; a forwarded request would arrive later.
     green.sleep_ms(500)
     assert not helpers.arrivals_of(context, 'crossing-2')
     try:
@@ -188,26 +193,26 @@
     assert not rest, rest
 
 
-@then('it is answered, and its connection closed')
+@then('the request is answered and its connection is closed')
 def answered_and_closed(context):
     rest = helpers.read_rest(context.sock, 5000)
     assert b'200 OK' in rest, rest
     assert b'Connection: close' in rest, rest
 
 
-@when('a router is told to stop while a caller has just connected')
-def stop_just_connected(context):
+@when('a router starts to drain just after a caller has connected')
+def drain_just_connected(context):
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
-    # The router has accepted it, and waits for what comes on it.
+    # The router has accepted the connection and waits for a request.
     green.sleep_ms(100)
     context.drain = green.spawn(router.drain)
     green.sleep_ms(100)
 
 
-@then("the caller's first request is answered, and its connection closed")
-def first_answered(context):
+@then("the caller's first request is answered and its connection is closed")
+def first_request_answered(context):
     answer = helpers.ask('', conn=context.conn)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
@@ -216,31 +221,33 @@
 
 @then('the idle connection is closed within {ms:d} ms')
 def idle_closed(context, ms):
-    helpers.wait_until(lambda: not context.conn.is_clean(), 'the close', ms)
+    helpers.wait_until(
+        lambda: not context.conn.is_clean(), 'the connection to close', ms
+    )
 
 
 def holder_of(context):
     return next((r for r in context.fleet.serving() if r.lease.held()), None)
 
 
-@when('the holder of the duties is told to stop')
-def stop_holder(context):
-    helpers.wait_until(lambda: holder_of(context), 'a holder')
+@when('the holder of the duties starts to drain')
+def drain_holder(context):
+    helpers.wait_until(lambda: holder_of(context), 'a holder of the duties')
     context.old_holder = holder_of(context)
     green.spawn(context.old_holder.drain)
 
 
-@then('another router has them within {ms:d} ms')
+@then('another router holds the duties within {ms:d} ms')
 def another_holds(context, ms):
-    def moved():
+    def has_moved():
         holder = holder_of(context)
         return holder is not None and holder is not context.old_holder
 
-    helpers.wait_until(moved, 'another holder', ms)
+    helpers.wait_until(has_moved, 'another holder of the duties', ms)
 
 
-@then('no call to the platform came with a lower number')
-def no_lower_number(context):
+@then('no platform call carried an outdated fencing token')
+def no_outdated_token(context):
     assert not context.fleet.cloud.out_of_turn
 
 
@@ -250,20 +257,20 @@
     context.killed.stop()
 
 
-@then('the directory names it no more within {ms:d} ms')
-def named_no_more(context, ms):
+@then('all directories stop listing the killed router within {ms:d} ms')
+def not_listed(context, ms):
     helpers.wait_until(
         lambda: all(
             context.killed.address not in resolve(router)
             for router in context.fleet.serving()
         ),
-        'out of the directory',
+        'removal from the directories',
         ms,
     )
 
 
-@when('a router is killed and started again')
-def kill_and_start(context):
+@when('a router is killed and restarted')
+def kill_and_restart(context):
     killed = context.fleet.routers[1]
     killed.stop()
     green.sleep_ms(100)
@@ -301,14 +308,14 @@
     )
 
 
-@when('the file names another store')
-def another_store(context):
+@when('the file is changed to name another store')
+def name_other_store(context):
     write_settings(context, SETTINGS.format(port=9))
     context.watch.reload_if_changed()
 
 
-@then('the new one is applied')
-def new_one(context):
+@then('the new settings are applied')
+def new_settings_applied(context):
     assert [s.platform.objects for s in context.applied] == ['127.0.0.1:9']
 
 
@@ -318,21 +325,24 @@
     context.watch.reload_if_changed()
 
 
-@then('the last good settings stay in force')
-def last_good(context):
+@then('the last valid settings stay in force')
+def last_valid_kept(context):
     assert len(context.applied) == 1, context.applied
 
 
-@then('every directory names all {count:d}, near ones first')
-def names_all(context, count):
-    def all_named():
+@then(
+    'every directory lists all {count:d} routers, those of its failure domain'
+    ' first'
+)
+def lists_all(context, count):
+    def all_listed():
         serving = context.fleet.serving()
         wanted = {router.address for router in serving}
         return len(wanted) == count and all(
             set(resolve(router)) == wanted for router in serving
         )
 
-    helpers.wait_until(all_named, f'all {count} named')
+    helpers.wait_until(all_listed, f'all {count} routers in the directories')
     for router in context.fleet.serving():
         domain = router.cfg.failure_domain
         near = {
@@ -343,8 +353,8 @@
         assert set(resolve(router, domain)[: len(near)]) == near
 
 
-@when('the store is out and a third router starts')
-def third_in_outage(context):
+@when('the store is unavailable and a third router starts')
+def third_router_in_outage(context):
     context.fleet.store.app.set_faults(outage=1.0)
     context.fleet.add_router('router-3')
 
@@ -356,20 +366,20 @@
         file.write('the fleet shares this')
     context.fleet = fleet_.Fleet(shape_.FleetShape(routers=0), seed=7)
     context.fleet.start()
-    file_of = context.fleet.router_file
+    router_file = context.fleet.router_file
 
-    def signed(name, **settings):
-        found = file_of(name, **settings)
-        found.tls.secret_file = secret
-        return found
+    def signing_file(name, **settings):
+        file = router_file(name, **settings)
+        file.tls.secret_file = secret
+        return file
 
-    context.fleet.router_file = signed
+    context.fleet.router_file = signing_file
     for number in range(count):
         context.fleet.add_router(f'router-{number + 1}')
     context.fleet.wait_ready()
 
 
-@when('a forged beacon says that a third router serves')
+@when('a forged beacon announces a third router')
 def forged_beacon(context):
     import socket
 
@@ -392,14 +402,14 @@
     green.sleep_ms(100)
 
 
-@then('no router has heard of a third one')
-def heard_of_none(context):
+@then('no router knows a third router')
+def third_router_unknown(context):
     for router in context.fleet.routers:
         assert router.members.get('router-9') is None, router.cfg.name
 
 
-def bare_peering(clock, watches, asked):
-    """Return a peering that only compares what peers know."""
+def bare_peering(clock, watches, spawned):
+    """Return a peering that only compares versions with its peers."""
     fleet_state = types.SimpleNamespace(
         members=members_.Members(
             pb.Member(name='me', incarnation=1), clock, 1000
@@ -409,27 +419,27 @@
             own=types.SimpleNamespace(version=0),
         ),
         upstream_table=upstreams_.UpstreamTable(clock),
-        is_watching=lambda what: watches,
+        is_watching=lambda part: watches,
         check_store=lambda: None,
     )
     catch_up = catch_up_.CatchUp(
-        clock, fleet_state, None, lambda name, *rest: asked.append(name)
+        clock, fleet_state, None, lambda name, *rest: spawned.append(name)
     )
     serving = helpers.bare_limits(clock)
     return peering_.Peering(clock, fleet_state, serving, None, None, catch_up)
 
 
-@given('a router that does not watch and one that does')
+@given('a router that does not watch the store and one that does')
 def two_peerings(context):
     context.clock = clock_.ManualClock()
-    context.asked = [], []
+    context.spawned = [], []
     context.peerings = [
-        bare_peering(context.clock, watches, asked)
-        for watches, asked in zip((False, True), context.asked)
+        bare_peering(context.clock, watches, spawned)
+        for watches, spawned in zip((False, True), context.spawned)
     ]
 
 
-def hear_ahead(context):
+def receive_from_ahead(context):
     for peering in context.peerings:
         member = pb.Member(
             name='peer', incarnation=1, peer_address='10.0.0.1:1'
@@ -438,62 +448,64 @@
         peering.receive(beacon)
 
 
-@when('both hear that a peer is ahead, twice within {ms:d} ms')
-def hear_twice(context, ms):
-    hear_ahead(context)
+@when('both receive two beacons {ms:d} ms apart from a peer that is ahead')
+def receive_twice(context, ms):
+    receive_from_ahead(context)
     context.clock.advance(ms)
-    hear_ahead(context)
+    receive_from_ahead(context)
 
 
-@when('both hear it once more after {ms:d} ms')
-def hear_once_more(context, ms):
+@when('both receive another such beacon after {ms:d} ms')
+def receive_again(context, ms):
     context.clock.advance(ms)
-    hear_ahead(context)
+    receive_from_ahead(context)
 
 
-@then('the one that does not watch has asked it')
-def has_asked(context):
-    assert context.asked[0] == ['ask_config'], context.asked
+@then('the router that does not watch calls the peer')
+def non_watcher_calls(context):
+    assert context.spawned[0] == ['ask_config'], context.spawned
 
 
-@then('the other one has not')
-def has_not_asked(context):
-    assert not context.asked[1], context.asked
+@then('the router that watches does not call the peer')
+def watcher_does_not_call(context):
+    assert not context.spawned[1], context.spawned
 
 
-@then('the other one has asked it too')
-def has_asked_too(context):
-    assert context.asked[1] == ['ask_config'], context.asked
+@then('the router that watches calls the peer too')
+def watcher_calls(context):
+    assert context.spawned[1] == ['ask_config'], context.spawned
 
 
-@when('an engine says that it leaves')
+@when('an engine announces that it is leaving')
 def engine_leaves(context):
     context.leaver = helpers.guests(context, shape_.ENGINES)[0]
     context.fleet.announce_leaving(context.leaver)
 
 
-@then('every router knows it within {ms:d} ms')
-def all_know(context, ms):
-    def known(router):
+@then('every router marks the engine as leaving within {ms:d} ms')
+def all_mark_leaving(context, ms):
+    def is_leaving(router):
         view = router.upstream_table.get(context.leaver.name)
         return view.record.state == upstreams_.LEAVING
 
     helpers.wait_until(
-        lambda: all(map(known, context.fleet.serving())), 'all know', ms
+        lambda: all(map(is_leaving, context.fleet.serving())),
+        'the state leaving everywhere',
+        ms,
     )
 
 
-@when("one router's upstreams go up to a revision without a record")
+@when('one router reaches an upstream revision that no record has')
 def revision_without_record(context):
     ahead, context.behind = context.fleet.routers
     ahead.upstream_table.revision += 100
-    context.begun = []
+    context.restarted = []
     for watch in context.behind.fleet_state._watches:
-        watch._wait.fire = lambda: context.begun.append(1)
+        watch._wait.fire = lambda: context.restarted.append(1)
 
 
-@then('the other one is level with it within {ms:d} ms')
-def is_level(context, ms):
+@then('the other router reaches the same revision within {ms:d} ms')
+def same_revision(context, ms):
     ahead = context.fleet.routers[0]
     helpers.wait_until(
         lambda: (
@@ -505,23 +517,23 @@
     )
 
 
-@then('it began no watch anew')
-def no_watch_anew(context):
+@then('the other router restarts no watch')
+def no_watch_restarted(context):
     green.sleep_ms(2500)
-    assert not context.begun
+    assert not context.restarted
 
 
-@then('it is not ready')
+@then('the router is not ready')
 def not_ready(context):
     assert readiness(context.router) == 503
 
 
-@when('the store is back')
-def store_back(context):
+@when('the store is available again')
+def store_available(context):
     context.fleet.store.app.set_faults()
 
 
-@then('it is ready within {ms:d} ms')
+@then('the router is ready within {ms:d} ms')
 def ready_within(context, ms):
     helpers.wait_until(
         lambda: readiness(context.router) == 200, 'readiness', ms
@@ -545,8 +557,8 @@
         context.members.append(members)
 
 
-@given('{count:d} members that start at once and know each other')
-def members_that_start(context, count):
+@given('{count:d} members that start together and know each other')
+def starting_members(context, count):
     many_members(context, count)
     context.members = []
     for me in context.everyone:
@@ -556,8 +568,8 @@
         context.members.append(members)
 
 
-@when('{ms:d} ms pass in which {count:d} of them say nothing')
-def some_say_nothing(context, ms, count):
+@when('{ms:d} ms pass in which {count:d} of the members send nothing')
+def some_send_nothing(context, ms, count):
     context.clock.advance(ms)
     context.members = context.members[count:]
     for members in context.members:
@@ -573,13 +585,13 @@
     ]
 
 
-@then('{count:d} of them watch each kind')
+@then('{count:d} of the members watch each kind')
 def some_watch(context, count):
     for kind in ('config', 'upstreams'):
         assert len(watching(context, kind)) == count
 
 
-@when('half of them fall silent')
+@when('half of the members fall silent')
 def half_silent(context):
     half = len(context.members) // 2
     context.clock.advance(2000)
@@ -589,13 +601,16 @@
             members.hear(other)
 
 
-@then('{count:d} of the others watch each kind')
-def others_watch(context, count):
+@then('{count:d} of the remaining members watch each kind')
+def remaining_watch(context, count):
     some_watch(context, count)
 
 
-@when('a caller asks one router and an operator asks the other for its id')
-def operator_asks(context):
+@when(
+    'a caller sends a request to one router and an operator looks it up at the'
+    ' other'
+)
+def operator_looks_up(context):
     first, second = context.fleet.routers
     context.last = helpers.ask(first.address)
     client = rpc.RpcClient(pb_grpc.OperatorsStub)
@@ -606,23 +621,23 @@
     ).steps
 
 
-@then('the operator is told upstream, status and duration')
-def operator_told(context):
+@then('the operator gets the upstream, the status and the duration')
+def operator_gets_steps(context):
     texts = ' '.join(step.text for step in context.steps)
     for part in ('attempt', 'upstream=service-', 'status=200', 'ms='):
         assert part in texts, texts
     assert {step.router for step in context.steps} == {'router-1'}
 
 
-@then('what the upstream was chosen by')
-def told_grounds(context):
+@then('the operator gets the data behind the choice of the upstream')
+def operator_gets_choice(context):
     texts = ' '.join(step.text for step in context.steps)
     for part in ('revision=', 'among=2', 'home=False', 'running=0'):
         assert part in texts, texts
 
 
 @then(
-    'its metrics count {count:d} requests with status 200 and their latencies'
+    'the metrics count {count:d} requests with status 200 and their latencies'
 )
 def metrics_count(context, count):
     text = metrics(context)
@@ -640,8 +655,8 @@
     return calls.HttpCalls().call('GET', address, '/metrics').body.decode()
 
 
-@then('its health says which versions are in force')
-def health_says(context):
+@then('the health endpoint reports the versions in force')
+def health_reports(context):
     router = context.fleet.routers[0]
     reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
     assert reply.status == 200
@@ -652,7 +667,7 @@
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
 
 
-@when('a caller sends a request with a trace')
+@when('a caller sends a request with a trace context')
 def with_trace(context):
     router = context.fleet.routers[0]
     body = json.dumps({'payload': 'seat 1', 'idempotent': False}).encode()
@@ -669,7 +684,7 @@
     assert reply.status == 200, reply
 
 
-@then('the spans of router and attempt belong to it')
+@then('the router and attempt spans belong to that trace')
 def spans_belong(context):
     with open(context.spans) as file:
         spans = [json.loads(line) for line in file]
--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -1,4 +1,4 @@
-"""Upstreams in doubt, the store's outages, and silent watches."""
+"""Steps on lapsed upstream entries, store outages and silent watches."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
     return ', '.join(sorted(view.name for view in table.live(SERVICE)))
 
 
-@given('upstreams "{a}", "{b}" and "{c}" by their entries')
-def by_entries(context, a, b, c):
+@given('upstreams "{a}", "{b}" and "{c}" with entries in the store')
+def with_entries(context, a, b, c):
     context.clock = clock_.ManualClock()
     context.upstreams = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.feed = upstream_feed.UpstreamFeed(
@@ -59,27 +59,27 @@
 
 
 @when('the entry of "{name}" is removed')
-def is_removed(context, name):
+def entry_removed(context, name):
     apply_change(context, name, None)
 
 
 @when('the entry of "{name}" is missing after an outage')
-def is_missing(context, name):
+def entry_missing(context, name):
     apply_change(context, name, None, after_outage=True)
 
 
-@when('the entry of "{name}" is back')
-def is_back(context, name):
+@when('the entry of "{name}" reappears')
+def entry_reappears(context, name):
     apply_change(context, name, entry_spec(name))
 
 
-@when('the entry of "{name}" says that it leaves')
-def says_it_leaves(context, name):
+@when('the entry of "{name}" is marked as leaving')
+def entry_leaving(context, name):
     apply_change(context, name, entry_spec(name, upstreams_.LEAVING))
 
 
-@when('what it said before comes once more')
-def comes_again(context):
+@when('the earlier entry of "a" is received again')
+def earlier_entry_again(context):
     stored = objects.Stored('a', 1, entry_spec('a'))
     context.feed.on_changes(objects.Changes([stored], 1), False)
     listing = objects.Listing([stored], 1)
@@ -98,14 +98,14 @@
         context.feed.tick()
 
 
-@when('another router takes that over')
-def takes_over(context):
+@when("another router merges this router's records")
+def merges_records(context):
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(view.record for view in context.upstreams.all())
 
 
-@when('another router asks for that')
-def asks_for_that(context):
+@when("another router fetches this router's records")
+def fetches_records(context):
     told = context.upstreams.told_since(0)
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(
@@ -114,45 +114,45 @@
     )
 
 
-@then('"{names}" may get new work')
-def may_get_work(context, names):
+@then('"{names}" may get new requests')
+def may_get_requests(context, names):
     assert live_names(context.upstreams) == names, live_names(
         context.upstreams
     )
 
 
-@then('there "{names}" may get new work')
-def may_there(context, names):
+@then('at the other router "{names}" may get new requests')
+def may_get_requests_there(context, names):
     context.other.tick()
     assert live_names(context.other) == names, live_names(context.other)
 
 
-@then('"{name}" is not given up yet')
-def not_given_up(context, name):
+@then('"{name}" is marked as lapsed')
+def marked_lapsed(context, name):
     assert context.upstreams.get(name).record.state == upstreams_.LAPSED
 
 
-@then('"{name}" is given up')
-def given_up(context, name):
+@then('"{name}" is marked as gone')
+def marked_gone(context, name):
     assert context.upstreams.get(name).record.state == upstreams_.GONE
 
 
-@then('after {ms:d} ms there "{name}" is given up')
-def given_up_there(context, ms, name):
+@then('after {ms:d} ms the other router has "{name}" marked as gone')
+def marked_gone_there(context, ms, name):
     context.clock.advance(ms)
     context.other.tick()
     assert context.other.get(name).record.state == upstreams_.GONE
 
 
 @given('a store that answers')
-def answers(context):
+def store_answers(context):
     context.clock = clock_.ManualClock()
     context.outage = outage_.Outage(context.clock, 2000)
     assert not context.outage.is_felt()
 
 
-class AskedStore:
-    """Counts the calls that it gets, and never answers."""
+class CountingStore:
+    """Counts its calls and never answers."""
 
     def __init__(self):
         self.calls = 0
@@ -163,50 +163,50 @@
         self.probes += 1
 
 
-@when('a call of it was made, and failed after that')
-def made_and_failed(context):
-    context.made = 1
+@when('a store call was made and has then failed')
+def call_made_then_failed(context):
+    context.calls_before = 1
     context.outage.failed('429')
 
 
-@when('other calls of it are made, one before each look')
+@when('another store call is made before each check')
 def other_calls(context):
-    context.others = 1
+    context.other_calls = 1
 
 
-@then('it is asked at {count:d} of {looks:d} looks')
-def asked_at(context, count, looks):
-    store = AskedStore()
-    store.calls = getattr(context, 'made', 0)
+@then('the store is probed at {count:d} of {checks:d} checks')
+def probed_at(context, count, checks):
+    store = CountingStore()
+    store.calls = getattr(context, 'calls_before', 0)
     check = store_check.StoreCheck(store, context.outage)
-    for _ in range(looks):
-        store.calls += getattr(context, 'others', 0)
+    for _ in range(checks):
+        store.calls += getattr(context, 'other_calls', 0)
         check.tick()
     assert store.probes == count, store.probes
 
 
-@when('a call of it fails')
+@when('a store call fails')
 def call_fails(context):
     context.outage.failed('silent')
 
 
-@when('one that was made {ms:d} ms ago fails')
-def made_before_fails(context, ms):
+@when('a store call that started {ms:d} ms ago fails')
+def earlier_call_fails(context, ms):
     context.outage.failed('silent', ms)
 
 
-@when('a call of it is answered')
+@when('a store call is answered')
 def call_answered(context):
     context.outage.answered()
 
 
-@then('the outage is felt')
-def is_felt(context):
+@then('missing entries may be due to an outage')
+def outage_possible(context):
     assert context.outage.is_felt()
 
 
-@then('the outage is not felt')
-def is_not_felt(context):
+@then('missing entries are not due to an outage')
+def outage_excluded(context):
     assert not context.outage.is_felt()
 
 
@@ -248,24 +248,24 @@
     context.watch.step()
     context.stepping = green.spawn(context.watch.step)
     green.sleep_ms(5)
-    context.began_at = context.clock.now()
+    context.watch_started_at = context.clock.now()
 
 
-@when('a peer has news {ms:d} ms after it began')
-def peer_has_news(context, ms):
-    context.clock.advance(context.began_at + ms - context.clock.now())
+@when('a peer has a newer state {ms:d} ms after the watch started')
+def peer_is_newer(context, ms):
+    context.clock.advance(context.watch_started_at + ms - context.clock.now())
     context.watch.overtaken()
     green.sleep_ms(5)
 
 
-@then('the watch waits on')
-def waits_on(context):
+@then('the watch keeps waiting')
+def keeps_waiting(context):
     assert not context.stepping.dead
     assert context.store.watches == 1
 
 
-@then('the watch has begun anew and knows the news')
-def begun_anew(context):
+@then('the watch has restarted and received the change')
+def restarted(context):
     context.stepping.wait()
     context.watch.step()
     assert context.store.watches == 2
--- a/src/peridotmast/router/beacon_rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -108,10 +108,10 @@
             return self._member_round(self._members.peers())
         if next(self._numbers) % _ROUNDS_PER_BEACON:
             return []
-        look = self._current_groups()
-        if look.leads:
-            return self._head_round(look)
-        return self._member_round(look.heads())
+        groups = self._current_groups()
+        if groups.leads:
+            return self._head_round(groups)
+        return self._member_round(groups.heads())
 
     def start_leading(self) -> None:
         """Record that this router is the head of its group from now on."""
@@ -171,10 +171,10 @@
         )
         yield with_levels, lacking
 
-    def _head_round(self, look: groups_.Look) -> beacons_.Round:
+    def _head_round(self, groups: groups_.Look) -> beacons_.Round:
         """Yield a head's beacons for the other heads and for its members."""
         heard = {peer.member.name for peer in self._members.heard()}
-        members = [peer.member.name for peer in look.members()]
+        members = [peer.member.name for peer in groups.members()]
         base = self._base_beacon()
         base.wall_ms = self._fleet_state.fleet_clock.now()
         base.changed.extend(self._members.changed(_CHANGED_MS, _MAX_CHANGED))
@@ -188,10 +188,10 @@
         beacon.group.CopyFrom(self._totals.group())
         beacon.alive.extend(name for name in members if name in heard)
         beacon.outage_felt |= self._outages.is_heard_of_member()
-        yield from self._with_levels(beacon, look.other_heads())
+        yield from self._with_levels(beacon, groups.other_heads())
         base.alive.extend(heard)
         base.outage_felt |= self._outages.is_heard()
-        peers = {peer.member.name: peer for peer in look.members()}
+        peers = {peer.member.name: peer for peer in groups.members()}
         for name, totals in self._totals.totals_for_members(list(peers)):
             beacon = pb.Beacon()
             beacon.CopyFrom(base)
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -198,7 +198,7 @@
     def _build_request(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
     ) -> ty.Union[gateway_.Asked, failures.Failure]:
-        """Return a request with what chat and service calls have in common."""
+        """Return a request with the fields of both chat and service calls."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
             len(request_id) > MAX_REQUEST_ID_LENGTH
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -1,4 +1,4 @@
-"""A router's state of platform and fleet, and how it is kept up to date."""
+"""A router's state of the platform and the fleet, and its updates."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
 
     @property
     def has_config_and_upstreams(self) -> bool:
-        """Whether a configuration and upstreams are known to route by."""
+        """Whether the configuration and any upstreams are known."""
         return bool(self.config.routes.version and self.upstream_table.all())
 
     @property
@@ -141,20 +141,20 @@
     def start(
         self,
         tasks: green.Tasks,
-        is_outage_felt: ty.Callable[[], bool],
+        is_outage_suspected: ty.Callable[[], bool],
         on_change: ty.Callable[[], None],
     ) -> None:
         """Start to watch the store, and register this router there.
 
         Parameters
         ----------
-        is_outage_felt : callable
+        is_outage_suspected : callable
             Returns whether missing entries may be due to a store outage.
         on_change : callable
             Called after a change was applied.
         """
         # The chosen watchers may be just the routers that the store refuses.
-        self.watchers.is_outage_felt = is_outage_felt
+        self.watchers.is_outage_felt = is_outage_suspected
         for kind, receiver in (
             (names.CONFIG_KIND, self.config),
             (config_feed.KIND, self.config),
@@ -165,7 +165,7 @@
                 kind,
                 receiver,
                 self._clock,
-                is_outage_felt,
+                is_outage_suspected,
                 on_change,
                 functools.partial(self._must_watch, kind),
             )
@@ -206,7 +206,7 @@
     def check_store(self) -> None:
         """Check whether the store answers here, since it fails for a peer.
 
-        Waiting calls may otherwise neither fail nor be answered.
+        Calls that are already waiting may neither fail nor be answered.
         """
         self._restart_watches()
         if any(self.watchers.is_due(watch.kind) for watch in self._watches):
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -193,23 +193,23 @@
             if at >= oldest
         }
         self._outages.forget(oldest)
-        look, split = self._current_groups(), self._groups.is_split()
+        groups, split = self._current_groups(), self._groups.is_split()
         if split:
-            self._totals.add_estimates(self._gaps.tick(self._shares(look)))
+            self._totals.add_estimates(self._gaps.tick(self._shares(groups)))
         self._totals.prune(
             {p.member.name for p in self._members.peers()},
-            look.members_heard()
+            groups.members_heard()
             if split
             else {peer.member.name for peer in heard},
             self._group_heard_at,
-            split and not look.leads,
+            split and not groups.leads,
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether load reports arrive after the work may be over."""
+        """Return whether others' load may be over before it is reported."""
         return self._groups.is_split()
 
-    def is_outage_felt(self) -> bool:
+    def is_outage_suspected(self) -> bool:
         """Return whether missing entries may be due to a store outage."""
         is_heard = self._outages.is_heard()
         return is_heard or self._fleet_state.outage.is_felt()
@@ -222,55 +222,55 @@
             self._table.take_load(news.router, news.load)
 
     def _apply_totals(self, beacon: pb.Beacon) -> None:
-        """Apply a peer's totals, as far as this router takes them from it."""
+        """Apply those totals of a peer that this router must take from it."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_split()
-        look = self._current_groups()
+        groups = self._current_groups()
         if beacon.HasField('own'):
             clock.hear(name, beacon.wall_ms)
-            counted = not split or (look.leads and look.is_member(name))
+            counted = not split or (groups.leads and groups.is_member(name))
             self._totals.update_peer(name, run, beacon.own, counted)
         if beacon.HasField('group'):
             clock.hear(name, beacon.wall_ms)
-            group = look.group_of(name)
+            group = groups.group_of(name)
             self._group_heard_at[group] = self._clock.now()
-            covered = () if beacon.others_alive else look.names_in(group)
+            covered = () if beacon.others_alive else groups.names_in(group)
             self._members.hear_some(beacon.alive, covered)
-            counted = split and look.leads
+            counted = split and groups.leads
             self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
-                self._close_gap(_group_source(group), (name, run), look)
+                self._close_gap(_group_source(group), (name, run), groups)
         if beacon.HasField('others') and self._accepts(name):
             covered = () if beacon.others_alive else self._members.names()
             self._members.hear_some(beacon.alive, covered)
-            counted = split and not look.leads
+            counted = split and not groups.leads
             if counted:
                 clock.follow(beacon.wall_ms)
             self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
-                self._close_gap(_FLEET_SOURCE, (name, run), look)
+                self._close_gap(_FLEET_SOURCE, (name, run), groups)
 
     def _close_gap(
-        self, source: str, reporter: tuple[str, int], look: groups_.Look
+        self, source: str, reporter: tuple[str, int], groups: groups_.Look
     ) -> None:
-        """Record that a source reports again and add what it had missed."""
-        share = self._shares(look).get(source, 0.0)
+        """Record a report from a source and add estimates for the gap."""
+        share = self._shares(groups).get(source, 0.0)
         self._totals.add_estimates(self._gaps.hear(source, reporter, share))
 
-    def _shares(self, look: groups_.Look) -> dict[str, float]:
+    def _shares(self, groups: groups_.Look) -> dict[str, float]:
         """Return the share of the fleet that each source reports on.
 
         Only routers that are heard are included: what the missing ones might
         spend is deducted from the limits elsewhere.
         """
         whole = self._members.counted()
-        if not look.leads:
+        if not groups.leads:
             return {_FLEET_SOURCE: len(self._members.heard()) / whole}
         return {
-            _group_source(group): look.heard_in(group) / whole
-            for group in range(look.count)
-            if group != look.mine
+            _group_source(group): groups.heard_in(group) / whole
+            for group in range(groups.count)
+            if group != groups.mine
         }
 
     def _accepts(self, head: str) -> bool:
@@ -295,24 +295,26 @@
     def _current_groups(self) -> groups_.Look:
         """Return the groups, at most `_GROUPS_TTL_MS` old."""
         now = self._clock.now()
-        look, at = self._cached_groups
-        if look is None or now - at >= _GROUPS_TTL_MS:
-            look = self._groups.look()
-            self._cached_groups = look, now
-            self._update_role(look)
-        return look
+        groups, at = self._cached_groups
+        if groups is None or now - at >= _GROUPS_TTL_MS:
+            groups = self._groups.look()
+            self._cached_groups = groups, now
+            self._update_role(groups)
+        return groups
 
     def _current_groups_if_split(self) -> ty.Optional[groups_.Look]:
         return self._current_groups() if self._groups.is_split() else None
 
-    def _update_role(self, look: groups_.Look) -> None:
+    def _update_role(self, groups: groups_.Look) -> None:
         """Record whether this router is a head, and the number of groups.
 
         A new role may change the source of the other routers' counts, which
         must not count any of them twice.
         """
         split = self._groups.is_split()
-        role = _Role(split, split and look.leads, look.count if split else 1)
+        role = _Role(
+            split, split and groups.leads, groups.count if split else 1
+        )
         previous, self._role = self._role, role
         if role.leads and not previous.leads:
             self.rounds.start_leading()
@@ -321,15 +323,15 @@
         if role.groups != previous.groups:
             keep_all = not split
             self._totals.retain_members(
-                lambda name: keep_all or look.is_member(name)
+                lambda name: keep_all or groups.is_member(name)
             )
         if role != previous:
             self._totals.change_source()
-            self._gaps.begin(self._shares(look) if split else ())
+            self._gaps.begin(self._shares(groups) if split else ())
             self._log.info(
                 'role',
                 groups=role.groups,
-                group=look.mine if split else 0,
+                group=groups.mine if split else 0,
                 leads=role.leads,
             )
 
--- a/src/peridotmast/router/quota_borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -12,8 +12,8 @@
 from peridotmast.serving import quota as quota_
 
 _ANSWER_TIMEOUT_MS = 100
-"""Longest wait for a head's answer, which takes a few ms. After this time the
-caller is better told to retry."""
+"""Longest wait for a head's answer, which takes a few ms. A caller can as well
+be told to retry after this time."""
 
 
 class QuotaBorrowing:
@@ -66,12 +66,12 @@
 
     def handle_request(self, ask: pb.LimitAsk) -> None:
         """Answer a member of this router's group, as its head."""
-        peer, look = self._members.get(ask.router), self._current_groups()
-        if peer is None or look is None or not look.leads:
+        peer, groups = self._members.get(ask.router), self._current_groups()
+        if peer is None or groups is None or not groups.leads:
             return
-        if not look.is_member(ask.router):
+        if not groups.is_member(ask.router):
             return
-        lent = self._lend(look, ask.team, ask.tokens)
+        lent = self._lend(groups, ask.team, ask.tokens)
         answer = pb.LimitAnswer(
             incarnation=ask.incarnation, number=ask.number, lent=lent
         )
@@ -85,11 +85,11 @@
             pending.send(answer.lent)
 
     def _borrow(self, team: str, tokens: int) -> bool:
-        look = self._current_groups()
-        if look is None:
+        groups = self._current_groups()
+        if groups is None:
             return False
-        if look.leads:
-            return self._lend(look, team, tokens)
+        if groups.leads:
+            return self._lend(groups, team, tokens)
         number = next(self._numbers)
         answered = self._pending[number] = green.Event()
         me = self._members.me
@@ -100,7 +100,7 @@
             team=team,
             tokens=tokens,
         )
-        self.send(pb.Beacon(limit_ask=ask), look.heads()[:1])
+        self.send(pb.Beacon(limit_ask=ask), groups.heads()[:1])
         lent: ty.Optional[bool] = None
         try:
             with green.Timeout(_ANSWER_TIMEOUT_MS / 1000, False):
@@ -111,5 +111,5 @@
             self._quota.note_used_up(team)
         return bool(lent)
 
-    def _lend(self, look: groups_.Look, team: str, tokens: int) -> bool:
-        return self._quota.lend(team, tokens, 1 + len(look.members()))
+    def _lend(self, groups: groups_.Look, team: str, tokens: int) -> bool:
+        return self._quota.lend(team, tokens, 1 + len(groups.members()))
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -317,7 +317,7 @@
     def _start_tasks(self) -> None:
         every = self._tasks.every
         self.fleet_state.start(
-            self._tasks, self._peering.is_outage_felt, self._send_changes
+            self._tasks, self._peering.is_outage_suspected, self._send_changes
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -932,7 +932,7 @@
     Mutation(
         'leave the watch to routers that the store refuses',
         ROUTER + 'fleet_state.py',
-        'self.watchers.is_outage_felt = is_outage_felt',
+        'self.watchers.is_outage_felt = is_outage_suspected',
         'pass',
         'config',
     ),
