--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -106,11 +106,11 @@
 
 @when("another router fetches this router's records")
 def fetches_records(context):
-    told = context.upstreams.told_since(0)
+    records = context.upstreams.told_since(0)
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(
         pb.UpstreamRecord.FromString(record.SerializeToString())
-        for record in told
+        for record in records
     )
 
 
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -38,7 +38,7 @@
 _REQUEST_ID = re.compile(r'[A-Za-z0-9._:-]+')
 _DEFAULT_MAX_TOKENS = 256
 _MAX_RESOLVED = 3
-_SCHEME = 'bearer '
+_AUTH_SCHEME = 'bearer '
 
 
 class ChatApi:
@@ -86,7 +86,7 @@
         call, body = parsed
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.from_failure(reply, call.id, _http_status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
             return answer.completion()
@@ -107,7 +107,7 @@
             return web.from_failure(call)
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _status(reply))
+            return web.from_failure(reply, call.id, _http_status(reply))
         try:
             body = chat_answers.read_body(reply)
         finally:
@@ -120,10 +120,10 @@
 
     def _resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get('failure_domain', '')
-        found = self._nearest.of(domain, lambda m: bool(m.chat_address))
+        routers = self._nearest.of(domain, lambda m: bool(m.chat_address))
         return web.json_response(
             {
-                'addresses': [member.chat_address for member in found],
+                'addresses': [member.chat_address for member in routers],
                 'keep_ms': self._keep_ms,
             }
         )
@@ -248,8 +248,8 @@
 
 
 def _bearer_token(authorization: str) -> str:
-    if authorization.lower().startswith(_SCHEME):
-        return authorization[len(_SCHEME) :].strip()
+    if authorization.lower().startswith(_AUTH_SCHEME):
+        return authorization[len(_AUTH_SCHEME) :].strip()
     return ''
 
 
@@ -289,6 +289,6 @@
     )
 
 
-def _status(failure: failures.Failure) -> int:
+def _http_status(failure: failures.Failure) -> int:
     """Return the HTTP status of failures that have their own, else 0."""
     return {'team_limit': 429, 'no_key': 401}.get(failure.reason, 0)
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -184,7 +184,7 @@
     def EventPlan(  # noqa: N802
         self, req: pb.PlanRequest, caller: rpc.Caller
     ) -> pb.PlanReply:
-        """Explain the capacity that is planned for the events."""
+        """Explain which capacity is ordered for the events, when and why."""
         self._require_role(caller, READ)
         plan = event_plan.plan(self._feed.config, self._clock.wall())
         return pb.PlanReply(lines=event_plan.explain(plan))
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -123,12 +123,12 @@
         if self._groups.is_split():
             return []
         me = self._members.me
-        news = pb.LoadNews(
+        load_news = pb.LoadNews(
             router=me.name,
             incarnation=me.incarnation,
             load=self._table.load_of(view),
         )
-        return [(pb.Beacon(load_news=news), self._members.heard())]
+        return [(pb.Beacon(load_news=load_news), self._members.heard())]
 
     def serving_beacons(self) -> beacons_.Round:
         """Return crash and upstream limit updates for all peers."""
@@ -264,11 +264,11 @@
         Only routers that are heard are included: what the missing ones might
         spend is deducted from the limits elsewhere.
         """
-        whole = self._members.counted()
+        fleet_size = self._members.counted()
         if not groups.leads:
-            return {_FLEET_SOURCE: len(self._members.heard()) / whole}
+            return {_FLEET_SOURCE: len(self._members.heard()) / fleet_size}
         return {
-            _group_source(group): groups.heard_in(group) / whole
+            _group_source(group): groups.heard_in(group) / fleet_size
             for group in range(groups.count)
             if group != groups.mine
         }
