--- a/features/router_stop.feature
+++ b/features/router_stop.feature
@@ -4,8 +4,8 @@
     Given a fleet of 3 routers
     When a router starts to drain while it serves 4 streams of 60 tokens
     Then all streams are complete and in order
-    And the draining router is at once in no directory and not ready
-    And new connections are served for one request each during the drain
+    And the draining router is no longer ready nor listed in any directory
+    And during the drain each new connection is served for one request
     And the drain ends within the grace time and no request is running
 
   Scenario: A draining router refuses requests that may outlast its grace time
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -74,14 +74,14 @@
         assert fleet_steps.is_whole(answer, body, context.tokens), answer
 
 
-@then('the draining router is at once in no directory and not ready')
+@then('the draining router is no longer ready nor listed in any directory')
 def withdrawn_at_once(context):
     assert readiness(context.draining) == 503
     for router in context.fleet.routers:
         assert context.draining.address not in resolve(router)
 
 
-@then('new connections are served for one request each during the drain')
+@then('during the drain each new connection is served for one request')
 def served_during_drain(context):
     answer = helpers.ask(context.draining.address)
     assert answer.status == 200, answer
