--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -42,7 +42,7 @@
         def record(config, router=router, history=history):
             history.append(router.config.routes.version)
 
-        router.config.listen(record)
+        router.config.subscribe(record)
 
 
 @then('every router has the last version in force within {ms:d} ms')
@@ -69,7 +69,7 @@
     document = {**router.config.routes.document, 'version': 1}
     assert not router.config.offer_routes(document, 'a stale peer')
     listing = objects.Listing(
-        [objects.Stored(names.CONFIG_NAME, 1, document)], 1
+        [objects.StoredObject(names.CONFIG_NAME, 1, document)], 1
     )
     router.config.on_listing(listing, False)
 
@@ -91,7 +91,7 @@
     refused = [
         router
         for router in routers
-        if router.fleet_state.watchers.is_due(names.CONFIG_KIND)
+        if router.fleet_state.watchers.should_watch(names.CONFIG_KIND)
     ]
     assert 0 < len(refused) < len(routers), len(refused)
     for router in refused:
@@ -129,17 +129,20 @@
 def previous_version_stays(context):
     router = context.fleet.routers[0]
     assert router.config.routes.version == context.before
-    assert helpers.ask(router.address).status == 200
+    assert helpers.send_request(router.address).status == 200
 
 
 @when('two operators commit documents based on the same version')
 def two_commit(context):
     routers = context.fleet.routers
     helpers.wait_until(
-        lambda: routers[0].config.own.version == routers[1].config.own.version,
+        lambda: (
+            routers[0].config.product.version
+            == routers[1].config.product.version
+        ),
         'the same version',
     )
-    base = routers[0].config.own.version
+    base = routers[0].config.product.version
     context.results = []
 
     def commit(router, name):
@@ -159,8 +162,8 @@
 @when('an operator commits a document based on an outdated version')
 def commits_outdated(context):
     feed = context.fleet.routers[0].config
-    helpers.wait_until(lambda: feed.own.version, 'a document')
-    base = feed.own.version
+    helpers.wait_until(lambda: feed.product.version, 'a document')
+    base = feed.product.version
     context.newer = f'{shape_.DOCUMENT}\n# newer\n'
     assert isinstance(feed.commit(context.newer, base, 'a', '', 1), int)
     context.stale = feed.commit(shape_.DOCUMENT, base, 'b', '', 2)
@@ -172,7 +175,7 @@
     assert context.stale.kind is failures.FailureKind.CONFLICT
     feed = context.fleet.routers[0].config
     green.sleep_ms(300)
-    assert feed.own.document['document'] == context.newer
+    assert feed.product.document['document'] == context.newer
 
 
 @then('exactly one of the commits fails with a conflict')
@@ -188,7 +191,7 @@
     committed = next(t for t, r in context.results if isinstance(r, int))
     helpers.wait_until(
         lambda: all(
-            router.config.own.document.get('document') == committed
+            router.config.product.document.get('document') == committed
             for router in context.fleet.routers
         ),
         'the committed document',
@@ -199,7 +202,7 @@
 @when('a document is committed and the reply is lost')
 def reply_lost(context):
     router = context.fleet.routers[0]
-    base = router.config.own.version
+    base = router.config.product.version
     store = context.fleet.store
     answer = store.app._answer
 
@@ -221,7 +224,7 @@
 def commit_successful(context):
     assert isinstance(context.result, int), context.result
     router = context.fleet.routers[0]
-    assert '# lost' in router.config.own.document['document']
+    assert '# lost' in router.config.product.document['document']
 
 
 @when('this document is checked')
@@ -254,18 +257,18 @@
     for _ in range(count):
         feed = new_feed()
         seen = []
-        feed.listen(lambda config, feed=feed: seen.append(
-            (feed.routes.version, feed.own.version)))  # fmt: skip
+        feed.subscribe(lambda config, feed=feed: seen.append(
+            (feed.routes.version, feed.product.version)))  # fmt: skip
         order = documents * 2
         draws.shuffle(order)
         for document in order:
             if draws.random() < 0.5:
                 feed.offer_routes(document, 'peer')
             else:
-                stored = objects.Stored(names.CONFIG_NAME, 1, document)
+                stored = objects.StoredObject(names.CONFIG_NAME, 1, document)
                 feed.on_changes(objects.Changes([stored], 1), False)
             own = draws.randrange(1, 9)
-            feed.offer_own(own, {'document': f'# {own}\n'}, 'peer')
+            feed.offer_product(own, {'document': f'# {own}\n'}, 'peer')
         assert feed.routes.version == 36
         assert feed.config.teams[0].name == 't7'
         for part in zip(*seen):
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -159,11 +159,11 @@
             world.sleep_ms(STORE_MS)
             return failures.unavailable('silent')
         if kind != names.CONFIG_KIND:
-            return objects.Stored(name, 0)
+            return objects.StoredObject(name, 0)
         world.reads += 1
         spec = world.stored
         world.carry((self._address,), len(json.dumps(spec)), LONG_MS)
-        return objects.Stored(name, spec['version'], spec)
+        return objects.StoredObject(name, spec['version'], spec)
 
 
 class Node:
@@ -187,7 +187,7 @@
             revision=3,
         )
         self.members = members = members_.Members(
-            me, clock_.AwakeClock(world.clock, AWAKE_MS), 1250
+            me, clock_.StallTolerantClock(world.clock, AWAKE_MS), 1250
         )
         checks = invariants.Invariants(
             prometheus_client.CollectorRegistry(), fatal=True
@@ -454,14 +454,20 @@
     'a caller of an unknown route is told to come back, and that nothing ran'
 )
 def told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, '/nowhere/x'))
+    is_promise(
+        helpers.send_request(context.fleet.routers[0].address, '/nowhere/x')
+    )
 
 
 @then(
     'a caller with an unknown key is told to come back, and that nothing ran'
 )
 def key_told_to_come_back(context):
-    is_promise(helpers.ask(context.fleet.routers[0].address, key='Bearer new'))
+    is_promise(
+        helpers.send_request(
+            context.fleet.routers[0].address, key='Bearer new'
+        )
+    )
 
 
 def is_promise(answer):
@@ -475,7 +481,9 @@
 
     def is_final():
         nonlocal answer
-        answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+        answer = helpers.send_request(
+            context.fleet.routers[0].address, '/nowhere/x'
+        )
         return answer.status == 404
 
     helpers.wait_until(is_final, 'the word is forgotten')
@@ -483,7 +491,9 @@
 
 @then('a caller of an unknown route is told that there is none')
 def told_none(context):
-    answer = helpers.ask(context.fleet.routers[0].address, '/nowhere/x')
+    answer = helpers.send_request(
+        context.fleet.routers[0].address, '/nowhere/x'
+    )
     assert answer.status == 404, answer
 
 
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -62,7 +62,7 @@
         for body in context.bodies
     ]  # fmt: skip
     green.sleep_ms(150)
-    assert context.draining.serving.gateway.in_work == count
+    assert context.draining.serving.gateway.in_flight == count
     context.drain = green.spawn(context.draining.drain)
     green.sleep_ms(100)
 
@@ -71,7 +71,7 @@
 def streams_complete(context):
     for body, task in zip(context.bodies, context.tasks):
         answer = task.wait()
-        assert fleet_steps.is_whole(answer, body, context.tokens), answer
+        assert fleet_steps.is_complete(answer, body, context.tokens), answer
 
 
 @then('the draining router is no longer ready nor listed in any directory')
@@ -83,7 +83,7 @@
 
 @then('during the drain each new connection is served for one request')
 def served_during_drain(context):
-    answer = helpers.ask(context.draining.address)
+    answer = helpers.send_request(context.draining.address)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
 
@@ -92,13 +92,13 @@
 def drained_in_time(context):
     with green.Timeout(8):
         context.drain.wait()
-    assert context.draining.serving.gateway.in_work == 0
+    assert context.draining.serving.gateway.in_flight == 0
 
 
 @then('after {ms:d} ms a stream that may outlast the grace time is refused')
 def long_stream_refused(context, ms):
     green.sleep_ms(ms)
-    answer = helpers.ask(context.draining.address, '/chat/x')
+    answer = helpers.send_request(context.draining.address, '/chat/x')
     assert answer.status == 503, answer
     assert answer.body == b'leaving', answer
     assert float(answer.header(names.RETRY_AFTER)) < 0.1, answer
@@ -106,7 +106,7 @@
 
 @then('a request with a short deadline is served')
 def short_request_served(context):
-    answer = helpers.ask(context.draining.address, deadline_ms=1000)
+    answer = helpers.send_request(context.draining.address, deadline_ms=1000)
     assert answer.status == 200, answer
 
 
@@ -114,20 +114,20 @@
 def request_after_drain(context):
     router = context.fleet.routers[0]
     router.drain()
-    context.last = helpers.ask(router.address)
+    context.last = helpers.send_request(router.address)
 
 
 @then('the request is refused as not run and reaches no upstream')
 def refused_not_run(context):
     assert context.last.status == 503, context.last
     assert context.last.body == b'leaving', context.last
-    assert not helpers.arrivals_of(context, context.last.request_id)
+    assert not helpers.arrival_count(context, context.last.request_id)
 
 
 @then('no request is running when the drain ends')
 def empty_after_drain(context):
     context.drain.wait()
-    assert context.draining.serving.gateway.in_work == 0
+    assert context.draining.serving.gateway.in_flight == 0
     streams_complete(context)
 
 
@@ -136,7 +136,7 @@
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
-    assert helpers.ask('', conn=context.conn).status == 200
+    assert helpers.send_request('', conn=context.conn).status == 200
     green.spawn(router.drain)
 
 
@@ -185,7 +185,7 @@
 def not_answered(context):
     # The connection ends at once; a forwarded request would arrive later.
     green.sleep_ms(500)
-    assert not helpers.arrivals_of(context, 'crossing-2')
+    assert not helpers.arrival_count(context, 'crossing-2')
     try:
         rest = helpers.read_rest(context.sock, 2000)
     except ConnectionResetError:
@@ -213,7 +213,7 @@
 
 @then("the caller's first request is answered and its connection is closed")
 def first_request_answered(context):
-    answer = helpers.ask('', conn=context.conn)
+    answer = helpers.send_request('', conn=context.conn)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
     context.drain.wait()
@@ -227,7 +227,9 @@
 
 
 def holder_of(context):
-    return next((r for r in context.fleet.serving() if r.lease.held()), None)
+    return next(
+        (r for r in context.fleet.serving() if r.lease.is_held()), None
+    )
 
 
 @when('the holder of the duties starts to drain')
@@ -416,7 +418,7 @@
         ),
         config=types.SimpleNamespace(
             routes=types.SimpleNamespace(version=3),
-            own=types.SimpleNamespace(version=0),
+            product=types.SimpleNamespace(version=0),
         ),
         upstream_table=upstreams_.UpstreamTable(clock),
         is_watching=lambda part: watches,
@@ -425,7 +427,7 @@
     catch_up = catch_up_.CatchUp(
         clock, fleet_state, None, lambda name, *rest: spawned.append(name)
     )
-    serving = helpers.bare_limits(clock)
+    serving = helpers.make_limits(clock)
     return peering_.Peering(clock, fleet_state, serving, None, None, catch_up)
 
 
@@ -553,7 +555,7 @@
     for me in everyone:
         members = members_.Members(me, clock, 1000)
         for other in everyone:
-            members.hear(other)
+            members.receive(other)
         context.members.append(members)
 
 
@@ -574,14 +576,14 @@
     context.members = context.members[count:]
     for members in context.members:
         for other in context.everyone[count:]:
-            members.hear(other)
+            members.receive(other)
 
 
 def watching(context, kind):
     return [
         members
         for members in context.members
-        if watchers.Watchers(members).is_due(kind)
+        if watchers.Watchers(members).should_watch(kind)
     ]
 
 
@@ -598,7 +600,7 @@
     context.members = context.members[:half]
     for members in context.members:
         for other in context.everyone[:half]:
-            members.hear(other)
+            members.receive(other)
 
 
 @then('{count:d} of the remaining members watch each kind')
@@ -612,7 +614,7 @@
 )
 def operator_looks_up(context):
     first, second = context.fleet.routers
-    context.last = helpers.ask(first.address)
+    context.last = helpers.send_request(first.address)
     client = rpc.RpcClient(pb_grpc.OperatorsStub)
     context.closing.append(client.close)
     request = pb.RequestShowRequest(request_id=context.last.request_id)
@@ -661,7 +663,7 @@
     reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
     assert reply.status == 200
     assert reply.json()['config'] == router.config.routes.version > 0
-    assert reply.json()['document'] == router.config.own.version > 0
+    assert reply.json()['document'] == router.config.product.version > 0
 
 
 TRACE = '4bf92f3577b34da6a3ce929d0e0e4736'
--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -10,7 +10,7 @@
 from peridotmast.coordination import kind_watch
 from peridotmast.coordination import objects
 from peridotmast.coordination import outage as outage_
-from peridotmast.coordination import store_check
+from peridotmast.coordination import store_prober
 from peridotmast.coordination import upstream_feed
 from peridotmast import green
 from peridotmast.platform import upstream_codec
@@ -36,7 +36,7 @@
 
 def apply_change(context, name, spec, after_outage=False):
     context.revision += 1
-    stored = objects.Stored(name, context.revision, spec)
+    stored = objects.StoredObject(name, context.revision, spec)
     context.feed.on_changes(
         objects.Changes([stored], context.revision), after_outage
     )
@@ -80,7 +80,7 @@
 
 @when('the earlier entry of "a" is received again')
 def earlier_entry_again(context):
-    stored = objects.Stored('a', 1, entry_spec('a'))
+    stored = objects.StoredObject('a', 1, entry_spec('a'))
     context.feed.on_changes(objects.Changes([stored], 1), False)
     listing = objects.Listing([stored], 1)
     context.other = upstreams_.UpstreamTable(context.clock)
@@ -106,7 +106,7 @@
 
 @when("another router fetches this router's records")
 def fetches_records(context):
-    records = context.upstreams.told_since(0)
+    records = context.upstreams.records_since(0)
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(
         pb.UpstreamRecord.FromString(record.SerializeToString())
@@ -147,8 +147,8 @@
 @given('a store that answers')
 def store_answers(context):
     context.clock = clock_.ManualClock()
-    context.outage = outage_.Outage(context.clock, 2000)
-    assert not context.outage.is_felt()
+    context.outage = outage_.OutageTracker(context.clock, 2000)
+    assert not context.outage.is_suspected()
 
 
 class CountingStore:
@@ -166,7 +166,7 @@
 @when('a store call was made and has then failed')
 def call_made_then_failed(context):
     context.calls_before = 1
-    context.outage.failed('429')
+    context.outage.record_failure('429')
 
 
 @when('another store call is made before each check')
@@ -178,7 +178,7 @@
 def probed_at(context, count, checks):
     store = CountingStore()
     store.calls = getattr(context, 'calls_before', 0)
-    check = store_check.StoreCheck(store, context.outage)
+    check = store_prober.StoreProber(store, context.outage)
     for _ in range(checks):
         store.calls += getattr(context, 'other_calls', 0)
         check.tick()
@@ -187,27 +187,27 @@
 
 @when('a store call fails')
 def call_fails(context):
-    context.outage.failed('silent')
+    context.outage.record_failure('silent')
 
 
 @when('a store call that started {ms:d} ms ago fails')
 def earlier_call_fails(context, ms):
-    context.outage.failed('silent', ms)
+    context.outage.record_failure('silent', ms)
 
 
 @when('a store call is answered')
 def call_answered(context):
-    context.outage.answered()
+    context.outage.record_answer()
 
 
 @then('missing entries may be due to an outage')
 def outage_possible(context):
-    assert context.outage.is_felt()
+    assert context.outage.is_suspected()
 
 
 @then('missing entries are not due to an outage')
 def outage_excluded(context):
-    assert not context.outage.is_felt()
+    assert not context.outage.is_suspected()
 
 
 class SilentStore:
@@ -223,7 +223,7 @@
         self.watches += 1
         if self.watches == 1:
             green.Event().wait()
-        return objects.Changes([objects.Stored('x', 2, {})], 2)
+        return objects.Changes([objects.StoredObject('x', 2, {})], 2)
 
 
 class Follower:
@@ -254,7 +254,7 @@
 @when('a peer has a newer state {ms:d} ms after the watch started')
 def peer_is_newer(context, ms):
     context.clock.advance(context.watch_started_at + ms - context.clock.now())
-    context.watch.overtaken()
+    context.watch.on_peer_ahead()
     green.sleep_ms(5)
 
 
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -23,7 +23,7 @@
 after its due time."""
 
 
-class Reports(ty.Protocol):
+class UsageSink(ty.Protocol):
     """Where usage is reported to."""
 
     def report_usage(
@@ -43,9 +43,9 @@
     ----------
     usage : usage.Usage
         The counts.
-    reports : Reports
+    reports : UsageSink
         Where they go.
-    store : objects.Objects
+    store : objects.ObjectStore
         Where they are written down first.
     window_ms : int
         Length of a window.
@@ -58,8 +58,8 @@
     def __init__(
         self,
         usage: usage_.Usage,
-        reports: Reports,
-        store: objects.Objects,
+        reports: UsageSink,
+        store: objects.ObjectStore,
         window_ms: int,
         fleet_now: ty.Callable[[], int],
         checks: invariants_.Invariants,
@@ -71,26 +71,26 @@
         self._fleet_now = fleet_now
         self._checks = checks
         self._first_window = usage.window_now()
-        self._written: ty.Optional[objects.Stored] = None
+        self._written: ty.Optional[objects.StoredObject] = None
         self._sure = False
         self._unsent = False
         self._log = logs.get('usage')
 
     @property
-    def changes(self) -> int:
+    def state_version(self) -> int:
         """None that the next holder can't read in the store."""
         return 0
 
-    def begin(self, left: ty.Optional[pb.DutiesLeft]) -> None:
+    def start(self, left: ty.Optional[pb.DutiesLeft]) -> None:
         """Forget what an earlier time as holder has left."""
         self._written = None
         self._sure = False
         self._unsent = False
 
-    def leave(self, left: pb.DutiesLeft) -> None:
+    def save(self, left: pb.DutiesLeft) -> None:
         """Leave nothing: what was reported is in the store."""
 
-    def act(self, fencing: int) -> None:
+    def run(self, fencing: int) -> None:
         """Write down and send what is due."""
         if not self._sure and not self._read():
             return
@@ -130,11 +130,11 @@
             return False
         written = (self._written.spec if self._written else None) or {}
         self._checks.check(
-            invariants_.Promise.ONE_REPORT,
+            invariants_.Invariant.ONE_REPORT,
             window > int(written.get('window') or 0),
             str(window),
         )
-        self._written = objects.Stored(NAME, result.revision, spec)
+        self._written = objects.StoredObject(NAME, result.revision, spec)
         self._unsent = True
         return True
 
--- a/src/peridotmast/router/beacon_rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -11,7 +11,7 @@
 from peridotmast.coordination import groups as groups_
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import outage_word
+from peridotmast.coordination import outage_reports
 from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import shared_totals as shared_totals_
 from peridotmast.router import update_beacons
@@ -58,7 +58,7 @@
         Counts of all routers.
     lease : lease.Lease
         The lease on the duties.
-    outages : outage_word.OutageWord
+    outages : outage_reports.OutageReports
         Store outages that peers report.
     groups : groups.Groups
         The groups of a large fleet.
@@ -75,9 +75,9 @@
         limits: upstream_limits_.UpstreamLimits,
         totals: shared_totals_.SharedTotals,
         lease: lease_.Lease,
-        outages: outage_word.OutageWord,
+        outages: outage_reports.OutageReports,
         groups: groups_.Groups,
-        current_groups: ty.Callable[[], groups_.Look],
+        current_groups: ty.Callable[[], groups_.GroupSnapshot],
     ) -> None:
         self._clock = clock
         self._fleet_state = fleet_state
@@ -104,14 +104,14 @@
         other routers. The number and size of a router's messages thus do not
         grow with the fleet.
         """
-        if not self._groups.is_split():
+        if not self._groups.is_grouped():
             return self._member_round(self._members.peers())
         if next(self._numbers) % _ROUNDS_PER_BEACON:
             return []
         groups = self._current_groups()
-        if groups.leads:
+        if groups.is_head:
             return self._head_round(groups)
-        return self._member_round(groups.heads())
+        return self._member_round(groups.head_and_successor())
 
     def start_leading(self) -> None:
         """Record that this router is the head of its group from now on."""
@@ -132,8 +132,8 @@
         """Return a beacon with the contents common to all rounds."""
         beacon = update_beacons.base_beacon(self._fleet_state)
         beacon.wall_ms = self._clock.wall()
-        beacon.outage_felt = self._fleet_state.outage.is_felt()
-        beacon.untold = self._quota.is_untold()
+        beacon.outage_felt = self._fleet_state.outage.is_suspected()
+        beacon.untold = self._quota.needs_levels()
         beacon.crash_suspects.extend(self._crashes.updates())
         beacon.upstream_limits.extend(self._limits.updates())
         hint, other = self._lease.hint(), self._random_peer()
@@ -171,13 +171,15 @@
         )
         yield with_levels, lacking
 
-    def _head_round(self, groups: groups_.Look) -> beacons_.Round:
+    def _head_round(self, groups: groups_.GroupSnapshot) -> beacons_.Round:
         """Yield a head's beacons for the other heads and for its members."""
-        heard = {peer.member.name for peer in self._members.heard()}
+        heard = {peer.member.name for peer in self._members.live_peers()}
         members = [peer.member.name for peer in groups.members()]
         base = self._base_beacon()
         base.wall_ms = self._fleet_state.fleet_clock.now()
-        base.changed.extend(self._members.changed(_CHANGED_MS, _MAX_CHANGED))
+        base.changed.extend(
+            self._members.recently_changed(_CHANGED_MS, _MAX_CHANGED)
+        )
         head_ms = self._clock.now() - self._head_since
         base.others_alive = head_ms < _HEAD_WARMUP_MS
         lease = self._lease.known_holder()
@@ -187,10 +189,10 @@
         beacon.CopyFrom(base)
         beacon.group.CopyFrom(self._totals.group())
         beacon.alive.extend(name for name in members if name in heard)
-        beacon.outage_felt |= self._outages.is_heard_of_member()
+        beacon.outage_felt |= self._outages.has_recent_from_member()
         yield from self._with_levels(beacon, groups.other_heads())
         base.alive.extend(heard)
-        base.outage_felt |= self._outages.is_heard()
+        base.outage_felt |= self._outages.has_recent()
         peers = {peer.member.name: peer for peer in groups.members()}
         for name, totals in self._totals.totals_for_members(list(peers)):
             beacon = pb.Beacon()
@@ -199,5 +201,5 @@
             yield from self._with_levels(beacon, [peers[name]])
 
     def _random_peer(self) -> ty.Optional[pb.Member]:
-        heard = self._members.heard()
+        heard = self._members.live_peers()
         return self._random.choice(heard).member if heard else None
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -9,10 +9,10 @@
 from google.protobuf import message
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast import failures
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.router import config_fetcher
 from peridotmast.router import fleet_state as fleet_state_
 from peridotmast.router import peer_calls
@@ -114,7 +114,7 @@
         """
         self._schedule_fetch(
             'config',
-            (self._config.routes.version, self._config.own.version),
+            (self._config.routes.version, self._config.product.version),
             self.config_fetcher.is_behind(),
             self.config_fetcher.fetch_until_current,
         )
@@ -164,9 +164,9 @@
             return False
         try:
             if reply.packed:
-                text = packing.unpack(reply.packed, _MAX_MEMBERS_BYTES)
+                text = compression.decompress(reply.packed, _MAX_MEMBERS_BYTES)
                 reply = pb.JoinReply.FromString(text)
-        except (packing.Unpackable, message.DecodeError) as exc:
+        except (compression.DecompressionError, message.DecodeError) as exc:
             self._log.error(
                 'peer_reply_malformed', peer=address, error=str(exc)[:200]
             )
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -13,7 +13,7 @@
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import nearest
+from peridotmast.coordination import router_selector
 from peridotmast import failures
 from peridotmast import logs
 from peridotmast.router import chat_answers
@@ -69,7 +69,9 @@
         self._clock = clock
         self._feed = feed
         self._gateway = gateway
-        self._nearest = nearest.Nearest(members, _MAX_RESOLVED)
+        self._router_selector = router_selector.RouterSelector(
+            members, _MAX_RESOLVED
+        )
         self._keep_ms = keep_ms
         self._log = logs.get('chat')
 
@@ -82,11 +84,11 @@
     def _chat(self, req: web.Request) -> web.Response:
         parsed = self._read_chat(req)
         if isinstance(parsed, failures.Failure):
-            return web.from_failure(parsed)
+            return web.failure_response(parsed)
         call, body = parsed
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _http_status(reply))
+            return web.failure_response(reply, call.id, _http_status(reply))
         answer = chat_answers.ChatAnswer(reply, call.id, body.model)
         if answer.has_failed or not body.stream:
             return answer.completion()
@@ -104,23 +106,25 @@
     ) -> web.Response:
         call = self._read_service(req, service, name)
         if isinstance(call, failures.Failure):
-            return web.from_failure(call)
+            return web.failure_response(call)
         reply = self._gateway.handle(call)
         if isinstance(reply, failures.Failure):
-            return web.from_failure(reply, call.id, _http_status(reply))
+            return web.failure_response(reply, call.id, _http_status(reply))
         try:
             body = chat_answers.read_body(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
-            return web.from_failure(body, call.id)
+            return web.failure_response(body, call.id)
         response = web.Response(reply.head.status, body, 'text/plain')
         response.headers.append(('X-Request-Id', call.id))
         return response
 
     def _resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get('failure_domain', '')
-        routers = self._nearest.of(domain, lambda m: bool(m.chat_address))
+        routers = self._router_selector.select(
+            domain, lambda m: bool(m.chat_address)
+        )
         return web.json_response(
             {
                 'addresses': [member.chat_address for member in routers],
@@ -130,7 +134,9 @@
 
     def _read_chat(
         self, req: web.Request
-    ) -> ty.Union[tuple[gateway_.Asked, pb.ChatRequest], failures.Failure]:
+    ) -> ty.Union[
+        tuple[gateway_.IncomingRequest, pb.ChatRequest], failures.Failure
+    ]:
         body = _parse(req, pb.ChatRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -138,10 +144,10 @@
         model = next((m for m in config.models if m.name == body.model), None)
         if model is None:
             unknown = failures.invalid('unknown_model', body.model[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         if body.adapter and body.adapter not in model.adapters:
             unknown = failures.invalid('unknown_adapter', body.adapter[:80])
-            return self._gateway.unless_behind(unknown)
+            return self._gateway.retryable_if_stale(unknown)
         max_tokens = body.max_tokens or min(
             _DEFAULT_MAX_TOKENS, model.max_tokens
         )
@@ -149,7 +155,7 @@
             beyond = failures.invalid(
                 'max_tokens', f'must be from 1 to {model.max_tokens}'
             )
-            return self._gateway.unless_behind(beyond)
+            return self._gateway.retryable_if_stale(beyond)
         if not body.messages:
             return failures.invalid('messages', 'at least one is needed')
         route = next((r for r in config.routes if r.name == model.route), None)
@@ -172,7 +178,7 @@
 
     def _read_service(
         self, req: web.Request, service: str, name: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         body = _parse(req, pb.ServiceRequest())
         if isinstance(body, failures.Failure):
             return body
@@ -189,7 +195,7 @@
         )
         if route is None:
             missing = failures.missing('no_route', service[:80])
-            return self._gateway.unless_behind(missing)
+            return self._gateway.retryable_if_stale(missing)
         call = self._build_request(req, body, route, name)
         if not isinstance(call, failures.Failure):
             call.body = body.payload.encode()
@@ -197,7 +203,7 @@
 
     def _build_request(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
-    ) -> ty.Union[gateway_.Asked, failures.Failure]:
+    ) -> ty.Union[gateway_.IncomingRequest, failures.Failure]:
         """Return a request with the fields of both chat and service calls."""
         request_id = body.request_id or req.header('X-Request-Id')
         if request_id and (
@@ -214,7 +220,7 @@
         if body.deadline_ms < 0:
             return failures.invalid('deadline_past', 'deadline_ms is negative')
         request_id = request_id or uuid.uuid4().hex
-        return gateway_.Asked(
+        return gateway_.IncomingRequest(
             id=request_id,
             method='POST',
             target=route.prefix + path,
@@ -222,8 +228,8 @@
             key=_bearer_token(req.header('Authorization')),
             headers=[('Host', route.host), ('Content-Type', web.JSON)],
             body=b'',
-            entered=self._clock.now(),
-            patience_ms=body.deadline_ms or _DEADLINES_MS[work],
+            arrived_at=self._clock.now(),
+            caller_timeout_ms=body.deadline_ms or _DEADLINES_MS[work],
             prompt=exchange_.Prompt(),
             caller=ty.cast(caller_connection.CallerConnection, req.connection),
             route=route,
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -7,9 +7,9 @@
 import typing as ty
 
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _RATE = 250
@@ -63,7 +63,7 @@
 
     def reply_to(self, req: pb.ConfigRequest) -> pb.ConfigReply:
         """Return the newer parts, or a delay and peers that hold a copy."""
-        routes, own = self._config.routes, self._config.own
+        routes, own = self._config.routes, self._config.product
         reply = pb.ConfigReply(
             config_version=routes.version, document_version=own.version
         )
@@ -107,7 +107,7 @@
         lacks_routes: bool,
         lacks_own: bool,
     ) -> None:
-        routes, own = self._config.routes, self._config.own
+        routes, own = self._config.routes, self._config.product
         if lacks_routes and packed:
             reply.packed_config = self._pack('routes', routes)
         elif lacks_routes:
@@ -117,12 +117,12 @@
         elif lacks_own:
             reply.document = _serialized(own)
 
-    def _pack(self, name: str, part: config_feed_.Part) -> bytes:
+    def _pack(self, name: str, part: config_feed_.ConfigPart) -> bytes:
         """Return the packed text of a part, packed once per version."""
         version, data = self._packed.get(name, (0, b''))
         if version != part.version:
             # 1,649 routes with random names, 421 kB, become 35 kB in 2 ms.
-            data = packing.pack(_serialized(part))
+            data = compression.compress(_serialized(part))
             self._packed[name] = part.version, data
         return data
 
@@ -135,7 +135,7 @@
         return 0 if self._budget > 0 else 1 + int(-self._budget / _RATE)
 
 
-def _serialized(part: config_feed_.Part) -> bytes:
+def _serialized(part: config_feed_.ConfigPart) -> bytes:
     document: dict[str, ty.Any] = part.document
     if not document:
         return b''
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -10,11 +10,11 @@
 
 from peridotmast import addresses
 from peridotmast import clock as clock_
+from peridotmast import compression
 from peridotmast.coordination import config_feed as config_feed_
 from peridotmast import failures
 from peridotmast import green
 from peridotmast import logs
-from peridotmast import packing
 from peridotmast.router import peer_calls
 from peridotmast.schema import peridotmast_pb2 as pb
 
@@ -227,7 +227,9 @@
         return result
 
     def _versions_in_force(self) -> _Versions:
-        return _Versions(self._config.routes.version, self._config.own.version)
+        return _Versions(
+            self._config.routes.version, self._config.product.version
+        )
 
     def _versions_to_skip(self) -> _Versions:
         """Return the versions up to which nothing is fetched."""
@@ -268,7 +270,7 @@
     def _call(self, address: str) -> ty.Any:
         request = pb.ConfigRequest(
             known_version=self._config.routes.version,
-            known_document=self._config.own.version,
+            known_document=self._config.product.version,
             takes_packed=True,
             peer_address=self._me.peer_address,
         )
@@ -292,7 +294,7 @@
                 )
             own = _unpacked_text(reply.packed_document, reply.document)
             if own:
-                is_updated |= self._config.offer_own(
+                is_updated |= self._config.offer_product(
                     reply.document_version, json.loads(own), source
                 )
         except (ValueError, RecursionError) as exc:
@@ -374,7 +376,11 @@
 
     Raises
     ------
-    packing.Unpackable
+    compression.DecompressionError
         If the packed text is invalid or its unpacked size exceeds the limit.
     """
-    return packing.unpack(packed, _MAX_UNPACKED_BYTES) if packed else plain
+    return (
+        compression.decompress(packed, _MAX_UNPACKED_BYTES)
+        if packed
+        else plain
+    )
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -67,14 +67,14 @@
     def run(self) -> None:
         """Withdraw the router, then wait until no request is running."""
         started_at = self._clock.now()
-        self._gateway.leave(
+        self._gateway.drain(
             started_at + _ACCEPT_ALL_MS,
             started_at + self._grace_ms - _EXIT_RESERVE_MS,
         )
         self._members.change_me(state=members_.LEAVING, ready=False)
         self._announce()
         self._close_idle()
-        self._log.info('drain_started', in_work=self._gateway.in_work)
+        self._log.info('drain_started', in_work=self._gateway.in_flight)
         # Called last, since the store may be slow to answer.
         self._release()
         while not self._is_over(self._clock.now() - started_at):
@@ -83,11 +83,11 @@
         self._gateway.close()
         self._log.info(
             'drain_over',
-            in_work=self._gateway.in_work,
+            in_work=self._gateway.in_flight,
             ms=self._clock.now() - started_at,
         )
 
     def _is_over(self, elapsed_ms: int) -> bool:
         if elapsed_ms >= self._grace_ms - _EXIT_RESERVE_MS:
             return True
-        return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_work
+        return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_flight
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -13,7 +13,7 @@
 from peridotmast.coordination import members as members_
 from peridotmast.coordination import outage as outage_
 from peridotmast.coordination import registry as registry_
-from peridotmast.coordination import store_check
+from peridotmast.coordination import store_prober
 from peridotmast.coordination import upstream_feed
 from peridotmast.coordination import watchers as watchers_
 from peridotmast import green
@@ -80,7 +80,7 @@
         cfg, platform, bounds = file.router, file.platform, file.bounds
         lapse_ms = int(bounds.lapse_s * 1000)
         self._clock = clock
-        self.outage = outage_.Outage(clock, lapse_ms)
+        self.outage = outage_.OutageTracker(clock, lapse_ms)
         """Tracks whether the store answers."""
         self.store = store_.PlatformStore(
             platform.objects, platform.timeout_ms, self.outage
@@ -95,12 +95,12 @@
         )
         self.members = members_.Members(
             me,
-            clock_.AwakeClock(
+            clock_.StallTolerantClock(
                 clock,
                 max(_MIN_CLOCK_GAP_MS, _MAX_CLOCK_GAP_BEACONS * cfg.beacon_ms),
             ),
             _MAX_MISSED_BEACONS * cfg.beacon_ms,
-            groups_.WHOLE,
+            groups_.FULL_MESH_LIMIT,
         )
         """All routers, including this one."""
         self.upstream_table = upstreams_.UpstreamTable(
@@ -154,7 +154,7 @@
             Called after a change was applied.
         """
         # The chosen watchers may be just the routers that the store refuses.
-        self.watchers.is_outage_felt = is_outage_suspected
+        self.watchers.is_outage_suspected = is_outage_suspected
         for kind, receiver in (
             (names.CONFIG_KIND, self.config),
             (config_feed.KIND, self.config),
@@ -174,9 +174,9 @@
         self._spawn = tasks.spawn
         # Changes during an outage are lost on connections that stay open: a
         # watch waiting on one of them would hear nothing for 25 s.
-        self.outage.on_back = self._restart_watches
+        self.outage.on_recovery = self._restart_watches
         tasks.spawn('register', self._register)
-        check = store_check.StoreCheck(self.store, self.outage)
+        check = store_prober.StoreProber(self.store, self.outage)
         tasks.every('check_store', _STORE_CHECK_MS, check.tick)
 
     def is_watching(self, part: str) -> bool:
@@ -187,7 +187,7 @@
         part : str
             ``config`` or ``upstreams``.
         """
-        return all(map(self.watchers.is_due, _KINDS_OF_PART[part]))
+        return all(map(self.watchers.should_watch, _KINDS_OF_PART[part]))
 
     def refresh(self, part: str) -> None:
         """Restart the watches that missed a change which a peer had.
@@ -201,7 +201,7 @@
         """
         for watch in self._watches:
             if watch.kind in _KINDS_OF_PART[part]:
-                watch.overtaken()
+                watch.on_peer_ahead()
 
     def check_store(self) -> None:
         """Check whether the store answers here, since it fails for a peer.
@@ -209,13 +209,15 @@
         Calls that are already waiting may neither fail nor be answered.
         """
         self._restart_watches()
-        if any(self.watchers.is_due(watch.kind) for watch in self._watches):
+        if any(
+            self.watchers.should_watch(watch.kind) for watch in self._watches
+        ):
             self._spawn('probe_store', self.store.probe)
 
     def tick(self) -> None:
         """Expire lapsed upstreams and remove the ones that are gone."""
         self._upstreams.tick()
-        self.upstream_table.forget_gone()
+        self.upstream_table.remove_gone()
 
     def _must_watch(self, kind: str) -> bool:
         """Return whether this router must watch a kind.
@@ -228,14 +230,14 @@
         )
         if is_waiting and not self._is_registered:
             return False
-        return self.watchers.is_due(kind)
+        return self.watchers.should_watch(kind)
 
     def _restart_watches(self) -> None:
         """Restart watches that may have missed changes in an outage."""
         for watch in self._watches:
-            watch.doubt()
+            watch.on_outage()
 
     def _register(self) -> None:
-        while not self._registry.enter():
+        while not self._registry.register():
             green.sleep_ms(_REGISTER_RETRY_MS)
         self._is_registered = True
--- a/src/peridotmast/router/http_servers.py
+++ b/src/peridotmast/router/http_servers.py
@@ -132,6 +132,6 @@
         body = {
             'serving': serving,
             'config': config.routes.version,
-            'document': config.own.version,
+            'document': config.product.version,
         }
         return web.json_response(body, 200 if serving else 503)
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -87,8 +87,8 @@
         members += [peer.member for peer in self._members.peers()]
         return pb.ConfigStatusReply(
             nodes=[self._node_status(member) for member in members],
-            document_version=self._feed.own.version,
-            document=self._feed.own.document.get('document') or '',
+            document_version=self._feed.product.version,
+            document=self._feed.product.document.get('document') or '',
         )
 
     def ConfigHistory(  # noqa: N802
@@ -96,7 +96,7 @@
     ) -> pb.ConfigHistoryReply:
         """Return who changed the document, and when."""
         self._require_role(caller, READ)
-        history = self._feed.own.document.get('history') or ()
+        history = self._feed.product.document.get('history') or ()
         return pb.ConfigHistoryReply(
             changes=[
                 pb.ConfigHistoryReply.Change(
@@ -118,7 +118,9 @@
         reply = pb.NodeListReply()
         reply.nodes.add(member=self._members.me, silent_ms=-1)
         for other in self._members.peers():
-            silent_ms = now - other.heard_at if other.heard_at else now
+            silent_ms = (
+                now - other.last_beacon_at if other.last_beacon_at else now
+            )
             reply.nodes.add(member=other.member, silent_ms=silent_ms)
         hint = self._lease.known_holder()
         if hint is not None:
@@ -150,7 +152,7 @@
         self._require_role(caller, READ)
         reply = pb.UpstreamListReply()
         for view in sorted(self._table.all(), key=lambda view: view.name):
-            load = view.load()
+            load = view.total_load()
             reply.upstreams.add(
                 record=view.record,
                 load=pb.UpstreamLoad(
@@ -169,7 +171,7 @@
         """Return the decisions of all routers on a request."""
         self._require_role(caller, READ)
         reply = self.local_steps(req)
-        for other in self._members.heard():
+        for other in self._members.live_peers():
             theirs = self._peers.call(
                 other.member.peer_address,
                 'FetchRequest',
@@ -192,27 +194,30 @@
     def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
         """Return this router's decisions on a request."""
         reply = pb.RequestShowReply()
-        for at, text in self._decisions.of(req.request_id):
+        for at, text in self._decisions.history(req.request_id):
             reply.steps.add(router=self._members.me.name, at_ms=at, text=text)
         return reply
 
     def _require_role(self, caller: rpc.Caller, role: str) -> None:
-        """Raise `rpc.Denied` if the caller does not have `role`."""
-        if not self._tls.cert_file or self._tls.router_name in caller.others:
+        """Raise `rpc.PermissionDenied` if the caller does not have `role`."""
+        if (
+            not self._tls.cert_file
+            or self._tls.router_name in caller.alt_names
+        ):
             return
         operators = self._feed.config.operators
-        if not operators and not self._feed.own.version:
+        if not operators and not self._feed.product.version:
             # Before the first document no operators are defined.
             return
         if any(caller.name == o.name and role in o.may for o in operators):
             return
-        raise rpc.Denied(f'{caller.name or "nobody"} may not {role}')
+        raise rpc.PermissionDenied(f'{caller.name or "nobody"} may not {role}')
 
     def _node_status(self, member: pb.Member) -> pb.ConfigStatusReply.Node:
         node = pb.ConfigStatusReply.Node(name=member.name)
         if member.name == self._members.me.name:
             node.config_version = self._feed.routes.version
-            node.document_version = self._feed.own.version
+            node.document_version = self._feed.product.version
             return node
         # Versions only: the texts of a whole fleet would saturate the link.
         request = pb.ConfigRequest(
@@ -236,6 +241,6 @@
             )
         return pb.ConfigApplyReply(
             conflict=True,
-            current_version=self._feed.own.version,
-            current_document=self._feed.own.document.get('document') or '',
+            current_version=self._feed.product.version,
+            current_document=self._feed.product.document.get('document') or '',
         )
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -6,10 +6,10 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
-from peridotmast.coordination import gaps as gaps_
 from peridotmast.coordination import groups as groups_
 from peridotmast.coordination import lease as lease_
-from peridotmast.coordination import outage_word
+from peridotmast.coordination import outage_reports
+from peridotmast.coordination import report_gaps as report_gaps_
 from peridotmast import logs
 from peridotmast.router import beacon_rounds as beacon_rounds_
 from peridotmast.router import catch_up as catch_up_
@@ -84,7 +84,9 @@
         self._catch_up = catch_up
         self.updates = update_beacons_.UpdateBeacons(fleet_state, catch_up)
         """Builds and receives beacons that are sent between rounds."""
-        self._outages = outage_word.OutageWord(clock, fleet_state.check_store)
+        self._outages = outage_reports.OutageReports(
+            clock, fleet_state.check_store
+        )
         self._totals = totals
         self._groups = groups_.Groups(members)
         self.borrowing = quota_borrowing_.QuotaBorrowing(
@@ -104,14 +106,19 @@
             self._current_groups,
         )
         """Builds the beacons that are sent in rounds."""
-        self._gaps = gaps_.Gaps(clock, serving.quota.worth)
+        self._gaps = report_gaps_.ReportGaps(clock, serving.quota.max_spends)
         self._role = _Role(False, False, 1)
         self._group_heard_at: dict[int, int] = {}
-        serving.quota.routers = serving.retry_budget.routers = members.counted
-        serving.quota.knows_late = self.has_delayed_totals
+        serving.quota.count_routers = serving.retry_budget.routers = (
+            members.sharer_count
+        )
+        serving.quota.has_stale_peer_data = self.has_delayed_totals
         serving.crashes.relays_updates = self.has_delayed_totals
         self._accepted_head = '', -_GROUP_TIMEOUT_MS
-        self._cached_groups: tuple[ty.Optional[groups_.Look], int] = None, 0
+        self._cached_groups: tuple[ty.Optional[groups_.GroupSnapshot], int] = (
+            None,
+            0,
+        )
         self._log = logs.get('peering', router=members.me.name)
 
     def load_beacons(self, view: upstream_view.UpstreamView) -> beacons_.Round:
@@ -120,15 +127,15 @@
         Nothing is sent in a large fleet, which has too many routers for each
         to report to all others.
         """
-        if self._groups.is_split():
+        if self._groups.is_grouped():
             return []
         me = self._members.me
         load_news = pb.LoadNews(
             router=me.name,
             incarnation=me.incarnation,
-            load=self._table.load_of(view),
+            load=self._table.local_load(view),
         )
-        return [(pb.Beacon(load_news=load_news), self._members.heard())]
+        return [(pb.Beacon(load_news=load_news), self._members.live_peers())]
 
     def serving_beacons(self) -> beacons_.Round:
         """Return crash and upstream limit updates for all peers."""
@@ -150,12 +157,12 @@
             self.borrowing.handle_answer(beacon.limit_answer)
             return
         member = beacon.member
-        if not self._members.hear(member):
+        if not self._members.receive(member):
             return
         if beacon.lease.holder:
-            self._lease.hear(beacon.lease)
-        self._serving.crashes.hear(beacon.crash_suspects)
-        self._serving.limits.hear(beacon.upstream_limits)
+            self._lease.receive_hint(beacon.lease)
+        self._serving.crashes.merge_updates(beacon.crash_suspects)
+        self._serving.limits.merge_updates(beacon.upstream_limits)
         if beacon.news_only:
             self.updates.receive(beacon)
             return
@@ -165,10 +172,10 @@
             self._members.learn(changed)
         self._apply_totals(beacon)
         if beacon.outage_felt:
-            self._outages.hear(member.name, beacon.HasField('own'))
+            self._outages.record(member.name, beacon.HasField('own'))
         self.rounds.set_needs_levels(member.name, beacon.untold)
         if beacon.levels:
-            self._serving.quota.hear_levels(
+            self._serving.quota.adopt_levels(
                 {level.team: level.tokens for level in beacon.levels}
             )
         self._catch_up.compare(beacon)
@@ -176,14 +183,14 @@
     def tick(self) -> None:
         """Expire the state of routers and groups that have fallen silent."""
         self._members.tick()
-        heard = self._members.heard()
+        heard = self._members.live_peers()
         quota = self._serving.quota
-        self._serving.limits.set_routers(self._members.counted_names())
-        quota.share = (1 + len(heard)) / self._members.counted()
-        quota.told_ms = (
-            quota_.TOLD_LATE_MS
+        self._serving.limits.set_routers(self._members.sharer_names())
+        quota.known_share = (1 + len(heard)) / self._members.sharer_count()
+        quota.startup_wait_ms = (
+            quota_.LARGE_FLEET_STARTUP_WAIT_MS
             if self.has_delayed_totals()
-            else quota_.TOLD_MS
+            else quota_.STARTUP_WAIT_MS
         )
         quota.tick()
         oldest = self._clock.now() - _GROUP_TIMEOUT_MS
@@ -192,85 +199,92 @@
             for group, at in self._group_heard_at.items()
             if at >= oldest
         }
-        self._outages.forget(oldest)
-        groups, split = self._current_groups(), self._groups.is_split()
+        self._outages.discard_before(oldest)
+        groups, split = self._current_groups(), self._groups.is_grouped()
         if split:
             self._totals.add_estimates(self._gaps.tick(self._shares(groups)))
         self._totals.prune(
             {p.member.name for p in self._members.peers()},
-            groups.members_heard()
+            groups.live_member_names()
             if split
             else {peer.member.name for peer in heard},
             self._group_heard_at,
-            split and not groups.leads,
+            split and not groups.is_head,
         )
 
     def has_delayed_totals(self) -> bool:
         """Return whether others' load may be over before it is reported."""
-        return self._groups.is_split()
+        return self._groups.is_grouped()
 
     def is_outage_suspected(self) -> bool:
         """Return whether missing entries may be due to a store outage."""
-        is_heard = self._outages.is_heard()
-        return is_heard or self._fleet_state.outage.is_felt()
+        is_heard = self._outages.has_recent()
+        return is_heard or self._fleet_state.outage.is_suspected()
 
     def _apply_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
-        if peer is None or not peer.heard_at:
+        if peer is None or not peer.last_beacon_at:
             return
         if news.incarnation == peer.member.incarnation:
-            self._table.take_load(news.router, news.load)
+            self._table.set_peer_load(news.router, news.load)
 
     def _apply_totals(self, beacon: pb.Beacon) -> None:
         """Apply those totals of a peer that this router must take from it."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
-        split = self._groups.is_split()
+        split = self._groups.is_grouped()
         groups = self._current_groups()
         if beacon.HasField('own'):
-            clock.hear(name, beacon.wall_ms)
-            counted = not split or (groups.leads and groups.is_member(name))
+            clock.record_peer(name, beacon.wall_ms)
+            counted = not split or (groups.is_head and groups.is_member(name))
             self._totals.update_peer(name, run, beacon.own, counted)
         if beacon.HasField('group'):
-            clock.hear(name, beacon.wall_ms)
+            clock.record_peer(name, beacon.wall_ms)
             group = groups.group_of(name)
             self._group_heard_at[group] = self._clock.now()
             covered = () if beacon.others_alive else groups.names_in(group)
-            self._members.hear_some(beacon.alive, covered)
-            counted = split and groups.leads
+            self._members.apply_head_report(beacon.alive, covered)
+            counted = split and groups.is_head
             self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
                 self._close_gap(_group_source(group), (name, run), groups)
         if beacon.HasField('others') and self._accepts(name):
-            covered = () if beacon.others_alive else self._members.names()
-            self._members.hear_some(beacon.alive, covered)
-            counted = split and not groups.leads
+            covered = () if beacon.others_alive else self._members.peer_names()
+            self._members.apply_head_report(beacon.alive, covered)
+            counted = split and not groups.is_head
             if counted:
-                clock.follow(beacon.wall_ms)
+                clock.follow_head(beacon.wall_ms)
             self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
                 self._close_gap(_FLEET_SOURCE, (name, run), groups)
 
     def _close_gap(
-        self, source: str, reporter: tuple[str, int], groups: groups_.Look
+        self,
+        source: str,
+        reporter: tuple[str, int],
+        groups: groups_.GroupSnapshot,
     ) -> None:
         """Record a report from a source and add estimates for the gap."""
         share = self._shares(groups).get(source, 0.0)
-        self._totals.add_estimates(self._gaps.hear(source, reporter, share))
+        self._totals.add_estimates(
+            self._gaps.on_report(source, reporter, share)
+        )
 
-    def _shares(self, groups: groups_.Look) -> dict[str, float]:
+    def _shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
         """Return the share of the fleet that each source reports on.
 
         Only routers that are heard are included: what the missing ones might
         spend is deducted from the limits elsewhere.
         """
-        fleet_size = self._members.counted()
-        if not groups.leads:
-            return {_FLEET_SOURCE: len(self._members.heard()) / fleet_size}
+        fleet_size = self._members.sharer_count()
+        if not groups.is_head:
+            return {
+                _FLEET_SOURCE: len(self._members.live_peers()) / fleet_size
+            }
         return {
-            _group_source(group): groups.heard_in(group) / fleet_size
+            _group_source(group): groups.live_count(group) / fleet_size
             for group in range(groups.count)
-            if group != groups.mine
+            if group != groups.own_group
         }
 
     def _accepts(self, head: str) -> bool:
@@ -284,7 +298,8 @@
         now = self._clock.now()
         accepted, at = self._accepted_head
         expected = [
-            peer.member.name for peer in self._current_groups().heads()[:1]
+            peer.member.name
+            for peer in self._current_groups().head_and_successor()[:1]
         ]
         is_expected = head == accepted or head in expected
         if not is_expected and now - at < _GROUP_TIMEOUT_MS:
@@ -292,34 +307,34 @@
         self._accepted_head = head, now
         return True
 
-    def _current_groups(self) -> groups_.Look:
+    def _current_groups(self) -> groups_.GroupSnapshot:
         """Return the groups, at most `_GROUPS_TTL_MS` old."""
         now = self._clock.now()
         groups, at = self._cached_groups
         if groups is None or now - at >= _GROUPS_TTL_MS:
-            groups = self._groups.look()
+            groups = self._groups.snapshot()
             self._cached_groups = groups, now
             self._update_role(groups)
         return groups
 
-    def _current_groups_if_split(self) -> ty.Optional[groups_.Look]:
-        return self._current_groups() if self._groups.is_split() else None
+    def _current_groups_if_split(self) -> ty.Optional[groups_.GroupSnapshot]:
+        return self._current_groups() if self._groups.is_grouped() else None
 
-    def _update_role(self, groups: groups_.Look) -> None:
+    def _update_role(self, groups: groups_.GroupSnapshot) -> None:
         """Record whether this router is a head, and the number of groups.
 
         A new role may change the source of the other routers' counts, which
         must not count any of them twice.
         """
-        split = self._groups.is_split()
+        split = self._groups.is_grouped()
         role = _Role(
-            split, split and groups.leads, groups.count if split else 1
+            split, split and groups.is_head, groups.count if split else 1
         )
         previous, self._role = self._role, role
         if role.leads and not previous.leads:
             self.rounds.start_leading()
         if role.leads or not split:
-            self._fleet_state.fleet_clock.lead()
+            self._fleet_state.fleet_clock.use_own_median()
         if role.groups != previous.groups:
             keep_all = not split
             self._totals.retain_members(
@@ -327,11 +342,11 @@
             )
         if role != previous:
             self._totals.change_source()
-            self._gaps.begin(self._shares(groups) if split else ())
+            self._gaps.reset(self._shares(groups) if split else ())
             self._log.info(
                 'role',
                 groups=role.groups,
-                group=groups.mine if split else 0,
+                group=groups.own_group if split else 0,
                 leads=role.leads,
             )
 
--- a/src/peridotmast/router/quota_borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -38,7 +38,7 @@
         self,
         members: members_.Members,
         quota: quota_.Quota,
-        current_groups: ty.Callable[[], ty.Optional[groups_.Look]],
+        current_groups: ty.Callable[[], ty.Optional[groups_.GroupSnapshot]],
     ) -> None:
         self._members = members
         self._quota = quota
@@ -56,10 +56,10 @@
         Asks the head if that can help, and waits for its answer.
         """
         wait_ms = self._quota.take(team, tokens)
-        if not wait_ms or self._quota.is_sure(team):
+        if not wait_ms or self._quota.is_level_known(team):
             return wait_ms
         if self._borrow(team, tokens):
-            self._quota.take_lent(team, tokens)
+            self._quota.take_borrowed(team, tokens)
             return 0
         # The remaining limit may have been received in the meantime.
         return self._quota.take(team, tokens)
@@ -67,7 +67,7 @@
     def handle_request(self, ask: pb.LimitAsk) -> None:
         """Answer a member of this router's group, as its head."""
         peer, groups = self._members.get(ask.router), self._current_groups()
-        if peer is None or groups is None or not groups.leads:
+        if peer is None or groups is None or not groups.is_head:
             return
         if not groups.is_member(ask.router):
             return
@@ -88,7 +88,7 @@
         groups = self._current_groups()
         if groups is None:
             return False
-        if groups.leads:
+        if groups.is_head:
             return self._lend(groups, team, tokens)
         number = next(self._numbers)
         answered = self._pending[number] = green.Event()
@@ -100,7 +100,7 @@
             team=team,
             tokens=tokens,
         )
-        self.send(pb.Beacon(limit_ask=ask), groups.heads()[:1])
+        self.send(pb.Beacon(limit_ask=ask), groups.head_and_successor()[:1])
         lent: ty.Optional[bool] = None
         try:
             with green.Timeout(_ANSWER_TIMEOUT_MS / 1000, False):
@@ -108,8 +108,10 @@
         finally:
             del self._pending[number]
         if lent is False:
-            self._quota.note_used_up(team)
+            self._quota.note_lender_empty(team)
         return bool(lent)
 
-    def _lend(self, groups: groups_.Look, team: str, tokens: int) -> bool:
+    def _lend(
+        self, groups: groups_.GroupSnapshot, team: str, tokens: int
+    ) -> bool:
         return self._quota.lend(team, tokens, 1 + len(groups.members()))
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -8,11 +8,11 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import beacons as beacons_
+from peridotmast.coordination import endpoint_identity
 from peridotmast.coordination import lease as lease_
 from peridotmast.coordination import members as members_
-from peridotmast.coordination import place
 from peridotmast.duties import crash_blocks
-from peridotmast.duties import holder as holder_
+from peridotmast.duties import duty_holder
 from peridotmast.duties import scaler as scaler_
 from peridotmast.duties import usage_reporter
 from peridotmast import green
@@ -112,7 +112,7 @@
         self._http_servers = http_servers_.HttpServers(
             file, self._clock, self.fleet_state, self.serving, self.registry
         )
-        self.config.listen(self._configure)
+        self.config.subscribe(self._configure)
         self.upstream_table.listen(lambda view: self._update_readiness())
 
     def _create_peering(self) -> None:
@@ -154,14 +154,16 @@
         )
         """Sends and receives the beacons between routers."""
         self._peering.borrowing.send = self.beacons.send
-        self.serving.gateway.take = self._peering.borrowing.acquire
-        self.serving.gateway.is_behind = (
+        self.serving.gateway.take_quota = self._peering.borrowing.acquire
+        self.serving.gateway.config_is_stale = (
             self._catch_up.config_fetcher.is_behind
         )
-        self.serving.placement.tell = self._send_load
-        self.serving.placement.knows_late = self._peering.has_delayed_totals
-        self.serving.crashes.tell = self._schedule_serving_update
-        self.serving.limits.tell = self._schedule_serving_update
+        self.serving.placement.on_load_change = self._send_load
+        self.serving.placement.has_stale_peer_data = (
+            self._peering.has_delayed_totals
+        )
+        self.serving.crashes.notify_peers = self._schedule_serving_update
+        self.serving.limits.notify_peers = self._schedule_serving_update
         self.serving.crashes.may_retry = self.lease.may_act
 
     def _create_duties(self) -> None:
@@ -171,7 +173,7 @@
             platform.cloud,
             platform.timeout_ms,
             self.cfg.name,
-            self.lease.order_ms,
+            self.lease.order_timeout_ms,
         )
         scaler = scaler_.Scaler(
             self._cloud,
@@ -182,7 +184,7 @@
             self._clock,
             fleet_now,
         )
-        scaler.needs.knows_late = self._peering.has_delayed_totals
+        scaler.estimator.is_load_stale = self._peering.has_delayed_totals
         reporter = usage_reporter.UsageReporter(
             self.serving.usage,
             self._cloud,
@@ -191,7 +193,7 @@
             fleet_now,
             self.invariants,
         )
-        self._duty_holder = holder_.DutyHolder(
+        self._duty_holder = duty_holder.DutyHolder(
             self.lease,
             self.members,
             (
@@ -241,7 +243,9 @@
             beacon_address=self.beacons.address,
         )
         self.beacons.start()
-        self.lease.bind(place.of(self.beacons.address))
+        self.lease.set_endpoint(
+            endpoint_identity.of_address(self.beacons.address)
+        )
         self._http_servers.start()
         self._start_tasks()
         self.is_running = True
@@ -323,7 +327,7 @@
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
         every('keep_house', _HOUSEKEEPING_MS, self._run_housekeeping)
         every('lease', _LEASE_TICK_MS, self._duty_holder.keep_lease)
-        every('duties', _DUTY_TICK_MS, self._duty_holder.act)
+        every('duties', _DUTY_TICK_MS, self._duty_holder.run_duties)
 
     def _announce(self) -> None:
         """Send this router's changed entry to the peers at once."""
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -4,7 +4,7 @@
 
 import typing as ty
 
-from peridotmast.coordination import tally
+from peridotmast.coordination import fleet_counts
 from peridotmast.router import serving as serving_
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
@@ -44,11 +44,11 @@
         self._demand = serving.demand
         self._usage = serving.usage
         self._table = table
-        self._spends = tally.Tally(
-            self._quota.spent, self._quota.spent_elsewhere
+        self._spends = fleet_counts.FleetCounts(
+            self._quota.spent, self._quota.subtract_peer_spends
         )
-        self._offered = tally.Tally(
-            self._demand.counts, self._demand.offered_elsewhere
+        self._offered = fleet_counts.FleetCounts(
+            self._demand.counts, self._demand.count_from_peers
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
         self._group_loads: dict[int, list[pb.UpstreamLoad]] = {}
@@ -57,18 +57,22 @@
         """Return this router's own counts and load."""
         return pb.Totals(
             spends=_spends(self._quota.spent()),
-            loads=self._table.my_loads(),
+            loads=self._table.local_loads(),
             usage=self._usage.counts(),
-            demand=_demand(self._demand.counts(), self._demand.own_readings()),
+            demand=_demand(
+                self._demand.counts(), self._demand.own_prefill_rates()
+            ),
         )
 
     def group(self) -> pb.Totals:
         """Return the totals of this router's group, for a head."""
         return pb.Totals(
-            spends=_spends(self._spends.group()),
+            spends=_spends(self._spends.group_total()),
             loads=_to_messages(_summed(self._members_loads())),
-            usage=self._usage.group(),
-            demand=_demand(self._offered.group(), self._prefill_speeds()),
+            usage=self._usage.group_counts(),
+            demand=_demand(
+                self._offered.group_total(), self._prefill_speeds()
+            ),
         )
 
     def totals_for_members(
@@ -83,9 +87,9 @@
         speeds = self._prefill_speeds()
         rows = zip(
             members,
-            self._spends.others(members),
-            self._offered.others(members),
-            self._usage.others(members),
+            self._spends.totals_without(members),
+            self._offered.totals_without(members),
+            self._usage.others_counts(members),
             strict=True,
         )
         for member, spent, offered, used in rows:
@@ -111,43 +115,43 @@
             Whether this router takes the peer's counts from this message.
             Otherwise they are only kept in case this router becomes the head.
         """
-        self._spends.hear(router, run, _by_team(totals), counted)
-        self._offered.hear(router, run, _by_service(totals), counted)
-        self._usage.hear(router, run, totals.usage)
+        self._spends.receive(router, run, _by_team(totals), counted)
+        self._offered.receive(router, run, _by_service(totals), counted)
+        self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
-            self._table.take_loads(router, totals.loads)
+            self._table.set_peer_loads(router, totals.loads)
             self._update_prefill_speeds(router, totals)
 
     def update_group(
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Update the totals of another group from its head."""
-        self._spends.hear_group(group, head, run, _by_team(totals), counted)
-        self._offered.hear_group(
+        self._spends.receive_group(group, head, run, _by_team(totals), counted)
+        self._offered.receive_group(
             group, head, run, _by_service(totals), counted
         )
-        self._usage.hear_group(group, totals.usage)
+        self._usage.merge_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
         if counted:
-            self._table.take_loads(_group_name(group), totals.loads)
+            self._table.set_peer_loads(_group_name(group), totals.loads)
             self._update_prefill_speeds(head, totals)
 
     def update_fleet(
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Update the totals of all other routers from this router's head."""
-        self._spends.follow(head, run, _by_team(totals), counted)
-        self._offered.follow(head, run, _by_service(totals), counted)
-        self._usage.follow(totals.usage)
+        self._spends.receive_fleet(head, run, _by_team(totals), counted)
+        self._offered.receive_fleet(head, run, _by_service(totals), counted)
+        self._usage.merge_fleet(totals.usage)
         if counted:
-            self._table.take_loads(_FLEET_NAME, totals.loads)
+            self._table.set_peer_loads(_FLEET_NAME, totals.loads)
             self._update_prefill_speeds(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
         """Add what others may have spent while nobody reported it."""
         if spends:
-            self._spends.reckon(spends)
+            self._spends.add_estimate(spends)
 
     def retain_members(self, is_member: ty.Callable[[str], bool]) -> None:
         """Drop the state of all routers but members after a regrouping."""
@@ -157,8 +161,8 @@
 
     def change_source(self) -> None:
         """Take the other routers' counts from another source from now on."""
-        self._spends.switch()
-        self._offered.switch()
+        self._spends.reset_sources()
+        self._offered.reset_sources()
 
     def prune(
         self,
@@ -180,29 +184,31 @@
         follows : bool
             Whether a head reports the load of all other routers.
         """
-        self._spends.forget(known)
-        self._offered.forget(known)
-        self._demand.forget(known)
+        self._spends.retain(known)
+        self._offered.retain(known)
+        self._demand.retain_routers(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
             g: v for g, v in self._group_loads.items() if g in groups
         }
         if follows:
-            self._table.forget_loads({_FLEET_NAME})
+            self._table.retain_peer_loads({_FLEET_NAME})
             return
         names = {_group_name(group) for group in self._group_loads}
-        self._table.forget_loads({*self._loads, *names})
+        self._table.retain_peer_loads({*self._loads, *names})
 
     def _members_loads(self) -> list[Loads]:
-        return [self._table.my_loads(), *self._loads.values()]
+        return [self._table.local_loads(), *self._loads.values()]
 
     def _prefill_speeds(self) -> dict[str, float]:
-        found = {s: self._demand.reading(s) for s in self._demand.counts()}
+        found = {
+            s: self._demand.prefill_rate(s) for s in self._demand.counts()
+        }
         return {service: speed for service, speed in found.items() if speed}
 
     def _update_prefill_speeds(self, reporter: str, totals: pb.Totals) -> None:
         speeds = {d.service: d.reading for d in totals.demand}
-        self._demand.hear_readings(reporter, speeds)
+        self._demand.set_peer_prefill_rates(reporter, speeds)
 
 
 def _group_name(group: int) -> str:
--- a/src/peridotmast/router/update_beacons.py
+++ b/src/peridotmast/router/update_beacons.py
@@ -39,7 +39,7 @@
     def build(self) -> pb.Beacon:
         """Return a beacon with the changes since the previous one."""
         since, self._sent_revision = self._sent_revision, self._table.revision
-        changed = self._table.told_since(since)
+        changed = self._table.records_since(since)
         beacon = _empty_update(self._fleet_state)
         beacon.upstreams_since = since
         if len(changed) <= _MAX_RECORDS:
@@ -75,7 +75,7 @@
     return pb.Beacon(
         member=fleet_state.members.me,
         config_version=fleet_state.config.routes.version,
-        document_version=fleet_state.config.own.version,
+        document_version=fleet_state.config.product.version,
         upstreams_revision=fleet_state.upstream_table.revision,
     )
 
--- a/src/peridotmast/serving/desk.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -33,7 +33,7 @@
 """Part of the time left that an attempt may be silent where another one may
 follow it."""
 
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """Statuses by which a caller is told that its request never runs. One that an
 upstream gave without saying that it did not run the request is not passed
 on."""
@@ -51,7 +51,7 @@
 Verdict = dialect_.Verdict
 
 
-class Desk:
+class Dispatcher:
     """Takes requests on and sees to it that each gets one answer.
 
     A request that may run only once is sent again only where it is known
@@ -172,21 +172,21 @@
             return failures.not_run('upstream_limit', '', wait_ms)
         return failures.not_run('no_upstream', '', _RETRY_MS)
 
-    def _check(self, work: _Work, place: placement.Place) -> None:
+    def _check(self, work: _Work, place: placement.Reservation) -> None:
         """Check what must hold before anything is sent."""
         self._checks.check(
-            invariants_.Promise.NO_WORK_TO_LEAVING,
-            place.view.is_there,
+            invariants_.Invariant.NO_WORK_TO_LEAVING,
+            place.view.is_available,
             place.view.name,
         )
         self._checks.check(
-            invariants_.Promise.ONE_RUN,
+            invariants_.Invariant.ONE_RUN,
             work.exchange.may_repeat or not work.runs,
             work.exchange.id,
         )
 
     def _send(
-        self, work: _Work, place: placement.Place
+        self, work: _Work, place: placement.Reservation
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         exchange = work.exchange
         silence = self._silence_ms(work)
@@ -206,7 +206,7 @@
             self._count(work, sent.at)
         if sent.verdict is Verdict.GARBLED:
             sent.conn.close()
-            place.view.health.failed()
+            place.view.health.record_failure()
             return failures.unknown('garbled', str(sent.head.status))
         if streams:
             return self._stream(work, sent, silence)
@@ -217,7 +217,7 @@
         if not work.counted:
             work.counted = True
             ago = self._clock.now() - began_at
-            self._usage.began(work.exchange.team, ago)
+            self._usage.count_started(work.exchange.team, ago)
 
     def _count_lost(
         self, work: _Work, failure: failures.Failure, sent_at: int
@@ -234,13 +234,13 @@
         self, exchange: exchange_.Exchange, sent: sender_.Sent
     ) -> failures.Failure:
         if sent.verdict is Verdict.ELSEWHERE:
-            sent.place.view.health.failed()
+            sent.place.view.health.record_failure()
             sent.conn.close()
             return failures.not_run('address_reused', '', _RETRY_MS)
-        rest = sent.conn.read_all(exchange.ends_at, _WHOLE_BYTES)
+        rest = sent.conn.read_all(exchange.deadline, _WHOLE_BYTES)
         if not isinstance(rest, failures.Failure):
             self._sender.finish(sent)
-        sent.place.view.health.answered_badly()
+        sent.place.view.health.record_error()
         return failures.not_run('upstream_refused', '', _RETRY_MS)
 
     def _stream(
@@ -267,19 +267,19 @@
     def _note_reading(self, work: _Work, sent: sender_.Sent) -> None:
         """Note how long an engine took that had nothing else to read."""
         place, prompt = sent.place, work.exchange.prompt
-        if place.grounds.unread:
+        if place.selection.unread:
             return
         tokens = prompt.tokens_in
-        if place.grounds.is_home:
+        if place.selection.is_home:
             tokens -= sum(part.tokens for part in prompt.shared)
         took = self._clock.now() - sent.at
-        self._demand.read(work.service.name, tokens, took)
+        self._demand.note_prefill(work.service.name, tokens, took)
 
     def _whole(
         self, work: _Work, sent: sender_.Sent
     ) -> ty.Union[reply_.Reply, failures.Failure]:
         view = sent.place.view
-        deadline = work.exchange.ends_at
+        deadline = work.exchange.deadline
         body = sent.conn.read_all(deadline, _WHOLE_BYTES)
         if isinstance(body, failures.Failure):
             sent.conn.close()
@@ -288,17 +288,17 @@
         self._sender.finish(sent)
         reply = reply_.Reply(sent.head, body, view.name)
         if sent.verdict is Verdict.FAILED:
-            view.health.answered_badly()
-            if sent.head.status not in PROMISES:
+            view.health.record_error()
+            if sent.head.status not in NOT_RUN_STATUSES:
                 work.fallback = reply
             return failures.unknown('answered_badly', str(sent.head.status))
-        view.health.succeeded()
+        view.health.record_success()
         self._crashes.note_success(work.exchange.fingerprint)
         return reply
 
     def _may_try_again(self, work: _Work, failure: failures.Failure) -> bool:
         exchange = work.exchange
-        if self._clock.now() >= exchange.ends_at:
+        if self._clock.now() >= exchange.deadline:
             return False
         if failure.reason in _FINAL_REASONS:
             return False
@@ -312,7 +312,7 @@
     def _silence_ms(self, work: _Work) -> int:
         """Return how long the next attempt may be silent, in ms."""
         exchange = work.exchange
-        left = exchange.ends_at - self._clock.now()
+        left = exchange.deadline - self._clock.now()
         if not exchange.may_repeat:
             return left
         if work.runs + 1 >= exchange.route.attempts:
@@ -335,7 +335,7 @@
         return failure
 
     def _log_attempt(
-        self, work: _Work, place: placement.Place, result: ty.Any
+        self, work: _Work, place: placement.Reservation, result: ty.Any
     ) -> None:
         failed = isinstance(result, failures.Failure)
         outcome = 'caller_left'
@@ -351,12 +351,12 @@
             born=place.view.born,
             number=len(work.tried),
             revision=place.view.record.revision,
-            among=place.grounds.among,
-            home=place.grounds.is_home,
+            among=place.selection.compared,
+            home=place.selection.is_home,
             tokens=work.exchange.prompt.tokens_in,
             shared=sum(p.tokens for p in work.exchange.prompt.shared),
-            running=place.grounds.running,
-            unread=place.grounds.unread,
+            running=place.selection.running,
+            unread=place.selection.unread,
             slots=place.view.slots,
             outcome=outcome,
             detail=result.detail if failed else '',
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -47,7 +47,7 @@
     Mutation(
         'forget what the holder before has ordered',
         DUTIES + 'scaler.py',
-        'self._book.take_over(left.orders)',
+        'self._book.restore(left.orders)',
         'pass',
         'planner',
     ),
@@ -60,7 +60,7 @@
     ),
     Mutation(
         'leave an order to the next renewal',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'if is_due or self._is_news_due():',
         'if is_due:',
         'duties',
@@ -68,14 +68,14 @@
     Mutation(
         'begin anew with duties that were lost to nobody',
         COORDINATION + 'lease.py',
-        "self.left = None if mine else spec['left']",
-        "self.left = spec['left']",
+        "self.received_handover = None if mine else spec['left']",
+        "self.received_handover = spec['left']",
         'duties',
     ),
     Mutation(
         'watch the store until others have spoken',
         COORDINATION + 'watchers.py',
-        'return heard | self._members.coming()',
+        'return heard | self._members.starting_names()',
         'return heard',
         'fleet',
     ),
@@ -116,7 +116,7 @@
     ),
     Mutation(
         'leave renewals to the beacons',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'self._tell(heirs[:_HEIRS])',
         'pass',
         'duties',
@@ -144,14 +144,14 @@
     ),
     Mutation(
         'guess what is needed after a takeover',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'if self._is_first:',
         'if True:',
         'planner',
     ),
     Mutation(
         'forget what the holder before has found',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'if service in self._left:',
         'if False:',
         'planner',
@@ -179,7 +179,7 @@
     ),
     Mutation(
         'name the same other routers to all callers',
-        COORDINATION + 'nearest.py',
+        COORDINATION + 'router_selector.py',
         'return self._draws.sample(members, most)',
         'return members[:most]',
         'fleet',
@@ -187,15 +187,15 @@
     Mutation(
         'lead until the one before has spoken',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.coming()) - leaving',
+        'there = (heard | self._members.starting_names()) - leaving',
         'there = heard - leaving',
         'groups',
     ),
     Mutation(
         'lead a group until the end',
         COORDINATION + 'groups.py',
-        'there = (heard | self._members.coming()) - leaving',
-        'there = heard | self._members.coming()',
+        'there = (heard | self._members.starting_names()) - leaving',
+        'there = heard | self._members.starting_names()',
         'groups',
     ),
     Mutation(
@@ -214,21 +214,21 @@
     ),
     Mutation(
         'send again what may have run',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if not exchange.may_repeat or work.runs >= exchange.route.attempts:',
         'if work.runs >= 3:',
         'once',
     ),
     Mutation(
         'promise of what ran that it did not',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if work.runs and failure.kind is failures.FailureKind.NOT_RUN:',
         'if False:',
         'once',
     ),
     Mutation(
         'try more upstreams than the route allows',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if not exchange.may_repeat or work.runs >= exchange.route.attempts:',
         'if not exchange.may_repeat:',
         'once',
@@ -242,8 +242,8 @@
     ),
     Mutation(
         'pass on a promise that the upstream did not make',
-        SERVING + 'desk.py',
-        'if sent.head.status not in PROMISES:',
+        SERVING + 'dispatcher.py',
+        'if sent.head.status not in NOT_RUN_STATUSES:',
         'if True:',
         'odd_upstreams',
     ),
@@ -350,8 +350,8 @@
     Mutation(
         'no bound on the silence of a stream',
         SERVING + 'stream_relay.py',
-        'min(exchange.ends_at, self._clock.now() + silence)',
-        'exchange.ends_at',
+        'min(exchange.deadline, self._clock.now() + silence)',
+        'exchange.deadline',
         'streams',
     ),
     Mutation(
@@ -363,7 +363,7 @@
     ),
     Mutation(
         'move nothing off a leaving upstream',
-        SERVING + 'mover.py',
+        SERVING + 'stream_migrator.py',
         'if not leaves or view.run in self._leaving:',
         'if True:',
         'reclaim',
@@ -435,8 +435,8 @@
     Mutation(
         'act in the last part of a lease',
         COORDINATION + 'lease.py',
-        'return self.left_ms > self._guard_ms',
-        'return self.left_ms > 0',
+        'return self.remaining_ms > self._guard_ms',
+        'return self.remaining_ms > 0',
         'lease',
     ),
     Mutation(
@@ -520,13 +520,14 @@
     Mutation(
         'bind the lease to no place',
         ROUTER + 'router.py',
-        'self.lease.bind(place.of(self.beacons.address))',
-        "self.lease.bind('')",
+        'self.lease.set_endpoint(\n            endpoint_identity.of_address('
+        'self.beacons.address)\n        )',
+        "self.lease.set_endpoint('')",
         'duties',
     ),
     Mutation(
         'follow a holder that others remember',
-        DUTIES + 'holder.py',
+        DUTIES + 'duty_holder.py',
         'self._may_follow = False\n            self._vacant_since = 0',
         'self._vacant_since = 0',
         'duties',
@@ -590,7 +591,7 @@
     Mutation(
         'end the drain before requests have finished',
         'peridotmast/router/drain.py',
-        'return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_work',
+        'return elapsed_ms >= _MIN_ACCEPT_MS and not self._gateway.in_flight',
         'return elapsed_ms >= 100',
         'router_stop',
     ),
@@ -666,14 +667,14 @@
     ),
     Mutation(
         'hold no more reclaimable ones than are needed',
-        DUTIES + 'scale_round.py',
+        DUTIES + 'service_reconciler.py',
         'self._reserve = max(needed, reserve)',
         'self._reserve = needed',
         'planner',
     ),
     Mutation(
         'count what was lost as still to come',
-        DUTIES + 'order_book.py',
+        DUTIES + 'order_tracker.py',
         'pending.coming -= max(0, live - pending.live)',
         'pending.coming -= live - pending.live',
         'planner',
@@ -709,27 +710,27 @@
     Mutation(
         'keep to no part where little is left',
         SERVING + 'quota.py',
-        'if not (self.knows_late() and little and _is_small(bucket, tokens)):',
-        'if True:',
+        'self.has_stale_peer_data() and little and _is_small(bucket, tokens)',
+        'False',
         'groups',
     ),
     Mutation(
         'reckon nothing while a head is silent',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'if source is None or now - source.at <= _FRESH_MS:',
         'if True:',
         'groups',
     ),
     Mutation(
         'reckon nothing for the gap between two heads',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'return self._worth(share, known.until)',
         'return {}',
         'groups',
     ),
     Mutation(
         'take nothing back when the same head is heard',
-        COORDINATION + 'gaps.py',
+        COORDINATION + 'report_gaps.py',
         'return {team: -count for team, count in known.reckoned.items()}',
         'return {}',
         'groups',
@@ -743,7 +744,7 @@
     ),
     Mutation(
         'tell no member what its head missed',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         """        _add(self._elsewhere, counts)
         self._apply(counts)""",
         '        self._apply(counts)',
@@ -758,7 +759,7 @@
     ),
     Mutation(
         'let one peer that is refused speak for all',
-        COORDINATION + 'outage_word.py',
+        COORDINATION + 'outage_reports.py',
         'is_first = self._felt.get(peer, limit) <= limit',
         'is_first = self._at <= limit',
         'store_reads',
@@ -766,7 +767,7 @@
     Mutation(
         'send an order though the duties are gone by then',
         COORDINATION + 'lease.py',
-        'return self.left_ms if is_same and self.may_act() else 0',
+        'return self.remaining_ms if is_same and self.may_act() else 0',
         'return self.length_ms',
         'duties',
     ),
@@ -801,20 +802,20 @@
     Mutation(
         'count only the routers that were heard',
         COORDINATION + 'members.py',
-        'and (peer.was_there or self.is_new(peer))',
-        'and peer.was_there',
+        'and (peer.was_seen or self.is_newly_discovered(peer))',
+        'and peer.was_seen',
         'groups',
     ),
     Mutation(
         'let watches wait on after an outage',
         COORDINATION + 'outage.py',
-        "self._log.info('store_regained')\n        self.on_back()",
+        "self._log.info('store_regained')\n        self.on_recovery()",
         "self._log.info('store_regained')",
         'store_reads',
     ),
     Mutation(
         'let watches wait on when a peer is not answered',
-        COORDINATION + 'outage_word.py',
+        COORDINATION + 'outage_reports.py',
         'self._doubt()',
         'pass',
         'store_reads',
@@ -822,46 +823,46 @@
     Mutation(
         'date an outage by the end of a call',
         COORDINATION + 'outage.py',
-        'if self._clock.now() - after_ms < self._answered_at:',
+        'if self._clock.now() - age_ms < self._answered_at:',
         'if False:',
         'upstreams',
     ),
     Mutation(
         'tell a doubt without its age',
         SERVING + 'upstreams.py',
-        'record.doubted_ms = now - view.left_at',
+        'record.doubted_ms = now - view.not_live_since',
         'pass',
         'upstreams',
     ),
     Mutation(
         'ask a store that has failed no more',
-        COORDINATION + 'store_check.py',
+        COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if False:',
         'store_reads',
     ),
     Mutation(
         'ask a store that is asked anyway',
-        COORDINATION + 'store_check.py',
+        COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if self._outage.is_out:',
         'upstreams',
     ),
     Mutation(
         'count by two ways what one has counted',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         """        if counted:
             self._apply(grown)
 
-    def hear_group(""",
+    def receive_group(""",
         """        self._apply(grown)
 
-    def hear_group(""",
+    def receive_group(""",
         'groups',
     ),
     Mutation(
         'go on from what another head has told',
-        COORDINATION + 'tally.py',
+        COORDINATION + 'fleet_counts.py',
         'if self._heads.get(_OWN) != head:',
         'if False:',
         'groups',
@@ -869,7 +870,7 @@
     Mutation(
         'keep naming what its head does not name',
         COORDINATION + 'members.py',
-        'self._peers[name].told_at = 0',
+        'self._peers[name].last_reported_at = 0',
         'pass',
         'groups',
     ),
@@ -889,7 +890,7 @@
     ),
     Mutation(
         'outlast no loss with firm ones',
-        DUTIES + 'scale_round.py',
+        DUTIES + 'service_reconciler.py',
         'return max(1, self._needed - max(0, height - 1))',
         'return 1',
         'planner',
@@ -932,7 +933,7 @@
     Mutation(
         'leave the watch to routers that the store refuses',
         ROUTER + 'fleet_state.py',
-        'self.watchers.is_outage_felt = is_outage_suspected',
+        'self.watchers.is_outage_suspected = is_outage_suspected',
         'pass',
         'config',
     ),
@@ -1016,14 +1017,14 @@
     Mutation(
         'refuse max_tokens by an outdated configuration',
         ROUTER + 'chat_api.py',
-        'return self._gateway.unless_behind(beyond)',
+        'return self._gateway.retryable_if_stale(beyond)',
         'return beyond',
         'spread',
     ),
     Mutation(
         'refuse for good by what is known to be old',
         SERVING + 'gateway.py',
-        'if self.is_behind():',
+        'if self.config_is_stale():',
         'if False:',
         'spread',
     ),
@@ -1050,7 +1051,7 @@
     ),
     Mutation(
         'send on what has crashed three upstreams',
-        SERVING + 'desk.py',
+        SERVING + 'dispatcher.py',
         'if retry_after_ms:',
         'if False:',
         'crashes',
@@ -1058,7 +1059,7 @@
     Mutation(
         'ignore crash suspects from peers',
         ROUTER + 'peering.py',
-        'self._serving.crashes.hear(beacon.crash_suspects)',
+        'self._serving.crashes.merge_updates(beacon.crash_suspects)',
         'pass',
         'crashes',
     ),
@@ -1169,7 +1170,7 @@
     ),
     Mutation(
         'ignore upstream limits in the need calculation',
-        DUTIES + 'need.py',
+        DUTIES + 'required_capacity.py',
         'return round(sum(max(0, 1 - limit / capacity) for limit in limits))',
         'return 0',
         'planner',
@@ -1219,7 +1220,7 @@
     Mutation(
         'ignore upstream limits from peers',
         ROUTER + 'peering.py',
-        'self._serving.limits.hear(beacon.upstream_limits)',
+        'self._serving.limits.merge_updates(beacon.upstream_limits)',
         'pass',
         'upstream_limits',
     ),
