--- a/features/duties.feature
+++ b/features/duties.feature
@@ -11,7 +11,7 @@
     When requests are sent while the lease holder is killed
     Then further reports have a higher fencing number
     And no two reports of a window differ
-    And no call to the platform came with a lower number
+    And no platform call carried an outdated fencing token
 
   # Guards against a check of the lease before waiting for the store instead of when
   # sending. A holder that was cut off from the store saw that it held the lease, waited
@@ -23,7 +23,7 @@
     When the store delays its answers to the holder until another router holds the lease
     Then further reports have a higher fencing number
     And the former holder has received an answer from the store
-    And no call to the platform came with a lower number
+    And no platform call carried an outdated fencing token
 
   Scenario: A call that timed out does not arrive later
     Given a platform that receives slowly and never answers
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,11 +1,11 @@
 Feature: Malformed entries, configurations and messages
 
   Scenario Outline: A malformed entry takes its upstream out of use
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" has <value> for "<field>"
-    Then "b, c" may get new work
-    When the entry of "a" is back
-    Then "a, b, c" may get new work
+    Then "b, c" may get new requests
+    When the entry of "a" reappears
+    Then "a, b, c" may get new requests
 
     Examples:
       | field          | value                   |
@@ -27,13 +27,13 @@
       | seq            | null                    |
 
   Scenario: A value of another type takes its upstream out of use
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     Then "a" may get no work while its entry is null, [], "a", 7 or {}
 
   Scenario: An unreadable entry does not hide those after it
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" becomes unreadable in the change in which "b" starts to leave
-    Then "c" may get new work
+    Then "c" may get new requests
 
   Scenario: Any entry is either read or rejected with findings
     Then of 600 drawn entries each is rejected as malformed or gives a usable upstream
@@ -65,9 +65,9 @@
     Then the configuration is unchanged and the log names the peer
 
   Scenario: An invalid address from a peer takes the upstream out of use
-    Given upstreams "a", "b" and "c" by their entries
+    Given upstreams "a", "b" and "c" with entries in the store
     When a peer reports "a" with the address "nonsense"
-    Then "b, c" may get new work
+    Then "b, c" may get new requests
 
   Scenario Outline: A beacon with an invalid number is rejected
     Then a beacon with <count> for <what> is <result>
