--- a/features/spread.feature
+++ b/features/spread.feature
@@ -98,7 +98,8 @@
     And the store was read at most 1 times per router
 
   # Guards against a final "no such route" from a router that cannot parse what the store
-  # has: such a version counted as one that the store does not have. Found by reading.
+  # has: such a version counted as one that the store does not have. Found by inspection
+  # of the code.
   Scenario: A version that the store has but a router cannot parse is still believed
     Given 8 routers on links of 625 bytes per ms
     And 1 of them cannot parse newer configurations
@@ -145,7 +146,8 @@
 
   # Guards against routers that all call the seeds in the given order, and so the same one
   # first. Its answer lists every router, 8 kB for 80 of them, and a call times out after
-  # 800 ms: 79 answers take 1.0 s of a slow link, and all calls fail. Found by reading.
+  # 800 ms: 79 answers take 1.0 s of a slow link, and all calls fail. Found by inspection
+  # of the code.
   Scenario: Routers that start together do not all call the same seed first
     Given 80 routers on links of 625 bytes per ms
     When all but 3 routers, which know the whole fleet, join through these at once
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -529,8 +529,8 @@
         assert choose(selector, make_exchange('b0')) != context.home
 
 
-@then('green time passes')
-def green_time(context):
+@then('other tasks run for a while')
+def other_tasks_run(context):
     green.sleep_ms(1)
 
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -70,7 +70,7 @@
 
 
 class Transfer:
-    """Bytes being transferred between two routers."""
+    """Bytes being transferred over the links of one or two routers."""
 
     def __init__(self, addresses, size, until):
         self.addresses = addresses
--- a/features/upstreams.feature
+++ b/features/upstreams.feature
@@ -41,7 +41,7 @@
     And 2200 ms pass
     Then "a, b, c" may get new work
 
-  Scenario: One that had said that it leaves is not in doubt
+  Scenario: A leaving upstream is gone at once if its entry goes missing
     Given upstreams "a", "b" and "c" by their entries
     When the entry of "a" says that it leaves
     And the entry of "a" is missing after an outage
