--- a/features/spread.feature
+++ b/features/spread.feature
@@ -1,9 +1,10 @@
 # Guards against a change that takes too long to reach all routers: 58 routers on links
 # of 5 Mbit/s received 1,600 routes one after the other, the last one 12 s after the
-# first, and meanwhile answered valid requests with "no such route", which is final.
-# Each router requested the whole text of 0.46 MB from the first peer that had it; the
-# call timed out and was restarted at another peer, as copies of any size were served
-# to any number of peers at a time. The links below are simulated and share bandwidth.
+# first, and meanwhile answered valid requests with "no such route", which callers treat
+# as final. Each router requested the whole text of 0.46 MB from the first peer that had
+# it. Copies of any size were served to any number of peers at a time, each with a single
+# timeout; calls ran into it and were restarted at another peer. The links below are
+# simulated and share bandwidth.
 
 Feature: Distribution of a large configuration over slow links
 
