--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -21,7 +21,7 @@
 def spy(context):
     """Remember the environments that upstreams get."""
     context.environs = []
-    for guest in context.fleet.guests:
+    for guest in context.fleet.instances:
         app = guest.upstream.app
         run = app._run
 
@@ -103,7 +103,7 @@
             ).status
             == 200
         )
-    for service in (shape_.SERVICE, 'other'):
+    for service in (shape_.PLAIN_SERVICE, 'other'):
         came = [
             arrival
             for guest in helpers.guests(context, service)
@@ -281,7 +281,7 @@
 def one_run(context):
     runs = [
         request_id
-        for guest in context.fleet.guests
+        for guest in context.fleet.instances
         for request_id in guest.upstream.app.runs
     ]
     assert runs == ['raw-1'], runs
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -93,10 +93,10 @@
     ]
     green.sleep_ms(300)
     busiest = max(
-        helpers.guests(context, shape_.ENGINES),
-        key=lambda guest: guest.upstream.app.in_work,
+        helpers.guests(context, shape_.ENGINE_SERVICE),
+        key=lambda guest: guest.upstream.app.in_progress,
     )
-    context.fleet.lose(busiest)
+    context.fleet.kill_upstream(busiest)
     context.answers = [task.wait() for task in tasks]
 
 
@@ -119,9 +119,9 @@
     def on_text(text):
         seen.append(text)
         if len(seen) == 5:
-            for guest in helpers.guests(context, shape_.ENGINES):
-                if guest.upstream.app.in_work:
-                    context.fleet.lose(guest)
+            for guest in helpers.guests(context, shape_.ENGINE_SERVICE):
+                if guest.upstream.app.in_progress:
+                    context.fleet.kill_upstream(guest)
 
     context.answer = caller.chat(
         oracle.MODEL, PROMPT, tokens, idempotent=False, on_text=on_text
@@ -144,7 +144,7 @@
 
 @when('all engines fail what they are asked')
 def engines_fail(context):
-    for guest in context.fleet.running(shape_.ENGINES):
+    for guest in context.fleet.running_upstreams(shape_.ENGINE_SERVICE):
         guest.upstream.app.faults = {'error': 1.0}
 
 
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -36,7 +36,7 @@
 def follow(context):
     """Note each version that comes into force at each router."""
     context.histories = {}
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         history = context.histories.setdefault(router.cfg.name, [])
 
         def note(config, router=router, history=history):
@@ -50,7 +50,7 @@
     helpers.wait_until(
         lambda: all(
             router.config.routes.version == context.version
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         f'version {context.version}',
         ms,
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -72,9 +72,9 @@
 
 def crash_and_replace(context, guest):
     context.crashed.append(guest.name)
-    context.fleet.lose(guest)
+    context.fleet.kill_upstream(guest)
     upstream = guest.record.upstream
-    if upstream.service == shape_.SERVICE:
+    if upstream.service == shape_.PLAIN_SERVICE:
         added = context.fleet.add_service(upstream.failure_domain)
     else:
         added = context.fleet.add_engine(upstream.failure_domain)
@@ -103,7 +103,7 @@
 )
 def send_and_leave(context, count, ms):
     for number in range(count):
-        routers = context.fleet.serving()
+        routers = context.fleet.running_routers()
         address = routers[number % len(routers)].address
         conn = connection_.Connection(address, clock_.SystemClock())
         assert conn.connect(1000) is None
@@ -118,7 +118,7 @@
 @when('it is sent {count:d} times, to each router in turn')
 def send_in_turn(context, count):
     for number in range(count):
-        routers = context.fleet.serving()
+        routers = context.fleet.running_routers()
         router = routers[number % len(routers)]
         answer = helpers.send_request(
             router.address, context.path, body=context.body
@@ -143,7 +143,7 @@
 def same_body_answered(context, path):
     for guest in helpers.guests(context):
         guest.upstream.app.crash_body = b''
-    router = context.fleet.serving()[0]
+    router = context.fleet.running_routers()[0]
     answer = helpers.send_request(router.address, path, body=context.body)
     assert answer.status == 200 and answer.complete, answer
 
@@ -171,22 +171,22 @@
     helpers.wait_until(
         lambda: any(
             left
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
             if router.lease.is_held()
             for left in [(router.lease._current().get('left') or {})]
             if left.get('crashSuspects')
         ),
         'the block is stored with the lease',
     )
-    killed = context.fleet.serving()
+    killed = context.fleet.running_routers()
     for router in killed:
         router.stop()
     for router in killed:
-        context.fleet.restart(router)
+        context.fleet.restart_router(router)
     helpers.wait_until(
         lambda: all(
             router.serving.crashes.blocked()
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         'the block is restored',
     )
@@ -194,7 +194,7 @@
 
 @then('it is refused at each of the {count:d} routers')
 def refused_at_each(context, count):
-    routers = context.fleet.serving()
+    routers = context.fleet.running_routers()
     assert len(routers) == count, routers
     send_in_turn(context, count)
     last_refused(context, count)
@@ -212,16 +212,16 @@
 
 def start_queued_attempts(context, count):
     """Start attempts that stay unanswered at one upstream, as if queued."""
-    guest = helpers.guests(context, shape_.ENGINES)[0]
+    guest = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     app = guest.upstream.app
     app.crash_body = b''
     app.faults['hang'] = 1.0
-    others = helpers.guests(context, shape_.ENGINES)[1:]
+    others = helpers.guests(context, shape_.ENGINE_SERVICE)[1:]
     for other in others:
         context.fleet.announce_leaving(other)
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: len(router.upstream_table.live(shape_.ENGINES)) == 1,
+        lambda: len(router.upstream_table.live(shape_.ENGINE_SERVICE)) == 1,
         'one engine is live',
     )
     context.queued = [
@@ -243,7 +243,8 @@
         set_crash_body(context, added)
     helpers.wait_until(
         lambda: all(
-            len(router.upstream_table.live(shape_.ENGINES)) == len(others)
+            len(router.upstream_table.live(shape_.ENGINE_SERVICE))
+            == len(others)
             for router in context.fleet.routers
         ),
         'the replacements are live',
@@ -359,7 +360,7 @@
 
 
 def was_answering_flags(context):
-    [router] = context.fleet.serving()
+    [router] = context.fleet.running_routers()
     return [
         crash.was_answering
         for suspect in router.serving.crashes.updates()
@@ -383,7 +384,7 @@
     'a stream breaks off at its upstream and each attempt to resume it fails'
 )
 def stream_and_resumptions_fail(context):
-    [router] = context.fleet.serving()
+    [router] = context.fleet.running_routers()
     sender = router.serving._sender
     with mock.patch.object(
         sender, 'note_failure', wraps=sender.note_failure
@@ -397,9 +398,9 @@
     """Return an action that kills an upstream and makes all others fail."""
 
     def act(guest):
-        for other in helpers.guests(context, shape_.ENGINES):
+        for other in helpers.guests(context, shape_.ENGINE_SERVICE):
             other.upstream.app.faults['lose'] = 1.0
-        context.fleet.lose(guest)
+        context.fleet.kill_upstream(guest)
 
     return act
 
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -603,7 +603,7 @@
 def counts(context):
     live = [
         guest
-        for guest in helpers.guests(context, shape_.ENGINES)
+        for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
         if guest.record.state == 1
     ]
     spot = [g for g in live if g.record.reclaimable]
@@ -630,7 +630,7 @@
 
 @when('no reclaimable engine is to be had and a failure domain is reclaimed')
 def dry_reclaim(context):
-    context.fleet.dry.update(context.fleet.domains)
+    context.fleet.exhausted_domains.update(context.fleet.domains)
     _, spot = counts(context)
     context.fleet.reclaim(spot[0].record.upstream.failure_domain, 400)
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -41,7 +41,7 @@
     helpers.wait_until(
         lambda: all(
             router.config.routes.version >= version
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         f'version {version}',
     )
@@ -63,8 +63,10 @@
     ' failure domain'
 )
 def reclaimable_fleet(context, count):
-    times = engine_.EngineTimes(step_ms=10, batch=32)
-    fleet = helpers.start_fleet(context, routers=count, engines=0, times=times)
+    profile = engine_.EngineProfile(step_ms=10, batch_size=32)
+    fleet = helpers.start_fleet(
+        context, routers=count, engines=0, engine_profile=profile
+    )
     for domain in fleet.domains:
         fleet.add_engine(domain, reclaimable=True)
     wait_until_known(context, 4)
@@ -104,8 +106,10 @@
 @given('a fleet of {count:d} routers whose scaling is "{scaling}"')
 def fleet_with_scaling(context, count, scaling):
     document = shape_.DOCUMENT.replace('fixed', scaling)
-    times = engine_.EngineTimes(boot_ms=300)
-    helpers.start_fleet(context, routers=count, document=document, times=times)
+    profile = engine_.EngineProfile(boot_ms=300)
+    helpers.start_fleet(
+        context, routers=count, document=document, engine_profile=profile
+    )
 
 
 @given(
@@ -200,12 +204,12 @@
 
 @given('engines cut one event in {count:d}')
 def engines_cut(context, count):
-    spoil(context, shape_.ENGINES, cut=1 / count)
+    spoil(context, shape_.ENGINE_SERVICE, cut=1 / count)
 
 
 @given('no engine takes copies')
 def no_copies(context):
-    for guest in helpers.guests(context, shape_.ENGINES):
+    for guest in helpers.guests(context, shape_.ENGINE_SERVICE):
         guest.upstream.app.moves_refused = True
 
 
@@ -218,19 +222,19 @@
     context.router = context.fleet.add_router('router-1')
 
 
-def wait_until_known(context, count, service=shape_.ENGINES):
+def wait_until_known(context, count, service=shape_.ENGINE_SERVICE):
     """Wait until every router knows so many live upstreams."""
     helpers.wait_until(
         lambda: all(
             len(router.upstream_table.live(service)) == count
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         f'{count} of {service}',
     )
 
 
 def router_address(context, number=0):
-    return context.fleet.serving()[number].address
+    return context.fleet.running_routers()[number].address
 
 
 @when('a caller asks for "{path}" at host "{host}" with the key "{key}"')
@@ -263,7 +267,9 @@
     tasks = [
         green.spawn(
             helpers.send_request,
-            router_address(context, number % len(context.fleet.serving())),
+            router_address(
+                context, number % len(context.fleet.running_routers())
+            ),
             path,
             body=f'seat {number}'.encode(),
         )
@@ -279,7 +285,7 @@
     context.tasks = [
         green.spawn(
             stream,
-            router_address(context, n % len(context.fleet.serving())),
+            router_address(context, n % len(context.fleet.running_routers())),
             path,
             tokens,
             body,
@@ -297,7 +303,7 @@
 def arrivals_at_engines(context):
     return [
         arrival
-        for guest in helpers.guests(context, shape_.ENGINES)
+        for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
         for arrival in guest.upstream.app.arrivals
     ]
 
@@ -364,7 +370,7 @@
     green.sleep_ms(100)
     came = [
         arrival
-        for guest in context.fleet.guests
+        for guest in context.fleet.instances
         for arrival in guest.upstream.app.arrivals
     ]
     assert not came, came
--- a/features/steps/helpers.py
+++ b/features/steps/helpers.py
@@ -161,19 +161,20 @@
 
 
 def guests(context, service=''):
-    return context.fleet.running(service)
+    return context.fleet.running_upstreams(service)
 
 
 def run_count(context, request_id):
     return sum(
-        guest.upstream.app.runs[request_id] for guest in context.fleet.guests
+        guest.upstream.app.runs[request_id]
+        for guest in context.fleet.instances
     )
 
 
 def arrival_count(context, request_id):
     return sum(
         came == request_id
-        for guest in context.fleet.guests
+        for guest in context.fleet.instances
         for _, came in guest.upstream.app.arrivals
     )
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -172,7 +172,9 @@
     ' again'
 )
 def stream_again(context, tokens, path):
-    stream_steps.stream_and(context, tokens, path, context.fleet.begin_again)
+    stream_steps.stream_and(
+        context, tokens, path, context.fleet.restart_upstream
+    )
 
 
 def only_entry(context, guest):
@@ -208,8 +210,8 @@
     def running():
         return [
             guest
-            for guest in helpers.guests(context, shape_.SERVICE)
-            if guest.upstream.app.in_work
+            for guest in helpers.guests(context, shape_.PLAIN_SERVICE)
+            if guest.upstream.app.in_progress
         ]
 
     helpers.wait_until(running, 'the request runs')
@@ -223,7 +225,7 @@
     assert context.last.status == 502, context.last
     runs = [
         guest.upstream.app.runs['seat-1']
-        for guest in helpers.guests(context, shape_.SERVICE)
+        for guest in helpers.guests(context, shape_.PLAIN_SERVICE)
     ]
     assert sum(runs) == 1, runs
 
@@ -231,7 +233,7 @@
 @when('every upstream of "{service}" starts again')
 def all_again(context, service):
     context.later = [
-        context.fleet.begin_again(guest)
+        context.fleet.restart_upstream(guest)
         for guest in helpers.guests(context, service)
     ]
     table = context.fleet.routers[0].upstream_table
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -553,7 +553,7 @@
 
 @when('one router sends a prompt of {tokens:d} tokens to an engine')
 def sends_prompt(context, tokens):
-    service = pb.Service(name=shape_.ENGINES, slots=64)
+    service = pb.Service(name=shape_.ENGINE_SERVICE, slots=64)
     exchange = exchange_with('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
     places = context.fleet.routers[0].serving.placement
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -69,10 +69,10 @@
 @when('its link is {mode}, and a new connection is answered')
 def has_trouble(context, mode):
     mode, _, hit = mode.partition(', ')
-    context.trouble = link_proxy.Trouble(
-        link_proxy.Mode(mode), hits_requests=hit == 'requests'
+    context.trouble = link_proxy.LinkFault(
+        link_proxy.FaultMode(mode), affects_requests=hit == 'requests'
     )
-    context.proxy.begin(context.trouble, random.Random(1))
+    context.proxy.begin_fault(context.trouble, random.Random(1))
     context.one.send()
     new_answered(context)
 
@@ -80,7 +80,7 @@
 @then('nothing came back to it until that is over, and it {ends}')
 def until_over(context, ends):
     assert context.one.conn.is_clean()
-    context.proxy.end(context.trouble)
+    context.proxy.end_fault(context.trouble)
     context.execute_steps(f'Then it {ends}')
 
 
@@ -108,7 +108,7 @@
 @then('the next one is refused, until the target listens again')
 def refused(context):
     assert Exchange(context.proxy).failure.reason == 'no_connection'
-    context.closing.append(context.target.again().stop)
+    context.closing.append(context.target.restarted().stop)
     context.proxy.open()
     new_answered(context)
 
@@ -117,7 +117,7 @@
 def excused(context):
     context.fleet = fleet_.Fleet()
     for noted, count in (('', 1), ('another', 1), ('its', 0)):
-        context.fleet.links.broken[noted] = 'reset'
+        context.fleet.links.drop_reasons[noted] = 'reset'
         assert cuts(context.fleet, 50, {ADDRESS: (0, 100)}) == count
 
 
@@ -142,8 +142,8 @@
         cfg=types.SimpleNamespace(failure_domain='fd-1'),
         stop=lambda: None,
     )
-    fleet.serving = lambda: [router] * 3
-    fleet.restart = lambda router: None
+    fleet.running_routers = lambda: [router] * 3
+    fleet.restart_router = lambda router: None
     router.drain = lambda: driver.bring(pb.Fault(kind='kill_all_routers'))
     driver.bring(pb.Fault(kind='drain_router'))
     began, ended = driver.drained[ADDRESS]
--- a/features/steps/overhead_steps.py
+++ b/features/steps/overhead_steps.py
@@ -19,7 +19,7 @@
         routers=1,
         domains=2,
         services=0,
-        times=engine.EngineTimes(step_ms=1),
+        engine_profile=engine.EngineProfile(step_ms=1),
         chat=False,
     )
     context.fleet = fleet_.Fleet(shape, 7)
@@ -34,7 +34,7 @@
 @given('one router and engines that {fault} every answer')
 def faulty(context, fault):
     start(context)
-    for guest in context.fleet.running(shape_.ENGINES):
+    for guest in context.fleet.running_upstreams(shape_.ENGINE_SERVICE):
         guest.upstream.app.faults[fault] = 1
 
 
--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -412,7 +412,7 @@
 def share_none(context):
     found = [
         [fleet.store.address, fleet.cloud.address]
-        + [guest.record.upstream.address for guest in fleet.guests]
+        + [guest.record.upstream.address for guest in fleet.instances]
         for fleet in context.fleets
     ]
     assert all(len(addresses) > 2 for addresses in found), found
@@ -477,6 +477,6 @@
 
 @then('it comes back at its address')
 def comes_back(context):
-    context.processes.restart(context.killed)
-    [router] = context.processes.serving()
+    context.processes.restart_router(context.killed)
+    [router] = context.processes.running_routers()
     assert router.address == context.killed.address, router.address
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -221,7 +221,7 @@
 
 def holder_of(context):
     return next(
-        (r for r in context.fleet.serving() if r.lease.is_held()), None
+        (r for r in context.fleet.running_routers() if r.lease.is_held()), None
     )
 
 
@@ -243,7 +243,7 @@
 
 @then('no call to the platform came with a lower number')
 def no_lower_number(context):
-    assert not context.fleet.cloud.out_of_turn
+    assert not context.fleet.cloud.stale_call_times
 
 
 @when('a router is killed')
@@ -257,7 +257,7 @@
     helpers.wait_until(
         lambda: all(
             context.killed.address not in resolve(router)
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         'out of the directory',
         ms,
@@ -328,18 +328,18 @@
 @then('every directory names all {count:d}, near ones first')
 def names_all(context, count):
     def all_named():
-        serving = context.fleet.serving()
+        serving = context.fleet.running_routers()
         wanted = {router.address for router in serving}
         return len(wanted) == count and all(
             set(resolve(router)) == wanted for router in serving
         )
 
     helpers.wait_until(all_named, f'all {count} named')
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         domain = router.cfg.failure_domain
         near = {
             r.address
-            for r in context.fleet.serving()
+            for r in context.fleet.running_routers()
             if r.cfg.failure_domain == domain
         }
         assert set(resolve(router, domain)[: len(near)]) == near
@@ -470,7 +470,7 @@
 
 @when('an engine says that it leaves')
 def engine_leaves(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.fleet.announce_leaving(context.leaver)
 
 
@@ -481,7 +481,9 @@
         return view.record.state == upstreams_.LEAVING
 
     helpers.wait_until(
-        lambda: all(map(known, context.fleet.serving())), 'all know', ms
+        lambda: all(map(known, context.fleet.running_routers())),
+        'all know',
+        ms,
     )
 
 
@@ -661,7 +663,7 @@
     reply = calls.HttpCalls().call(
         'POST',
         router.chat_address,
-        f'/v1/services/{shape_.SERVICE}/hold',
+        f'/v1/services/{shape_.PLAIN_SERVICE}/hold',
         body,
         {
             'traceparent': f'00-{TRACE}-00f067aa0ba902b7-01',
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -42,7 +42,7 @@
     return next(
         (
             guest
-            for guest in helpers.guests(context, shape_.ENGINES)
+            for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
             if guest.upstream.app.runs[request_id]
         ),
         None,
@@ -74,7 +74,7 @@
     ' killed'
 )
 def stream_killed(context, tokens, path):
-    stream_and(context, tokens, path, context.fleet.lose)
+    stream_and(context, tokens, path, context.fleet.kill_upstream)
 
 
 @when(
@@ -191,8 +191,8 @@
 def hears_of_it(context, ms):
     def heard():
         return any(
-            'leaver' in guest.upstream.app.left_early
-            for guest in context.fleet.guests
+            'leaver' in guest.upstream.app.abandoned
+            for guest in context.fleet.instances
         )
 
     helpers.wait_until(heard, 'the upstream hears', ms)
@@ -208,9 +208,9 @@
 def reads_nothing(context):
     context.sock = open_raw(context, '/once/x', 200_000)
     context.closing.append(context.sock.close)
-    for guest in helpers.guests(context, shape_.ENGINES):
-        guest.upstream.times.step_ms = 0.2
-        guest.upstream.times.stride = 2000
+    for guest in helpers.guests(context, shape_.ENGINE_SERVICE):
+        guest.upstream.profile.step_ms = 0.2
+        guest.upstream.profile.tokens_per_event = 2000
 
 
 @then('the router gives it up')
@@ -227,11 +227,11 @@
 def reclaim_fullest(context, ms):
     engines = [
         guest
-        for guest in helpers.guests(context, shape_.ENGINES)
+        for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
         if guest.record.reclaimable and not guest.upstream.app.leaves_at
     ]
-    fullest = max(engines, key=lambda guest: guest.upstream.app.in_work)
-    assert fullest.upstream.app.in_work, 'nothing is in work there'
+    fullest = max(engines, key=lambda guest: guest.upstream.app.in_progress)
+    assert fullest.upstream.app.in_progress, 'nothing is in work there'
     domain = fullest.record.upstream.failure_domain
     context.fleet.reclaim(domain, ms)
     green.sleep_ms(100)
@@ -240,8 +240,8 @@
 def totals(context, name):
     return sum(
         guest.upstream.totals[name]
-        for guest in context.fleet.guests
-        if guest.record.upstream.service == shape_.ENGINES
+        for guest in context.fleet.instances
+        if guest.record.upstream.service == shape_.ENGINE_SERVICE
     )
 
 
@@ -260,7 +260,7 @@
 
 @when('an engine says that it leaves while callers go on asking')
 def leaves_under_load(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     clock = context.fleet.clock
     context.left_at = clock.now() + 300
     green.spawn_after_ms(300, context.fleet.announce_leaving, context.leaver)
@@ -291,7 +291,7 @@
 def leaves_and_cut(context):
     context.cut = context.fleet.routers[0]
     context.cut.store.address = '127.0.0.1:1'
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.left_at = context.fleet.clock.now()
     context.fleet.store.app.set_faults(0)
     for address in list(context.cut.store._http._pool._idle):
@@ -311,15 +311,15 @@
 
 @when("the store is out and an engine's entry runs out meanwhile")
 def entry_runs_out(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.fleet.store.app.set_faults(600, outage=1.0)
     green.sleep_ms(300)
     context.states = []
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         router.upstream_table.listen(
             lambda view: context.states.append((view.name, view.record.state))
         )
-    context.fleet.drop_entry(context.leaver)
+    context.fleet.remove_entry(context.leaver)
     green.sleep_ms(400)
 
 
@@ -343,7 +343,7 @@
     helpers.wait_until(
         lambda: all(
             router.upstream_table.get(context.leaver.name).record.state == 3
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         'gone everywhere',
         ms,
@@ -371,8 +371,10 @@
 
 @given('two engines that run a stream each and a third one')
 def two_streams(context):
-    times = engine_.EngineTimes(step_ms=5)
-    context.engines = [engine_.Engine(f'e-{n}', times=times) for n in range(3)]
+    profile = engine_.EngineProfile(step_ms=5)
+    context.engines = [
+        engine_.Engine(f'e-{n}', profile=profile) for n in range(3)
+    ]
     for engine in context.engines:
         context.closing.append(engine.stop)
     context.bodies = {'one': b'first prompt', 'two': b'second prompt'}
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -25,7 +25,7 @@
 
 
 def engines(context):
-    return helpers.guests(context, shape_.ENGINES)
+    return helpers.guests(context, shape_.ENGINE_SERVICE)
 
 
 def set_limit(context, guests, text):
@@ -58,7 +58,7 @@
 def requests_sent(context, rate, seconds):
     context.numbers = itertools.count()
     context.started_at = context.fleet.clock.now()
-    routers = itertools.cycle(context.fleet.serving())
+    routers = itertools.cycle(context.fleet.running_routers())
     tasks = []
     for _ in range(rate * seconds):
         tasks.append(green.spawn(ask, context, next(routers)))
@@ -129,7 +129,7 @@
 
 def know_rate(context, rate):
     """Yield for each router whether it knows this rate, or none for 0."""
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         updates = router.serving.limits.updates()
         known = [x.rate for x in updates if x.HasField('rate')]
         yield known == ([rate] if rate else [])
@@ -148,7 +148,7 @@
 @then('within {seconds:d} s no router knows a limit')
 def no_limit_known(context, seconds):
     def ask_and_check():
-        for router in context.fleet.serving():
+        for router in context.fleet.running_routers():
             ask(context, router)
         return all(know_rate(context, 0))
 
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -26,7 +26,7 @@
 @given('a fleet of {count:d} routers with one scripted upstream')
 def scripted_fleet(context, count):
     fleet = helpers.start_fleet(context, routers=count, services=0)
-    enter_scripted(context, fleet, shape_.SERVICE)
+    enter_scripted(context, fleet, shape_.PLAIN_SERVICE)
 
 
 @given('a fleet of {count:d} routers with one scripted engine')
@@ -37,7 +37,7 @@
         engines=0,
         bounds={'usage_window_s': USAGE_WINDOW_MS / 1000},
     )
-    enter_scripted(context, fleet, shape_.ENGINES)
+    enter_scripted(context, fleet, shape_.ENGINE_SERVICE)
 
 
 def enter_scripted(context, fleet, service):
@@ -357,7 +357,7 @@
         tasks = [
             green.spawn(
                 helpers.send_request,
-                draws.choice(fleet.serving()).address,
+                draws.choice(fleet.running_routers()).address,
                 path,
                 body=b'seat %d' % number,
             )
--- a/src/peridotmast/cli/quickstart.py
+++ b/src/peridotmast/cli/quickstart.py
@@ -42,7 +42,7 @@
     fleet.start()
     click.echo(
         f'{len(fleet.routers)} routers, '
-        f'{len(fleet.running(shape_.ENGINES))} engines in '
+        f'{len(fleet.running_upstreams(shape_.ENGINE_SERVICE))} engines in '
         f'{len(fleet.domains)} failure domains'
     )
     run = _Run(fleet)
@@ -83,8 +83,8 @@
     def table(self) -> None:
         """Print what came of it."""
         totals = [
-            getattr(guest.upstream, 'totals', {})
-            for guest in self._fleet.guests
+            getattr(instance.upstream, 'totals', {})
+            for instance in self._fleet.instances
         ]
         rows = (
             ('asked', self.asked),
@@ -107,7 +107,7 @@
 
     def _hold(self, number: int) -> None:
         caller = self._fleet.caller('noor', seed=100 + number)
-        answer = caller.call(shape_.SERVICE, 'hold', f'seat {number}')
+        answer = caller.call(shape_.PLAIN_SERVICE, 'hold', f'seat {number}')
         self._count(answer, f'done:seat {number}')
 
     def _count(self, answer: caller_.Answer, wanted: str) -> None:
--- a/src/peridotmast/cli/standin.py
+++ b/src/peridotmast/cli/standin.py
@@ -30,7 +30,7 @@
         routers=0,
         domains=cfg.domains,
         engines=cfg.engines,
-        times=engine.EngineTimes(step_ms=cfg.step_ms),
+        engine_profile=engine.EngineProfile(step_ms=cfg.step_ms),
     )
     fleet = fleet_.Fleet(shape, listen=cfg.listen)
     fleet.start()
--- a/src/peridotmast/embedded/fleet.py
+++ b/src/peridotmast/embedded/fleet.py
@@ -8,10 +8,10 @@
 from peridotmast.client import caller as caller_
 from peridotmast import clock as clock_
 from peridotmast.coordination import config_feed
-from peridotmast.embedded import guest as guest_
 from peridotmast.embedded import links as links_
 from peridotmast.embedded import router_settings
 from peridotmast.embedded import shape as shape_
+from peridotmast.embedded import upstream_instance
 from peridotmast import green
 from peridotmast import ini
 from peridotmast.platform import config_codec
@@ -62,7 +62,7 @@
         """Stand-in of the platform's store."""
         self.links = links_.Links(self.shape.proxied)
         """Proxies in front of the links."""
-        self.links.front(links_.LinkKind.STORE, self.store.address)
+        self.links.add_proxy(links_.LinkKind.STORE, self.store.address)
         self.cloud = cloud_.CloudStandin(
             self._on_order, next(self._ports), seed
         )
@@ -74,13 +74,15 @@
             for number, domain in enumerate(self.domains)
         }
         """Price of a firm engine by failure domain."""
-        self.guests: list[guest_.Guest] = []
+        self.instances: list[upstream_instance.UpstreamInstance] = []
         """Upstreams, those that were stopped too."""
         self.routers: list[router_.Router] = []
         """Routers, those that were stopped or killed too."""
-        self.dry: set[str] = set()
+        self.exhausted_domains: set[str] = set()
         """Failure domains that have no reclaimable engines to give."""
-        self.on_crash: ty.Callable[[guest_.Guest], None] = self.lose
+        self.on_crash: ty.Callable[
+            [upstream_instance.UpstreamInstance], None
+        ] = self.kill_upstream
         """Called when a request crashes an upstream, to stop it."""
         self._version = 0
 
@@ -102,8 +104,8 @@
         for router in self.routers:
             router.stop()
             self.links.cut(router.chat_address)
-        for guest in self.running():
-            self.lose(guest)
+        for instance in self.running_upstreams():
+            self.kill_upstream(instance)
         self.links.cut(self.store.address)
         self.store.stop()
         self.cloud.stop()
@@ -124,7 +126,7 @@
         raise TimeoutError('the fleet does not come up')
 
     def _is_ready(self) -> bool:
-        return all(self._sees_all(router) for router in self.serving())
+        return all(self._sees_all(router) for router in self.running_routers())
 
     def write_config(self, document: str) -> int:
         """Write the operators' configuration, as an INI document.
@@ -156,20 +158,24 @@
         self,
         domain: str,
         reclaimable: bool = False,
-        service: str = shape_.ENGINES,
-    ) -> guest_.Guest:
+        service: str = shape_.ENGINE_SERVICE,
+    ) -> upstream_instance.UpstreamInstance:
         """Start an engine and enter it in the store."""
         name = f'engine-{next(self._numbers)}'
         engine = engine_.Engine(
-            name, next(self._ports), self.shape.times, self._seed
+            name, next(self._ports), self.shape.engine_profile, self._seed
         )
         return self._enter(
-            engine, domain, service, self.shape.times.batch, reclaimable
+            engine,
+            domain,
+            service,
+            self.shape.engine_profile.batch_size,
+            reclaimable,
         )
 
     def add_service(
-        self, domain: str, service: str = shape_.SERVICE
-    ) -> guest_.Guest:
+        self, domain: str, service: str = shape_.PLAIN_SERVICE
+    ) -> upstream_instance.UpstreamInstance:
         """Start an upstream of a plain service and enter it in the store."""
         name = f'service-{next(self._numbers)}'
         upstream = plain_service.PlainService(
@@ -177,13 +183,15 @@
         )
         return self._enter(upstream, domain, service, 16, False)
 
-    def running(self, service: str = '') -> list[guest_.Guest]:
+    def running_upstreams(
+        self, service: str = ''
+    ) -> list[upstream_instance.UpstreamInstance]:
         """Return the upstreams that run, of one service or all."""
         return [
-            guest
-            for guest in self.guests
-            if not guest.ended_ms
-            and service in ('', guest.record.upstream.service)
+            instance
+            for instance in self.instances
+            if not instance.ended_ms
+            and service in ('', instance.record.upstream.service)
         ]
 
     def cost(self) -> float:
@@ -191,9 +199,10 @@
         now = self.clock.now()
         return (
             sum(
-                self._price(guest) * ((guest.ended_ms or now) - guest.began_ms)
-                for guest in self.guests
-                if guest.record.upstream.service == shape_.ENGINES
+                self._price(instance)
+                * ((instance.ended_ms or now) - instance.started_ms)
+                for instance in self.instances
+                if instance.record.upstream.service == shape_.ENGINE_SERVICE
             )
             / _HOUR_MS
         )
@@ -203,51 +212,63 @@
     ) -> caller_.Caller:
         """Return a caller of the chat API with a team's key."""
         # With none at the moment, the last ones come back at their addresses.
-        routers = self.serving() or self.routers
+        routers = self.running_routers() or self.routers
         addresses = [router.chat_address for router in routers]
         key = f'key-{team}'
         return self.links.caller(addresses, key, failure_domain, seed)
 
-    def drop_entry(self, guest: guest_.Guest) -> None:
+    def remove_entry(
+        self, instance: upstream_instance.UpstreamInstance
+    ) -> None:
         """Let an upstream's entry run out."""
-        self.store.drop(names.UPSTREAM_KIND, guest.name)
+        self.store.delete(names.UPSTREAM_KIND, instance.name)
 
-    def announce_leaving(self, guest: guest_.Guest) -> None:
+    def announce_leaving(
+        self, instance: upstream_instance.UpstreamInstance
+    ) -> None:
         """Let an upstream say that it leaves; it goes on serving."""
-        guest.upstream.app.draining = True
-        guest.record.state = pb.UPSTREAM_STATE_LEAVING
-        self._write_entry(guest)
+        instance.upstream.app.draining = True
+        instance.record.state = pb.UPSTREAM_STATE_LEAVING
+        self._write_entry(instance)
 
-    def lose(self, guest: guest_.Guest, keep_entry: bool = False) -> None:
+    def kill_upstream(
+        self,
+        instance: upstream_instance.UpstreamInstance,
+        keep_entry: bool = False,
+    ) -> None:
         """Take an upstream's VM away at once."""
-        if guest.ended_ms:
+        if instance.ended_ms:
             return
-        guest.ended_ms = self.clock.now()
-        guest.upstream.stop()
-        self.links.cut(guest.upstream.address)
+        instance.ended_ms = self.clock.now()
+        instance.upstream.stop()
+        self.links.cut(instance.upstream.address)
         if not keep_entry:
-            self.drop_entry(guest)
+            self.remove_entry(instance)
 
-    def begin_again(self, guest: guest_.Guest) -> guest_.Guest:
+    def restart_upstream(
+        self, instance: upstream_instance.UpstreamInstance
+    ) -> upstream_instance.UpstreamInstance:
         """Let an upstream die and begin again under its id and address."""
-        self.lose(guest, keep_entry=True)
+        self.kill_upstream(instance, keep_entry=True)
         record = pb.UpstreamRecord()
-        record.CopyFrom(guest.record)
+        record.CopyFrom(instance.record)
         record.upstream.born = max(record.upstream.born + 1, self.clock.wall())
-        return self._admit(record, guest.upstream.again())
+        return self._admit(record, instance.upstream.restarted())
 
-    def reclaim(self, domain: str, notice_ms: int) -> list[guest_.Guest]:
+    def reclaim(
+        self, domain: str, notice_ms: int
+    ) -> list[upstream_instance.UpstreamInstance]:
         """Take the reclaimable engines of a failure domain on notice."""
         taken = [
-            guest
-            for guest in self.running()
-            if guest.record.upstream.failure_domain == domain
-            and guest.record.reclaimable
+            instance
+            for instance in self.running_upstreams()
+            if instance.record.upstream.failure_domain == domain
+            and instance.record.reclaimable
         ]
-        for guest in taken:
-            guest.upstream.app.leaves_at = self.clock.now() + notice_ms
-            self.announce_leaving(guest)
-            green.spawn_after_ms(notice_ms, self.lose, guest)
+        for instance in taken:
+            instance.upstream.app.leaves_at = self.clock.now() + notice_ms
+            self.announce_leaving(instance)
+            green.spawn_after_ms(notice_ms, self.kill_upstream, instance)
         return taken
 
     def add_router(
@@ -256,12 +277,12 @@
         """Start a router; one of the same name stands for its next run."""
         router = self._run(self.router_file(name, **settings))
         self.routers.append(router)
-        self.links.front(links_.LinkKind.ROUTER, router.chat_address)
+        self.links.add_proxy(links_.LinkKind.ROUTER, router.chat_address)
         if wait:
             self.wait_ready()
         return router
 
-    def restart(self, router: ty.Any) -> None:
+    def restart_router(self, router: ty.Any) -> None:
         """Start the next run of a router that ended, at its addresses."""
         self.add_router(
             router.cfg.name,
@@ -284,16 +305,16 @@
             self._host_of(name),
             {**usual, **self.shape.router, **settings},
             pb.PlatformSettings(
-                objects=self.links.via(self.store.address),
+                objects=self.links.connect_address(self.store.address),
                 cloud=self.cloud.address,
             ),
         )
 
-    def serving(self) -> list[router_.Router]:
+    def running_routers(self) -> list[router_.Router]:
         """Return the routers that run."""
         return [router for router in self.routers if router.is_running]
 
-    def broken_promises(self) -> int:
+    def invariant_violations(self) -> int:
         """Return how often routers found a promise broken in themselves."""
         return sum(router.invariants.violations for router in self.routers)
 
@@ -312,7 +333,7 @@
 
     def _sees_all(self, router: ty.Any) -> bool:
         """Return whether one of the routers names all to callers."""
-        return len(router.members.serving()) >= len(self.serving())
+        return len(router.members.serving()) >= len(self.running_routers())
 
     def _enter(
         self,
@@ -321,7 +342,7 @@
         service: str,
         slots: int,
         reclaimable: bool,
-    ) -> guest_.Guest:
+    ) -> upstream_instance.UpstreamInstance:
         record = pb.UpstreamRecord(
             upstream=pb.Upstream(
                 name=upstream.name,
@@ -338,26 +359,28 @@
 
     def _admit(
         self, record: pb.UpstreamRecord, upstream: ty.Any
-    ) -> guest_.Guest:
-        guest = guest_.Guest(record, upstream)
-        guest.began_ms = self.clock.now()
+    ) -> upstream_instance.UpstreamInstance:
+        instance = upstream_instance.UpstreamInstance(record, upstream)
+        instance.started_ms = self.clock.now()
         upstream.app.crash_body = self.shape.crash_body
-        upstream.app.on_crash = lambda: self.on_crash(guest)
-        self.guests.append(guest)
-        self.links.front(links_.LinkKind.UPSTREAM, upstream.address)
-        record.upstream.address = self.links.via(upstream.address)
-        self._write_entry(guest)
-        return guest
-
-    def _price(self, guest: guest_.Guest) -> float:
-        price = self.prices[guest.record.upstream.failure_domain]
-        return price * (_RECLAIMABLE if guest.record.reclaimable else 1)
-
-    def _write_entry(self, guest: guest_.Guest) -> None:
+        upstream.app.on_crash = lambda: self.on_crash(instance)
+        self.instances.append(instance)
+        self.links.add_proxy(links_.LinkKind.UPSTREAM, upstream.address)
+        record.upstream.address = self.links.connect_address(upstream.address)
+        self._write_entry(instance)
+        return instance
+
+    def _price(self, instance: upstream_instance.UpstreamInstance) -> float:
+        price = self.prices[instance.record.upstream.failure_domain]
+        return price * (_RECLAIMABLE if instance.record.reclaimable else 1)
+
+    def _write_entry(
+        self, instance: upstream_instance.UpstreamInstance
+    ) -> None:
         self.store.put(
             names.UPSTREAM_KIND,
-            guest.name,
-            upstream_codec.write_upstream(guest.record),
+            instance.name,
+            upstream_codec.write_upstream(instance.record),
         )
 
     def _on_order(
@@ -365,26 +388,26 @@
     ) -> bool:
         """Do what the platform does with an order."""
         there = [
-            guest
-            for guest in self.running(service)
-            if guest.record.upstream.failure_domain == domain
-            and guest.record.reclaimable == reclaimable
-            and guest.record.state == pb.UPSTREAM_STATE_LIVE
+            instance
+            for instance in self.running_upstreams(service)
+            if instance.record.upstream.failure_domain == domain
+            and instance.record.reclaimable == reclaimable
+            and instance.record.state == pb.UPSTREAM_STATE_LIVE
         ]
         missing = count - len(there)
-        if missing > 0 and reclaimable and domain in self.dry:
+        if missing > 0 and reclaimable and domain in self.exhausted_domains:
             return False
         for _ in range(missing):
             green.spawn_after_ms(
-                self.shape.times.boot_ms,
+                self.shape.engine_profile.boot_ms,
                 self.add_engine,
                 domain,
                 reclaimable,
                 service,
             )
-        for guest in there[count:]:
-            self.announce_leaving(guest)
-            green.spawn_after_ms(2000, self.lose, guest)
+        for instance in there[count:]:
+            self.announce_leaving(instance)
+            green.spawn_after_ms(2000, self.kill_upstream, instance)
         return True
 
 
--- a/src/peridotmast/embedded/link_proxy.py
+++ b/src/peridotmast/embedded/link_proxy.py
@@ -25,7 +25,7 @@
 _REQUEST_ID = re.compile(rb'"request_id": "([0-9a-f]{32})"')
 
 
-class Mode(enum.Enum):
+class FaultMode(enum.Enum):
     """What can be wrong with a connection.
 
     Slow: bytes come late, and few in a second. Reset: as soon as bytes would
@@ -40,17 +40,17 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Trouble:
+class LinkFault:
     """What is wrong with some connections for a while."""
 
-    mode: Mode
-    hits_requests: bool = True
+    mode: FaultMode
+    affects_requests: bool = True
     """Direction of a reset or a one-way cut; else it hits answers."""
     share: float = 1.0
     """Part of the connections open at its begin that have it."""
-    hits_new: bool = False
+    affects_new: bool = False
     """Whether connections opened meanwhile have it too."""
-    over: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
 class LinkProxy:
@@ -60,16 +60,17 @@
     ----------
     target : str
         ``IP:port`` to pass them on to. The proxy listens at the same IP.
-    broken : dict
+    drop_reasons : dict
         Takes by a request's id why the proxy kept bytes of it or its answer
-        back for good: a `Mode`, or ``refused`` where the target took none.
+        back for good: a `FaultMode`, or ``refused`` where the target took
+        none.
     """
 
-    def __init__(self, target: str, broken: dict[str, str]) -> None:
+    def __init__(self, target: str, drop_reasons: dict[str, str]) -> None:
         self._host, _, self._port = target.rpartition(':')
-        self._broken = broken
+        self._drop_reasons = drop_reasons
         self._server: ty.Any = None
-        self._new_trouble: ty.Optional[Trouble] = None
+        self._new_fault: ty.Optional[LinkFault] = None
         self._open: set[_Passage] = set()
         self.address = f'{self._host}:0'
         """Address that it listens on."""
@@ -93,22 +94,22 @@
         for passage in list(self._open) if cut else ():
             passage.reset()
 
-    def begin(self, trouble: Trouble, draws: random.Random) -> None:
-        """Let `trouble` begin."""
-        if trouble.hits_new:
-            self._new_trouble = trouble
+    def begin_fault(self, fault: LinkFault, draws: random.Random) -> None:
+        """Let `fault` begin."""
+        if fault.affects_new:
+            self._new_fault = fault
         for passage in self._open:
-            if draws.random() < trouble.share:
-                passage.trouble = trouble
-
-    def end(self, trouble: Trouble) -> None:
-        """Let `trouble` be over."""
-        trouble.over.set()
-        if self._new_trouble is trouble:
-            self._new_trouble = None
+            if draws.random() < fault.share:
+                passage.fault = fault
+
+    def end_fault(self, fault: LinkFault) -> None:
+        """Let `fault` be over."""
+        fault.ended.set()
+        if self._new_fault is fault:
+            self._new_fault = None
         for passage in list(self._open):
-            if passage.trouble is trouble:
-                passage.trouble = None
+            if passage.fault is fault:
+                passage.fault = None
             # What was swallowed never comes: no later bytes may follow it.
             if passage.swallowed:
                 passage.reset()
@@ -116,7 +117,9 @@
     async def _pass_on(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        passage = _Passage(reader, [writer], self._broken, self._new_trouble)
+        passage = _Passage(
+            reader, [writer], self._drop_reasons, self._new_fault
+        )
         self._open.add(passage)
         try:
             await passage.run(self._host, int(self._port))
@@ -136,8 +139,8 @@
 
     reader: asyncio.StreamReader
     writers: list[asyncio.StreamWriter]
-    broken: dict[str, str]
-    trouble: ty.Optional[Trouble]
+    drop_reasons: dict[str, str]
+    fault: ty.Optional[LinkFault]
     request_id: str = ''
     swallowed: list[asyncio.StreamReader] = dataclasses.field(
         default_factory=list
@@ -191,7 +194,7 @@
 
     def _note(self, why: str) -> None:
         if self.request_id:
-            self.broken.setdefault(self.request_id, why)
+            self.drop_reasons.setdefault(self.request_id, why)
 
     def _look(self, data: bytes) -> None:
         if data.startswith(b'POST '):
@@ -202,21 +205,21 @@
 
     async def _hold(self) -> None:
         """Wait until it is not silent; a reset waits as data do."""
-        while self.trouble is not None and self.trouble.mode is Mode.SILENT:
-            await self.trouble.over.wait()
+        while self.fault is not None and self.fault.mode is FaultMode.SILENT:
+            await self.fault.ended.wait()
 
     async def _lets_pass(
         self, data: bytes, reader: asyncio.StreamReader
     ) -> bool:
-        trouble = self.trouble
-        if trouble is not None and trouble.mode is Mode.SLOW:
+        fault = self.fault
+        if fault is not None and fault.mode is FaultMode.SLOW:
             await asyncio.sleep(_DELAY_S + len(data) / _BYTES_PER_S)
-        elif not trouble or not data:
+        elif not fault or not data:
             # An end is the other side's doing, unless bytes before it lack.
             pass
-        elif trouble.hits_requests is (reader is self.reader):
+        elif fault.affects_requests is (reader is self.reader):
             self.swallowed.append(reader)
-            self._note(trouble.mode.value)
-            if trouble.mode is Mode.RESET:
+            self._note(fault.mode.value)
+            if fault.mode is FaultMode.RESET:
                 self.reset()
         return reader not in self.swallowed
--- a/src/peridotmast/embedded/links.py
+++ b/src/peridotmast/embedded/links.py
@@ -26,24 +26,24 @@
         self._is_on = is_on
         self._proxies: dict[str, link_proxy.LinkProxy] = {}
         self._kinds: dict[str, LinkKind] = {}
-        self.broken: dict[str, str] = {}
+        self.drop_reasons: dict[str, str] = {}
         """Why a proxy kept bytes back for good, by request id."""
 
-    def front(self, kind: LinkKind, address: str) -> None:
+    def add_proxy(self, kind: LinkKind, address: str) -> None:
         """Put a proxy before `address`, or open the one that is there."""
         if self._is_on and address not in self._proxies:
-            proxy = link_proxy.LinkProxy(address, self.broken)
+            proxy = link_proxy.LinkProxy(address, self.drop_reasons)
             self._proxies[address] = proxy
             self._kinds[address] = kind
         elif self._is_on:
             self._proxies[address].open()
 
-    def via(self, address: str) -> str:
+    def connect_address(self, address: str) -> str:
         """Return where to connect to reach `address`."""
         proxy = self._proxies.get(address)
         return address if proxy is None else proxy.address
 
-    def target(self, address: str) -> str:
+    def target_address(self, address: str) -> str:
         """Return what a proxy's address stands for."""
         found = (a for a, p in self._proxies.items() if p.address == address)
         return next(found, address)
@@ -53,20 +53,20 @@
         for address in self._proxies.keys() & addresses:
             self._proxies[address].close()
 
-    def trouble(
+    def inject_fault(
         self,
         kind: LinkKind,
-        trouble: link_proxy.Trouble,
+        fault: link_proxy.LinkFault,
         for_ms: int,
         draws: random.Random,
     ) -> None:
-        """Let all links of a kind have `trouble` for a while."""
+        """Let all links of a kind have `fault` for a while."""
         hit = [p for a, p in self._proxies.items() if self._kinds[a] is kind]
         for proxy in hit:
-            proxy.begin(trouble, draws)
+            proxy.begin_fault(fault, draws)
         green.sleep_ms(for_ms)
         for proxy in hit:
-            proxy.end(trouble)
+            proxy.end_fault(fault)
 
     def caller(self, *args: ty.Any) -> caller_.Caller:
         """Return a caller that connects through the proxies."""
@@ -79,4 +79,7 @@
         self._links = links
 
     def resolve(self) -> list[str]:
-        return [self._links.via(address) for address in super().resolve()]
+        return [
+            self._links.connect_address(address)
+            for address in super().resolve()
+        ]
--- a/src/peridotmast/embedded/process_fleet.py
+++ b/src/peridotmast/embedded/process_fleet.py
@@ -42,7 +42,7 @@
         self._hosts: dict[str, str] = {}
         self._free_hosts = _hosts_of(os.getpid())
 
-    def broken_promises(self) -> int:
+    def invariant_violations(self) -> int:
         """Return how often routers found a promise broken in themselves."""
         return sum(
             router.log().count('event=promise_broken')
@@ -66,7 +66,7 @@
         return 'event=ready ' in log and all(
             f'event=peer_heard program=members router={router.cfg.name}'
             f' peer={other.cfg.name}' in log
-            for other in self.serving()
+            for other in self.running_routers()
             if other is not router
         )
 
--- a/src/peridotmast/embedded/shape.py
+++ b/src/peridotmast/embedded/shape.py
@@ -9,9 +9,9 @@
 
 HOST = 'peridot.example'
 """Host of the routes of the default configuration."""
-ENGINES = 'draft-pool'
+ENGINE_SERVICE = 'draft-pool'
 """Service of model engines in the default configuration."""
-SERVICE = 'booking'
+PLAIN_SERVICE = 'booking'
 """Plain service in the default configuration."""
 
 CONFIG = f"""\
@@ -26,7 +26,7 @@
 host = {HOST}
 prefix = /chat/
 kind = streaming
-services = {ENGINES}
+services = {ENGINE_SERVICE}
 timeout_ms = 60000
 target_ms = 1300
 attempts = 4
@@ -36,7 +36,7 @@
 host = {HOST}
 prefix = /once/
 kind = streaming
-services = {ENGINES}
+services = {ENGINE_SERVICE}
 timeout_ms = 60000
 target_ms = 1300
 
@@ -44,7 +44,7 @@
 host = {HOST}
 prefix = /holds/
 kind = non_idempotent
-services = {SERVICE}
+services = {PLAIN_SERVICE}
 timeout_ms = 8000
 target_ms = 400
 
@@ -52,12 +52,12 @@
 host = {HOST}
 prefix = /pages/
 kind = idempotent
-services = {SERVICE}
+services = {PLAIN_SERVICE}
 timeout_ms = 8000
 target_ms = 400
 attempts = 3
 
-[service {ENGINES}]
+[service {ENGINE_SERVICE}]
 engine = true
 slots = 32
 event_tokens = 2
@@ -67,7 +67,7 @@
 boot_ms = 300
 reclaimable_price = 0.25
 
-[service {SERVICE}]
+[service {PLAIN_SERVICE}]
 slots = 16
 
 [limits]
@@ -94,8 +94,8 @@
     engines: int = 1
     """Engines in each failure domain."""
     services: int = 2
-    times: engine_.EngineTimes = dataclasses.field(
-        default_factory=engine_.EngineTimes
+    engine_profile: engine_.EngineProfile = dataclasses.field(
+        default_factory=engine_.EngineProfile
     )
     config: str = CONFIG
     document: str = DOCUMENT
--- a/src/peridotmast/embedded/guest.py
+++ b/src/peridotmast/embedded/upstream_instance.py
@@ -7,7 +7,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 
-class Guest:
+class UpstreamInstance:
     """One upstream that runs, with its entry in the store."""
 
     def __init__(self, record: pb.UpstreamRecord, upstream: ty.Any) -> None:
@@ -15,7 +15,7 @@
         """What its entry says."""
         self.upstream = upstream
         """The stand-in."""
-        self.began_ms = 0
+        self.started_ms = 0
         self.ended_ms = 0
         """When it was stopped, on the fleet's clock; 0 while it runs."""
 
--- a/src/peridotmast/load/config_run.py
+++ b/src/peridotmast/load/config_run.py
@@ -70,7 +70,7 @@
         began = fleet.clock.now()
         version = fleet.write_config(fleet.shape.config)
         while fleet.clock.now() - began < _LIMIT_MS:
-            running = fleet.serving()
+            running = fleet.running_routers()
             if all(r.config.routes.version >= version for r in running):
                 times.append(fleet.clock.now() - began)
                 return
@@ -81,7 +81,7 @@
         """An outage, a restart in it, a compaction, a peer that is behind."""
         fleet = self._fleet
         fleet.store.app.set_faults(_OUTAGE_MS, outage=1.0)
-        victim = self._draws.choice(fleet.serving())
+        victim = self._draws.choice(fleet.running_routers())
         victim.stop()
         self._follow(fleet.add_router(victim.cfg.name))
         green.sleep_ms(_OUTAGE_MS)
--- a/src/peridotmast/load/event.py
+++ b/src/peridotmast/load/event.py
@@ -65,10 +65,10 @@
             domains=4,
             engines=engines,
             services=0,
-            times=engine.EngineTimes(
+            engine_profile=engine.EngineProfile(
                 step_ms=_STEP_MS,
-                batch=_BATCH,
-                read_per_step=_READ_PER_STEP,
+                batch_size=_BATCH,
+                prefill_tokens_per_step=_READ_PER_STEP,
                 boot_ms=_BOOT_MS,
             ),
             config=shape_.CONFIG.replace(
@@ -120,16 +120,16 @@
         green.sleep_ms((_LEAD_S + 1.0) * 1000)
         taken = [
             guest.record.upstream.failure_domain
-            for guest in self.fleet.running(shape_.ENGINES)
+            for guest in self.fleet.running_upstreams(shape_.ENGINE_SERVICE)
             if guest.record.reclaimable
         ]
         if taken:
-            self.fleet.dry.update(self.fleet.domains)
+            self.fleet.exhausted_domains.update(self.fleet.domains)
             self.fleet.reclaim(max(taken, key=taken.count), _NOTICE_MS)
 
     def _watch(self, began: int) -> None:
         while True:
-            count = len(self.fleet.running(shape_.ENGINES))
+            count = len(self.fleet.running_upstreams(shape_.ENGINE_SERVICE))
             second = (self.fleet.clock.now() - began) / 1000
             self.capacity.append((second, count))
             green.sleep_ms(100)
--- a/src/peridotmast/load/experiment.py
+++ b/src/peridotmast/load/experiment.py
@@ -77,7 +77,9 @@
         routers=cfg.routers,
         domains=cfg.domains,
         engines=cfg.engines,
-        times=engine.EngineTimes(step_ms=cfg.step_ms, batch=cfg.batch),
+        engine_profile=engine.EngineProfile(
+            step_ms=cfg.step_ms, batch_size=cfg.batch
+        ),
     )
 
 
--- a/src/peridotmast/load/faults.py
+++ b/src/peridotmast/load/faults.py
@@ -9,10 +9,10 @@
 import typing as ty
 
 from peridotmast.embedded import fleet as fleet_
-from peridotmast.embedded import guest as guest_
 from peridotmast.embedded import link_proxy
 from peridotmast.embedded import links as links_
 from peridotmast.embedded import shape as shape_
+from peridotmast.embedded import upstream_instance
 from peridotmast import failures
 from peridotmast import green
 from peridotmast.load import oracle as oracle_
@@ -64,7 +64,7 @@
 )
 """Kinds that can be brought about where routers share one process."""
 
-LINK_MODES = {FaultKind(f'link_{m.value}'): m for m in link_proxy.Mode}
+LINK_MODES = {FaultKind(f'link_{m.value}'): m for m in link_proxy.FaultMode}
 """Kinds that need proxies. A fault's target, modulo 3, is a `LinkKind`."""
 _FLAPS = 3
 """Times that an upstream stops in one fault; two are an accident."""
@@ -188,23 +188,23 @@
         else:
             getattr(self, '_' + kind.value)(fault)
 
-    def _trouble(self, fault: pb.Fault, mode: link_proxy.Mode) -> None:
+    def _trouble(self, fault: pb.Fault, mode: link_proxy.FaultMode) -> None:
         kinds = list(links_.LinkKind)
         kind = kinds[fault.target % len(kinds)]
         self.links[f'{fault.kind} {kind.value}'] += 1
         draws = random.Random(fault.target)
-        trouble = link_proxy.Trouble(
+        trouble = link_proxy.LinkFault(
             mode,
-            hits_requests=draws.random() < 0.5,
+            affects_requests=draws.random() < 0.5,
             share=draws.choice((0.4, 1.0)),
-            hits_new=draws.random() < 0.5,
+            affects_new=draws.random() < 0.5,
         )
-        self._fleet.links.trouble(kind, trouble, fault.for_ms, draws)
+        self._fleet.links.inject_fault(kind, trouble, fault.for_ms, draws)
 
     def _reclaim_domain(self, fault: pb.Fault) -> None:
         domains = self._fleet.domains
         domain = domains[fault.target % len(domains)]
-        engines = self._fleet.running(shape_.ENGINES)
+        engines = self._fleet.running_upstreams(shape_.ENGINE_SERVICE)
         self._reclaim(
             [g for g in engines if g.record.upstream.failure_domain == domain],
             fault.for_ms,
@@ -215,27 +215,29 @@
         if guest is not None:
             self._reclaim([guest], fault.for_ms)
 
-    def _reclaim(self, guests: list[guest_.Guest], notice_ms: int) -> None:
+    def _reclaim(
+        self, guests: list[upstream_instance.UpstreamInstance], notice_ms: int
+    ) -> None:
         now = self._fleet.clock.now()
         for guest in guests:
             self.noticed[guest.name] = now
             guest.upstream.app.leaves_at = now + notice_ms
             self._fleet.announce_leaving(guest)
-            green.spawn_after_ms(notice_ms, self._fleet.lose, guest)
+            green.spawn_after_ms(notice_ms, self._fleet.kill_upstream, guest)
         self._replace(guests)
 
     def _kill_vm(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
         if guest is not None:
             # Nobody says so: the entry stays until it runs out.
-            self._fleet.lose(guest, keep_entry=True)
+            self._fleet.kill_upstream(guest, keep_entry=True)
             self._replace([guest])
-            self._fleet.drop_entry(guest)
+            self._fleet.remove_entry(guest)
 
     def _restart_vm(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
         if guest is not None:
-            self._fleet.begin_again(guest)
+            self._fleet.restart_upstream(guest)
 
     def _flap_vm(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
@@ -244,19 +246,21 @@
             if guest is None or not _is_live(guest):
                 # It was lost or got notice meanwhile, and is replaced.
                 return
-            self._fleet.lose(guest, keep_entry=True)
+            self._fleet.kill_upstream(guest, keep_entry=True)
             green.sleep_ms(pause_ms)
-            guest = self._fleet.begin_again(guest)
+            guest = self._fleet.restart_upstream(guest)
             green.sleep_ms(pause_ms)
 
     def _foreign_entry(self, fault: pb.Fault) -> None:
         """Somebody else writes where the upstreams do."""
         draws = random.Random(fault.target)
         name = f'foreign-{fault.name}'
-        spec = draws.choice(upstream_codec.foreign_entries(shape_.ENGINES))
+        spec = draws.choice(
+            upstream_codec.foreign_entries(shape_.ENGINE_SERVICE)
+        )
         self._fleet.store.put(names.UPSTREAM_KIND, name, spec)
         green.sleep_ms(fault.for_ms)
-        self._fleet.store.drop(names.UPSTREAM_KIND, name)
+        self._fleet.store.delete(names.UPSTREAM_KIND, name)
 
     def _crashing_request(self, fault: pb.Fault) -> None:
         """Send one request repeatedly, each time with a new request id."""
@@ -285,13 +289,15 @@
                 oracle_.LimitedEngine(guest, _LIMIT_RATE, span)
             )
 
-    def _replace_crashed(self, guest: guest_.Guest) -> None:
+    def _replace_crashed(
+        self, guest: upstream_instance.UpstreamInstance
+    ) -> None:
         """Stop an engine that a request has crashed, and replace it."""
         if not guest.ended_ms:
             self.crash_times.append(self._fleet.clock.now())
-            self._fleet.lose(guest, keep_entry=True)
+            self._fleet.kill_upstream(guest, keep_entry=True)
             self._replace([guest])
-            self._fleet.drop_entry(guest)
+            self._fleet.remove_entry(guest)
 
     def _mute_connections(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
@@ -325,15 +331,19 @@
             green.sleep_ms(fault.for_ms)
             guest.upstream.app.faults = {}
 
-    def _pick_engine(self, target: int) -> ty.Optional[guest_.Guest]:
+    def _pick_engine(
+        self, target: int
+    ) -> ty.Optional[upstream_instance.UpstreamInstance]:
         live = [
             guest
-            for guest in self._fleet.running(shape_.ENGINES)
+            for guest in self._fleet.running_upstreams(shape_.ENGINE_SERVICE)
             if _is_live(guest)
         ]
         return live[target % len(live)] if len(live) > 1 else None
 
-    def _replace(self, guests: ty.Iterable[guest_.Guest]) -> None:
+    def _replace(
+        self, guests: ty.Iterable[upstream_instance.UpstreamInstance]
+    ) -> None:
         green.sleep_ms(self._replace_ms)
         for guest in guests:
             self._fleet.add_engine(guest.record.upstream.failure_domain)
@@ -369,20 +379,20 @@
             self.resume_times.append(self.thawed[-1])
 
     def _kill_all_routers(self, fault: pb.Fault) -> None:
-        killed = self._fleet.serving()
+        killed = self._fleet.running_routers()
         self.kill_all_times.append(self._fleet.clock.now())
         for router in killed:
             self._killed[router.chat_address] = self._fleet.clock.now()
             router.stop()
         green.sleep_ms(self._replace_ms)
         for router in killed:
-            self._fleet.restart(router)
+            self._fleet.restart_router(router)
             self.resume_times.append(self._fleet.clock.now())
 
     def _pick_router(self, target: int) -> ty.Any:
         live = [
             router
-            for router in self._fleet.serving()
+            for router in self._fleet.running_routers()
             if router.chat_address not in self.drained
         ]
         return live[target % len(live)] if len(live) > 2 else None
@@ -413,7 +423,7 @@
 
     def _operator_race(self, fault: pb.Fault) -> None:
         """Two operators commit from one base; one must be told so."""
-        live = self._fleet.serving()
+        live = self._fleet.running_routers()
         if not live:
             return
         addresses = live[0].peer_address, live[-1].peer_address
@@ -445,7 +455,7 @@
         return self._operators.call(address, method, request, _OPERATOR_MS)
 
 
-def _is_live(guest: guest_.Guest) -> bool:
+def _is_live(guest: upstream_instance.UpstreamInstance) -> bool:
     """Return whether it runs and has no notice."""
     return not guest.ended_ms and (
         guest.record.state == pb.UPSTREAM_STATE_LIVE
--- a/src/peridotmast/load/oracle.py
+++ b/src/peridotmast/load/oracle.py
@@ -9,8 +9,8 @@
 
 from peridotmast.client import caller as caller_
 from peridotmast.embedded import fleet as fleet_
-from peridotmast.embedded import guest as guest_
 from peridotmast.embedded import links as links_
+from peridotmast.embedded import upstream_instance
 from peridotmast import failures
 from peridotmast.load import arrivals as arrivals_
 from peridotmast.standin import answers
@@ -73,7 +73,7 @@
 class LimitedEngine:
     """An engine that stated a rate limit, and when."""
 
-    guest: guest_.Guest
+    guest: upstream_instance.UpstreamInstance
     rate: float
     """The limit, in requests per second."""
     span: Span
@@ -167,7 +167,7 @@
         verdict.reports_that_differ = len(cloud.conflicting_reports())
         verdict.duties_out_of_turn = sum(
             not any(0 <= at - thaw <= _THAW_MS for thaw in thawed)
-            for at in cloud.out_of_turn
+            for at in cloud.stale_call_times
         )
         verdict.sent_though_blocked = count_excess_crashes(
             crash_times, resume_times
@@ -181,8 +181,8 @@
             )
             for engine in limited_engines
         )
-        verdict.invariant_violations = self._fleet.broken_promises()
-        for guest in self._fleet.guests:
+        verdict.invariant_violations = self._fleet.invariant_violations()
+        for guest in self._fleet.instances:
             totals = getattr(guest.upstream, 'totals', {})
             verdict.recomputed_tokens += totals.get('recomputed', 0)
             verdict.moved_tokens += totals.get('moved', 0)
@@ -216,7 +216,7 @@
     ) -> None:
         runs = sum(
             guest.upstream.app.runs[attempt.request_id]
-            for guest in self._fleet.guests
+            for guest in self._fleet.instances
         )
         if attempt.status in (408, 421, 429, 503) and runs:
             verdict.not_run_but_ran += 1
@@ -228,7 +228,7 @@
     def _late_work(self, noticed: dict[str, int]) -> int:
         return sum(
             at > noticed[guest.name] + _LEAVING_BOUND_MS
-            for guest in self._fleet.guests
+            for guest in self._fleet.instances
             if guest.name in noticed
             for at, _ in guest.upstream.app.arrivals
         )
@@ -248,9 +248,9 @@
     before it notes each request of which it kept bytes back for good.
     """
     last = answer.attempts[-1]
-    began, ended = drained.get(links.target(last.address), _NO_SPAN)
+    began, ended = drained.get(links.target_address(last.address), _NO_SPAN)
     reason = answer.failure.reason if answer.failure else ''
-    silent = last.request_id not in links.broken
+    silent = last.request_id not in links.drop_reasons
     if last.error_reported:
         silent = reason == 'cut_off'
     return silent and began <= last.ended_at <= ended + CUT_MS
--- a/src/peridotmast/load/overhead.py
+++ b/src/peridotmast/load/overhead.py
@@ -43,7 +43,7 @@
         routers=1,
         domains=2,
         services=0,
-        times=engine.EngineTimes(step_ms=_STEP_MS, batch=64),
+        engine_profile=engine.EngineProfile(step_ms=_STEP_MS, batch_size=64),
         chat=False,
     )
     fleet = fleet_.Fleet(shape, seed)
@@ -89,8 +89,8 @@
     """
     first: list[float] = []
     tasks = []
-    engines = fleet.running(shape_.ENGINES)
-    wanted = -(-_TOKENS // fleet.shape.times.stride)
+    engines = fleet.running_upstreams(shape_.ENGINE_SERVICE)
+    wanted = -(-_TOKENS // fleet.shape.engine_profile.tokens_per_event)
     began = time.process_time()
     for number in range(streams):
         guest = engines[number % len(engines)]
--- a/src/peridotmast/load/overload.py
+++ b/src/peridotmast/load/overload.py
@@ -18,7 +18,7 @@
 _BATCH = 8
 _DOMAINS = 2
 _TOKENS = 40
-_STRIDE = engine.EngineTimes().stride
+_STRIDE = engine.EngineProfile().tokens_per_event
 _TTFT_TARGET_MS = 1300
 _INTERACTIVE = 0.5
 _DRAFT = 2.5
@@ -41,7 +41,9 @@
     shape = shape_.FleetShape(
         routers=2,
         domains=_DOMAINS,
-        times=engine.EngineTimes(step_ms=_STEP_MS, batch=_BATCH),
+        engine_profile=engine.EngineProfile(
+            step_ms=_STEP_MS, batch_size=_BATCH
+        ),
     )
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     trial = trial_.Trial(shape, arrivals, [], seed)
--- a/src/peridotmast/load/slopes.py
+++ b/src/peridotmast/load/slopes.py
@@ -163,7 +163,7 @@
             routers=1,
             domains=2,
             services=0,
-            times=engine.EngineTimes(step_ms=25, batch=64),
+            engine_profile=engine.EngineProfile(step_ms=25, batch_size=64),
             chat=False,
         )
         fleet = fleet_.Fleet(shape, seed)
--- a/src/peridotmast/load/soak.py
+++ b/src/peridotmast/load/soak.py
@@ -53,7 +53,7 @@
         routers=4,
         domains=4,
         engines=2,
-        times=engine.EngineTimes(step_ms=10, batch=24),
+        engine_profile=engine.EngineProfile(step_ms=10, batch_size=24),
         router={'policy': policy},
         bounds={'usage_window_s': 2.0, 'lease_ms': 1000},
         crash_body=faults_.CRASH_PROMPT.encode(),
--- a/src/peridotmast/load/trial.py
+++ b/src/peridotmast/load/trial.py
@@ -82,7 +82,7 @@
             'crashed_engines': len(faults.crash_times),
             'link_faults': dict(faults.links),
             'broken_by_proxy': collections.Counter(
-                fleet.links.broken.values()
+                fleet.links.drop_reasons.values()
             ),
             'operator_conflicts': faults.races_lost,
             'cost': round(fleet.cost(), 6),
--- a/src/peridotmast/standin/cloud.py
+++ b/src/peridotmast/standin/cloud.py
@@ -8,7 +8,7 @@
 from peridotmast import clock as clock_
 from peridotmast.platform import names
 from peridotmast.standin import faulty_app
-from peridotmast.standin import listening
+from peridotmast.standin import http_standin
 from peridotmast import web
 
 OnOrder = ty.Callable[[str, str, int, bool], bool]
@@ -38,7 +38,7 @@
     fencing: int
 
 
-class CloudStandin(listening.Listening[faulty_app.FaultyApp]):
+class CloudStandin(http_standin.HttpStandin[faulty_app.FaultyApp]):
     """Takes what comes and remembers it, as the platform does.
 
     Parameters
@@ -60,7 +60,7 @@
         """Orders taken, in order."""
         self.reports: list[Report] = []
         """Reports, in order."""
-        self.out_of_turn: list[int] = []
+        self.stale_call_times: list[int] = []
         """Moments of calls with a lower fencing number than one before."""
         self.app.route('POST', names.USAGE_PATH, self._usage)
         self.app.route('POST', names.SCALE_PATH, self._scale)
@@ -78,7 +78,7 @@
         """Return the holder that calls, and its fencing number."""
         fencing = int(req.header(names.FENCING) or 0)
         if fencing < self._highest.get(duty, 0):
-            self.out_of_turn.append(self._clock.now())
+            self.stale_call_times.append(self._clock.now())
         self._highest[duty] = max(fencing, self._highest.get(duty, 0))
         return req.header(names.HOLDER), fencing
 
--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -13,7 +13,7 @@
 from peridotmast import green
 from peridotmast.platform import names
 from peridotmast.standin import answers
-from peridotmast.standin import listening
+from peridotmast.standin import http_standin
 from peridotmast.standin import upstream_app
 from peridotmast import web
 from peridotmast.wire import calls
@@ -25,14 +25,14 @@
 
 
 @dataclasses.dataclass
-class EngineTimes:
+class EngineProfile:
     """How fast an engine works."""
 
     step_ms: float = 8
-    batch: int = 32
-    read_per_step: int = 512
+    batch_size: int = 32
+    prefill_tokens_per_step: int = 512
     """Tokens of prompts that are read in one step."""
-    stride: int = 2
+    tokens_per_event: int = 2
     """Tokens in one event."""
     move_tokens_per_ms: float = 200
     cache_parts: int = 4096
@@ -69,7 +69,7 @@
         changed.send()
 
 
-class Engine(listening.Listening['_EngineApp']):
+class Engine(http_standin.HttpStandin['_EngineApp']):
     """One run of one engine.
 
     Parameters
@@ -78,7 +78,7 @@
         Id of this run.
     address : str
         ``IP:port`` to listen on; port 0 takes a free one.
-    times : EngineTimes
+    profile : EngineProfile
         How fast it works.
     """
 
@@ -86,11 +86,11 @@
         self,
         name: str,
         address: str = '127.0.0.1:0',
-        times: ty.Optional[EngineTimes] = None,
+        profile: ty.Optional[EngineProfile] = None,
         seed: int = 0,
     ) -> None:
         self.name = name
-        self.times = times or EngineTimes()
+        self.profile = profile or EngineProfile()
         self._seed = seed
         super().__init__(_EngineApp(self, seed), address)
 
@@ -104,9 +104,9 @@
         self.app.loop.kill()
         super().stop()
 
-    def again(self) -> Engine:
+    def restarted(self) -> Engine:
         """Return the next run under its id and address, once it is dead."""
-        return Engine(self.name, self.address, self.times, self._seed)
+        return Engine(self.name, self.address, self.profile, self._seed)
 
     def mute(self, ms: int = _FOR_GOOD_MS) -> None:
         """Let the open streams go silent while new ones work.
@@ -121,10 +121,10 @@
 
 class _EngineApp(upstream_app.UpstreamApp):
     def __init__(self, engine: Engine, seed: int) -> None:
-        slots = 4 * engine.times.batch
+        slots = 4 * engine.profile.batch_size
         super().__init__(engine.name, slots, seed)
         self._engine = engine
-        self._times = engine.times
+        self._profile = engine.profile
         self._running: list[Run] = []
         self._waiting: list[tuple[int, int, Run]] = []
         self._copies: dict[str, Run] = {}
@@ -165,7 +165,7 @@
             start('503 Service Unavailable', headers)
             return
         headers = [
-            *self.seal(request_id),
+            *self.answer_headers(request_id),
             ('Content-Type', 'text/event-stream'),
         ]
         start('200 OK', headers)
@@ -205,12 +205,12 @@
                 run.stopped = True
 
     def _events_ready(self, run: Run) -> int:
-        whole, rest = divmod(run.made, self._times.stride)
+        whole, rest = divmod(run.made, self._profile.tokens_per_event)
         return whole + (1 if rest and run.ended else 0)
 
     def _event(self, run: Run, number: int) -> bytes:
-        first = (number - 1) * self._times.stride
-        last = min(run.wanted, first + self._times.stride)
+        first = (number - 1) * self._profile.tokens_per_event
+        last = min(run.wanted, first + self._profile.tokens_per_event)
         text = ''.join(
             answers.token(run.seed, position)
             for position in range(first, last)
@@ -248,7 +248,7 @@
         size = int(counts[0] or 1)
         wanted = int(counts[1]) if len(counts) > 1 else _DEFAULT_OUT
         last = upstream_app.header(environ, names.LAST_EVENT)
-        made = int(last or 0) * self._times.stride
+        made = int(last or 0) * self._profile.tokens_per_event
         held = self._held(environ)
         unread = max(1, size + made - held)
         self.totals['read'] += unread
@@ -272,7 +272,7 @@
             else:
                 unbroken = False
                 self._cache[name] = int(size)
-        while len(self._cache) > self._times.cache_parts:
+        while len(self._cache) > self._profile.cache_parts:
             self._cache.popitem(last=False)
         return held
 
@@ -285,18 +285,18 @@
                 self._work.wait()
                 due = float(self._clock.now())
                 continue
-            due += self._times.step_ms
+            due += self._profile.step_ms
             green.sleep_ms(max(0, due - self._clock.now()))
             self._step()
 
     def _admit(self) -> None:
-        while self._waiting and len(self._running) < self._times.batch:
+        while self._waiting and len(self._running) < self._profile.batch_size:
             run = heapq.heappop(self._waiting)[2]
             if not run.stopped:
                 self._running.append(run)
 
     def _step(self) -> None:
-        budget = self._times.read_per_step
+        budget = self._profile.prefill_tokens_per_step
         for run in self._running:
             if run.stopped:
                 continue
@@ -338,7 +338,7 @@
         if body.get(names.LAST):
             run.stopped = True
         size = run.size + run.made
-        green.sleep_ms(size / self._times.move_tokens_per_ms)
+        green.sleep_ms(size / self._profile.move_tokens_per_ms)
         handle = f'h{next(self.numbers)}'
         # Two engines may give copies the same handle: the address that they
         # are asked at is part of what names one.
--- a/src/peridotmast/standin/listening.py
+++ b/src/peridotmast/standin/http_standin.py
@@ -11,7 +11,7 @@
 A = ty.TypeVar('A', bound=web.WebApp)
 
 
-class Listening(ty.Generic[A]):
+class HttpStandin(ty.Generic[A]):
     """A stand-in that listens from its start to its end.
 
     Parameters
--- a/src/peridotmast/standin/plain_service.py
+++ b/src/peridotmast/standin/plain_service.py
@@ -5,12 +5,12 @@
 import typing as ty
 
 from peridotmast import green
-from peridotmast.standin import listening
+from peridotmast.standin import http_standin
 from peridotmast.standin import upstream_app
 from peridotmast.wire import strict_protocol
 
 
-class PlainService(listening.Listening['_PlainApp']):
+class PlainService(http_standin.HttpStandin['_PlainApp']):
     """One run of one service's upstream.
 
     Parameters
@@ -35,7 +35,7 @@
         self._given = work_ms, slots, seed
         super().__init__(_PlainApp(name, slots, work_ms, seed), address)
 
-    def again(self) -> PlainService:
+    def restarted(self) -> PlainService:
         """Return the next run under its id and address, once it is dead."""
         return PlainService(self.name, self.address, *self._given)
 
@@ -58,7 +58,7 @@
         green.sleep_ms(self._work_ms)
         whole = b'done:' + body
         headers = [
-            *self.seal(request_id),
+            *self.answer_headers(request_id),
             ('Content-Type', 'text/plain'),
             ('Content-Length', str(len(whole))),
         ]
--- a/src/peridotmast/standin/store.py
+++ b/src/peridotmast/standin/store.py
@@ -11,7 +11,7 @@
 from peridotmast import green
 from peridotmast.platform import names
 from peridotmast.standin import faulty_app
-from peridotmast.standin import listening
+from peridotmast.standin import http_standin
 from peridotmast import web
 
 Json = dict[str, ty.Any]
@@ -27,7 +27,7 @@
     deleted: bool
 
 
-class StoreStandin(listening.Listening[faulty_app.FaultyApp]):
+class StoreStandin(http_standin.HttpStandin[faulty_app.FaultyApp]):
     """Objects by kind and name, with one revision and a history.
 
     Parameters
@@ -59,7 +59,7 @@
         """Write an object whatever there is; return its revision."""
         return self._write(kind, name, spec)[names.META][names.REVISION]
 
-    def drop(self, kind: str, name: str) -> None:
+    def delete(self, kind: str, name: str) -> None:
         """Remove an object, if it is there."""
         body = self._objects.get(kind, {}).pop(name, None)
         if body is not None:
@@ -155,7 +155,7 @@
         revision = int(req.query.get(names.REVISION, 0))
         if revision and revision != known[names.META][names.REVISION]:
             return web.json_response(known, 409)
-        self.drop(urllib.parse.unquote(kind), urllib.parse.unquote(name))
+        self.delete(urllib.parse.unquote(kind), urllib.parse.unquote(name))
         return web.json_response(known)
 
     def _find(self, kind: str, name: str) -> ty.Optional[Json]:
--- a/src/peridotmast/standin/upstream_app.py
+++ b/src/peridotmast/standin/upstream_app.py
@@ -43,9 +43,9 @@
         """Team that each request came with."""
         self.bodies: dict[str, bytes] = {}
         """Body of each request that ran."""
-        self.in_work = 0
+        self.in_progress = 0
         """Requests in work."""
-        self.left_early: list[str] = []
+        self.abandoned: list[str] = []
         """Ids of requests whose sender closed before their end."""
         self.faults: dict[str, float] = {}
         """Share of requests that each fault hits: ``refuse``, ``error``,
@@ -86,7 +86,7 @@
         share = self.faults.get(fault, 0)
         return bool(share) and self._draws.random() < share
 
-    def seal(self, request_id: str) -> list[tuple[str, str]]:
+    def answer_headers(self, request_id: str) -> list[tuple[str, str]]:
         """Return the headers that every answer of a run has."""
         limit = [(names.LIMIT, self.limit)] if self.limit else []
         return [
@@ -106,7 +106,7 @@
             start('421 Misdirected Request', headers)
             return [b'']
         self.arrivals.append((self._clock.now(), request_id))
-        if self.in_work >= self.slots or self.hits('refuse'):
+        if self.in_progress >= self.slots or self.hits('refuse'):
             headers = [
                 (names.NOT_RUN, '1'),
                 (names.REQUEST_ID, request_id),
@@ -140,7 +140,10 @@
             environ['eventlet.input'].get_socket().sendall(b'\x00no answer')
             raise ConnectionResetError('garbled')
         if self.hits('error'):
-            headers = [*self.seal(request_id), ('Content-Length', '5')]
+            headers = [
+                *self.answer_headers(request_id),
+                ('Content-Length', '5'),
+            ]
             start('500 Internal Server Error', headers)
             return [b'error']
         return _Counted(self, request_id, environ, body, start)
@@ -166,7 +169,7 @@
         self._id = request_id
         self._conn = environ[strict_protocol.CONNECTION]
         self._ended = False
-        app.in_work += 1
+        app.in_progress += 1
         self._conn.watch()
         try:
             self._parts = iter(app.answer(request_id, environ, body, start))
@@ -187,9 +190,9 @@
     def close(self) -> None:
         """Count it out; the server calls this."""
         self._conn.unwatch()
-        self._app.in_work -= 1
+        self._app.in_progress -= 1
         if not self._ended:
-            self._app.left_early.append(self._id)
+            self._app.abandoned.append(self._id)
         close = getattr(getattr(self, '_parts', None), 'close', None)
         if close is not None:
             close()
