--- a/src/peridotmast/cli/__init__.py
+++ b/src/peridotmast/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs."""
+"""Command line programs."""
--- a/src/peridotmast/cli/_program.py
+++ b/src/peridotmast/cli/_program.py
@@ -1,4 +1,4 @@
-"""What the daemons share: settings, checks, signals, exit codes."""
+"""Functions shared by the daemons: settings, signals, exit codes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from peridotmast.wire import server as server_
 
 BAD_SETTINGS = 2
-"""Exit code for settings that were found wrong."""
+"""Exit code for invalid settings."""
 
-_FLUSH_MS = 100
-"""Time that lines of the log gather: ten writes a second at most."""
+_LOG_FLUSH_MS = 100
+"""Time for which log lines are buffered: at most ten writes a second."""
 
 M = ty.TypeVar('M', bound=message.Message)
 
@@ -31,8 +31,8 @@
 def load_settings(path: str, kind: type[M], check: bool) -> M:
     """Return the checked settings in `path`.
 
-    All findings are printed together and the program exits with 2; with
-    `check` it exits with 0 where there are none.
+    If there are findings, prints all of them and exits with 2. With `check`,
+    exits with 0 if there are none.
     """
     settings, found = ini.load_file(path, kind)
     router = getattr(settings, 'router', None)
@@ -53,11 +53,13 @@
     return settings
 
 
-def begin(level: str) -> None:
-    """Set the hub and the log of a daemon up."""
+def setup(level: str) -> None:
+    """Set up the event loop hub and the log of a daemon."""
     green.setup()
     logs.setup(
-        level, sys.stdout, functools.partial(green.call_after_ms, _FLUSH_MS)
+        level,
+        sys.stdout,
+        functools.partial(green.call_after_ms, _LOG_FLUSH_MS),
     )
     atexit.register(logs.flush)
 
@@ -76,14 +78,14 @@
 
 
 def on_reload(callback: ty.Callable[[], None]) -> None:
-    """Call `callback` in a task of its own at each SIGHUP."""
+    """Call `callback` in a separate task on each SIGHUP."""
     green.on_signal(signal.SIGHUP, green.spawn, callback)
 
 
 def serve_metrics(
     address: str, registry: prometheus_client.CollectorRegistry
 ) -> ty.Optional[server_.HttpServer]:
-    """Serve /metrics at `address`; None where it is empty."""
+    """Serve /metrics at `address`; return None if it is empty."""
     if not address:
         return None
     app = web.WebApp('metrics')
--- a/src/peridotmast/cli/load.py
+++ b/src/peridotmast/cli/load.py
@@ -1,4 +1,4 @@
-"""peridotmast-load: load and experiments."""
+"""peridotmast-load: load tests and experiments."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @click.group()
 def main() -> None:
-    """Measure a fleet of stand-ins, on loopback, in bounded time."""
+    """Measure a fleet of stand-ins on loopback, in bounded time."""
     green.setup()
     logs.setup('critical')
 
 
-def _common(command: _Command) -> _Command:
-    """Add the options that every experiment has."""
+def _common_options(command: _Command) -> _Command:
+    """Add the options common to all experiments."""
     seed = click.option('--seed', default=7, show_default=True)
     out = click.option('--out', required=True, help='Folder for the report.')
     return seed(out(command))
@@ -44,8 +44,8 @@
     click.echo(f'\r{line:<60}', nl=False, err=True)
 
 
-def _end(broken: list[str], out: str) -> None:
-    """Say how it ended; exit with 1 where a promise broke."""
+def _exit_with_result(broken: list[str], out: str) -> None:
+    """Print the result; exit with 1 if a promise was broken."""
     click.echo(f'\nreport in {out}/report.json', err=True)
     for name in broken:
         click.echo(f'broken: {name}', err=True)
@@ -54,81 +54,89 @@
 
 @main.command()
 @click.option('--seconds', default=40.0, show_default=True)
-@click.option('--processes', is_flag=True, help='Each router is a process.')
-@_common
+@click.option(
+    '--processes', is_flag=True, help='Run each router as a process.'
+)
+@_common_options
 def soak(seconds: float, processes: bool, seed: int, out: str) -> None:
-    """Run random load with every kind of fault and judge the promises."""
+    """Run random load with every kind of fault and check the promises."""
     broken = soak_.run(seconds, seed, out, _progress, processes)
     if broken:
         line = soak_.command(seconds, seed, processes)
-        click.echo(f'\nseed {seed} fails, again: {line}', err=True)
-    _end(broken, out)
+        click.echo(f'\nseed {seed} fails; repeat with: {line}', err=True)
+    _exit_with_result(broken, out)
 
 
 @main.command()
-@_common
+@_common_options
 def compare(seed: int, out: str) -> None:
-    """Run this policy and the baseline under the same faults."""
-    _end(compare_.run(seed, out, _progress), out)
+    """Compare the policy with the baseline under the same faults."""
+    _exit_with_result(compare_.run(seed, out, _progress), out)
 
 
 @main.command()
-@_common
+@_common_options
 def overload(seed: int, out: str) -> None:
     """Run at three times the fleet's capacity."""
-    _end(overload_.run(seed, out, _progress), out)
+    _exit_with_result(overload_.run(seed, out, _progress), out)
 
 
 @main.command()
-@_common
+@_common_options
 def overhead(seed: int, out: str) -> None:
-    """Measure what a router adds to an answer."""
-    _end(overhead_.run(seed, out, _progress), out)
+    """Measure the overhead of a router on answers."""
+    _exit_with_result(overhead_.run(seed, out, _progress), out)
 
 
 @main.command()
-@_common
+@_common_options
 def event(seed: int, out: str) -> None:
-    """Open a live event on planned, fixed and reactive capacity."""
-    _end(event_.run(seed, out, _progress), out)
+    """Open a live event with planned, fixed and reactive capacity."""
+    _exit_with_result(event_.run(seed, out, _progress), out)
 
 
 @main.command('config')
 @click.option('--nodes', default=8, show_default=True)
 @click.option('--changes', default=50, show_default=True)
-@_common
+@_common_options
 def config(nodes: int, changes: int, seed: int, out: str) -> None:
-    """Time changes of configuration until they are in force everywhere."""
-    _end(config_run.run(nodes, changes, seed, out, _progress), out)
+    """Measure how long configuration changes take to be in force."""
+    _exit_with_result(
+        config_run.run(nodes, changes, seed, out, _progress), out
+    )
 
 
 @main.command()
 @click.option('--trials', default=200, show_default=True)
-@_common
+@_common_options
 def leases(trials: int, seed: int, out: str) -> None:
-    """Hand a lease over under faults and look for stale orders."""
-    _end(lease_trials.run(trials, seed, out, _progress), out)
+    """Hand over a lease under faults and check for stale orders."""
+    _exit_with_result(lease_trials.run(trials, seed, out, _progress), out)
 
 
 @main.command('platform-calls')
-@_common
+@_common_options
 def platform_calls_command(seed: int, out: str) -> None:
     """Count platform calls at 4, 8, 16 and 32 routers."""
-    _end(platform_calls.run(seed, out, _progress), out)
+    _exit_with_result(platform_calls.run(seed, out, _progress), out)
 
 
 @main.command()
-@click.option('--router', default='', help='A router process to read too.')
-@_common
+@click.option(
+    '--router',
+    default='',
+    help='HTTP address of a router process to measure too.',
+)
+@_common_options
 def slopes(router: str, seed: int, out: str) -> None:
-    """Measure every slope that docs/CAPACITY.md is worked out from."""
-    _end(slopes_.run(seed, out, _progress, router), out)
+    """Measure every slope from which docs/CAPACITY.md is calculated."""
+    _exit_with_result(slopes_.run(seed, out, _progress, router), out)
 
 
 @main.command('run')
 @click.argument('path')
 @click.option('--check', is_flag=True, help='Only check the experiment.')
-@_common
+@_common_options
 def run_experiment(path: str, check: bool, seed: int, out: str) -> None:
     """Run the experiment file at PATH."""
     loaded, found = experiment.load(path)
@@ -136,14 +144,14 @@
         click.echo(str(found), err=True)
         sys.exit(_program.BAD_SETTINGS)
     if not check:
-        _end(experiment.run(loaded, seed, out, _progress), out)
+        _exit_with_result(experiment.run(loaded, seed, out, _progress), out)
 
 
 @main.command('explain')
 @click.argument('logs', nargs=-1, required=True)
 @click.option('--out', default='explained', show_default=True)
 def explain_logs(logs: tuple[str, ...], out: str) -> None:
-    """Tell from routers' LOGS why requests were late or lost."""
+    """Explain from routers' LOGS why requests were late or lost."""
     try:
         click.echo('\n'.join(explain.run(logs, out)))
     except OSError as exc:
--- a/src/peridotmast/cli/main.py
+++ b/src/peridotmast/cli/main.py
@@ -20,9 +20,9 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.schema import peridotmast_pb2_grpc as pb_grpc
 
-_CALL_MS = 8000
-_CONFLICT = 3
-_NOT_IN_FORCE = 4
+_CALL_TIMEOUT_MS = 8000
+_EXIT_CONFLICT = 3
+_EXIT_NOT_IN_FORCE = 4
 
 
 class Operator:
@@ -33,8 +33,10 @@
         self._client = rpc.RpcClient(pb_grpc.OperatorsStub, tls)
 
     def call(self, method: str, request: ty.Any) -> ty.Any:
-        """Return the reply; exit with 1 and the reason where none came."""
-        reply = self._client.call(self._address, method, request, _CALL_MS)
+        """Return the reply; if the call fails, print why and exit with 1."""
+        reply = self._client.call(
+            self._address, method, request, _CALL_TIMEOUT_MS
+        )
         if isinstance(reply, failures.Failure):
             click.echo(f'{method}: {reply.reason}: {reply.detail}', err=True)
             sys.exit(1)
@@ -51,7 +53,7 @@
 )
 @click.option('--cert', default='', help='Certificate of the operator.')
 @click.option('--key', default='', help='Key of the certificate.')
-@click.option('--ca', default='', help='Authorities that routers show.')
+@click.option('--ca', default='', help='CA certificates of the routers.')
 @click.pass_context
 def main(
     ctx: click.Context, router: str, cert: str, key: str, ca: str
@@ -65,7 +67,7 @@
 
 @main.group()
 def config() -> None:
-    """Check, commit and follow the product's own document."""
+    """Check, commit and show the product's own document."""
 
 
 @config.command('check')
@@ -82,9 +84,11 @@
 
 @config.command('apply')
 @click.argument('path')
-@click.option('--base', type=int, help='Version the change was made from.')
-@click.option('--comment', default='', help='Kept in the history.')
-@click.option('--wait/--no-wait', default=True, help='Until it is in force.')
+@click.option('--base', type=int, help='Version on which the change is based.')
+@click.option('--comment', default='', help='Comment for the history.')
+@click.option(
+    '--wait/--no-wait', default=True, help='Wait until it is in force.'
+)
 @click.pass_obj
 def config_apply(
     operator: Operator,
@@ -109,7 +113,7 @@
     path: str = 'document',
     wait: bool = True,
 ) -> None:
-    """Commit `document`; end with the exit code of what stands in the way."""
+    """Commit `document`; if it is rejected, exit with the matching code."""
     reply = operator.call(
         'ConfigApply',
         pb.ConfigApplyRequest(
@@ -118,12 +122,12 @@
     )
     if reply.conflict:
         click.echo(
-            f'conflict: made from version {base}, but version '
+            f'conflict: based on version {base}, but version '
             f'{reply.current_version} is committed:\n'
             f'{reply.current_document}',
             err=True,
         )
-        sys.exit(_CONFLICT)
+        sys.exit(_EXIT_CONFLICT)
     for finding in reply.findings:
         click.echo(f'{path}: {finding.place}: {finding.text}', err=True)
     if reply.findings:
@@ -146,7 +150,7 @@
         click.echo(
             f'{node.name}: {node.document_version} {node.reason}', err=True
         )
-    sys.exit(_NOT_IN_FORCE)
+    sys.exit(_EXIT_NOT_IN_FORCE)
 
 
 @config.command('status')
@@ -171,12 +175,14 @@
     """Show the last changes."""
     reply = operator.call('ConfigHistory', pb.ConfigHistoryRequest())
     for change in reply.changes:
-        click.echo(f'{_when(change.at_ms)} {change.by} {change.comment}')
+        click.echo(
+            f'{_format_time(change.at_ms)} {change.by} {change.comment}'
+        )
 
 
 @main.group()
 def event() -> None:
-    """Live events; they are declared in the product's own document."""
+    """Manage live events, declared in the product's own document."""
 
 
 @event.command('plan')
@@ -217,7 +223,7 @@
 @click.argument('name')
 @click.pass_obj
 def event_cancel(operator: Operator, name: str) -> None:
-    """Take an event out of the committed document."""
+    """Remove an event from the committed document."""
     status = operator.call('ConfigStatus', pb.ConfigStatusRequest())
     title = re.escape(f'[event {name}]')
     document, found = re.subn(
@@ -245,17 +251,17 @@
 
 @main.group()
 def node() -> None:
-    """Routers."""
+    """Manage routers."""
 
 
 @node.command('list')
 @click.pass_obj
 def node_list(operator: Operator) -> None:
-    """List the routers, and who has the duties."""
+    """List the routers, and the holder of the duties."""
     reply = operator.call('NodeList', pb.NodeListRequest())
     for item in reply.nodes:
         member = item.member
-        state = _word(pb.MemberState, member.state)
+        state = _short_name(pb.MemberState, member.state)
         silent = '-' if item.silent_ms < 0 else f'{item.silent_ms} ms'
         click.echo(
             f'{member.name:<28} {state:<8} '
@@ -270,14 +276,14 @@
             f'{lease.left_ms} ms left'
         )
     else:
-        click.echo('duties: nobody is heard to have them')
+        click.echo('duties: no known holder')
 
 
 @node.command('drain')
 @click.argument('name')
 @click.pass_obj
 def node_drain(operator: Operator, name: str) -> None:
-    """Begin the planned stop of a router."""
+    """Start draining a router, for a planned stop."""
     reply = operator.call('NodeDrain', pb.NodeDrainRequest(name=name))
     click.echo('begun' if reply.begun else reply.reason)
     sys.exit(0 if reply.begun else 1)
@@ -285,17 +291,17 @@
 
 @main.group()
 def upstream() -> None:
-    """Model engines and plain services."""
+    """Show model engines and plain services."""
 
 
 @upstream.command('list')
 @click.pass_obj
 def upstream_list(operator: Operator) -> None:
-    """List the upstreams and their work."""
+    """List the upstreams and their load."""
     reply = operator.call('UpstreamList', pb.UpstreamListRequest())
     for item in reply.upstreams:
         record = item.record
-        state = _word(pb.UpstreamState, record.state)
+        state = _short_name(pb.UpstreamState, record.state)
         kind = 'reclaimable' if record.reclaimable else 'firm'
         click.echo(
             f'{record.upstream.name:<24} {state:<8} {kind:<11} '
@@ -308,29 +314,29 @@
 
 @main.group()
 def request() -> None:
-    """Requests."""
+    """Show requests."""
 
 
 @request.command('show')
 @click.argument('request_id')
 @click.pass_obj
 def request_show(operator: Operator, request_id: str) -> None:
-    """Show what the routers decided on a request, oldest first."""
+    """Show the routers' decisions on a request, oldest first."""
     reply = operator.call(
         'RequestShow', pb.RequestShowRequest(request_id=request_id)
     )
     if not reply.steps:
-        click.echo(f'{request_id}: no router remembers it', err=True)
+        click.echo(f'{request_id}: no router has a record of it', err=True)
         sys.exit(1)
     for step in reply.steps:
-        click.echo(f'{_when(step.at_ms)} {step.router} {step.text}')
+        click.echo(f'{_format_time(step.at_ms)} {step.router} {step.text}')
 
 
 @main.command('resolve')
 @click.argument('address')
-@click.option('--failure-domain', default='', help="The caller's own.")
+@click.option('--failure-domain', default='', help="Caller's failure domain.")
 def resolve(address: str, failure_domain: str) -> None:
-    """Ask the chat address ADDRESS which addresses to use."""
+    """Ask the chat address ADDRESS for the addresses to use."""
     found = caller_.Caller([address], '', failure_domain).resolve()
     click.echo('\n'.join(found))
 
@@ -338,8 +344,8 @@
 @main.command('send')
 @click.argument('address')
 @click.argument('prompt')
-@click.option('--key', required=True, help='Key of the team.')
-@click.option('--model', required=True, help='Model to ask.')
+@click.option('--key', required=True, help='API key of the team.')
+@click.option('--model', required=True, help='Name of the model.')
 @click.option('--max-tokens', default=64, show_default=True)
 def send(
     address: str, prompt: str, key: str, model: str, max_tokens: int
@@ -360,12 +366,12 @@
 main.add_command(quickstart_.quickstart)
 
 
-def _word(states: ty.Any, state: int) -> str:
-    """Return the short name of a state of the schema."""
+def _short_name(states: ty.Any, state: int) -> str:
+    """Return the short name of a state from the schema."""
     return states.Name(state).rpartition('_')[2].lower()
 
 
-def _when(ms: int) -> str:
+def _format_time(ms: int) -> str:
     moment = datetime.datetime.fromtimestamp(ms / 1000, datetime.UTC)
     return moment.isoformat(sep=' ', timespec='milliseconds')[:23]
 
--- a/src/peridotmast/cli/quickstart.py
+++ b/src/peridotmast/cli/quickstart.py
@@ -1,4 +1,4 @@
-"""peridotmast quickstart: the whole path in one process."""
+"""peridotmast quickstart: routers and stand-ins in one process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _NOTICE_MS = 1500
-_RECLAIM_AT_MS = 500
+_RECLAIM_DELAY_MS = 500
 _REQUESTS = (
     ('kalnins', 'interactive', 'Draft a reply about the late cake', 40),
     ('noor', 'interactive', 'Which swimming slot is free on Sunday', 60),
@@ -29,14 +29,16 @@
         400,
     ),
 )
-_CALLS = 4
+_SERVICE_CALLS = 4
 
 
 @click.command('quickstart')
-@click.option('--once', is_flag=True, help='End after the first requests.')
-@click.option('--trace-file', default='', help='File of JSON lines of spans.')
+@click.option('--once', is_flag=True, help='Exit after the first requests.')
+@click.option(
+    '--trace-file', default='', help='File for spans, as JSON lines.'
+)
 def quickstart(once: bool, trace_file: str) -> None:
-    """Serve requests on stand-ins while a failure domain is reclaimed."""
+    """Serve requests from stand-ins while a failure domain is reclaimed."""
     logs.setup('error')
     fleet = fleet_.Fleet(shape_.FleetShape(trace_file=trace_file), seed=1)
     fleet.start()
@@ -46,12 +48,12 @@
         f'{len(fleet.domains)} failure domains'
     )
     run = _Run(fleet)
-    run.all()
-    run.table()
+    run.run_requests()
+    run.print_results()
     if once:
         fleet.stop()
-        sys.exit(0 if run.whole == run.asked else 1)
-    _explain(fleet)
+        sys.exit(0 if run.complete_count == run.request_count else 1)
+    _print_commands(fleet)
     _program.wait_for_stop()
     fleet.stop()
 
@@ -59,36 +61,40 @@
 class _Run:
     def __init__(self, fleet: fleet_.Fleet) -> None:
         self._fleet = fleet
-        self.asked = 0
-        self.whole = 0
+        self.request_count = 0
+        self.complete_count = 0
         self._refused: collections.Counter[str] = collections.Counter()
 
-    def all(self) -> None:
-        """Send the requests and reclaim a failure domain meanwhile."""
+    def run_requests(self) -> None:
+        """Send the requests and reclaim a failure domain while they run."""
         fleet = self._fleet
         domain = fleet.domains[0]
-        spot = fleet.add_engine(domain, reclaimable=True)
+        engine = fleet.add_engine(domain, reclaimable=True)
         green.sleep_ms(300)
         tasks = [
             green.spawn(self._chat, number, *spec)
             for number, spec in enumerate(_REQUESTS)
         ]
-        tasks += [green.spawn(self._hold, number) for number in range(_CALLS)]
-        green.sleep_ms(_RECLAIM_AT_MS)
-        click.echo(f'-- {domain} is reclaimed in {_NOTICE_MS} ms: {spot.name}')
+        tasks += [
+            green.spawn(self._hold, number) for number in range(_SERVICE_CALLS)
+        ]
+        green.sleep_ms(_RECLAIM_DELAY_MS)
+        click.echo(
+            f'-- {domain} is reclaimed in {_NOTICE_MS} ms: {engine.name}'
+        )
         fleet.reclaim(domain, _NOTICE_MS)
         for task in tasks:
             task.wait()
 
-    def table(self) -> None:
-        """Print what came of it."""
+    def print_results(self) -> None:
+        """Print the results."""
         totals = [
             getattr(instance.upstream, 'totals', {})
             for instance in self._fleet.instances
         ]
         rows = (
-            ('asked', self.asked),
-            ('answered whole', self.whole),
+            ('asked', self.request_count),
+            ('answered whole', self.complete_count),
             ('refused', sum(self._refused.values())),
             ('recomputed tokens', sum(t.get('recomputed', 0) for t in totals)),
             ('moved tokens', sum(t.get('moved', 0) for t in totals)),
@@ -111,18 +117,18 @@
         self._count(answer, f'done:seat {number}')
 
     def _count(self, answer: caller_.Answer, wanted: str) -> None:
-        self.asked += 1
+        self.request_count += 1
         if answer.failure is not None:
             self._refused[answer.failure.reason] += 1
         elif answer.complete and answer.text == wanted:
-            self.whole += 1
+            self.complete_count += 1
 
 
-def _explain(fleet: fleet_.Fleet) -> None:
-    """Print how to go on by hand."""
+def _print_commands(fleet: fleet_.Fleet) -> None:
+    """Print commands for further requests."""
     router = fleet.routers[0]
     state = pb.MemberState.Name(router.members.me.state)
-    click.echo(f'\n{router.cfg.name} ({state}) listens; try:')
+    click.echo(f'\n{router.cfg.name} ({state}) is listening; try:')
     click.echo(
         f'  curl -N http://{router.chat_address}/v1/chat/completions -H '
         "'Authorization: Bearer key-noor' -d '{"
--- a/src/peridotmast/cli/router.py
+++ b/src/peridotmast/cli/router.py
@@ -14,9 +14,9 @@
 from peridotmast.router import settings_watch
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_SETTINGS_MS = 1000
-"""Time between two looks at the settings file: it may change without a
-signal, and what it says is to be in force in two seconds."""
+_SETTINGS_CHECK_MS = 1000
+"""Interval at which the settings file is checked: it may change without a
+signal, and changes must be in force within two seconds."""
 
 
 @click.command()
@@ -30,7 +30,7 @@
 def main(config: str, check: bool) -> None:
     """Serve callers until SIGTERM, then drain."""
     settings = _program.load_settings(config, pb.RouterFile, check)
-    _program.begin(settings.telemetry.log_level)
+    _program.setup(settings.telemetry.log_level)
     log = logs.get('router', router=settings.router.name)
     try:
         router = router_.Router(settings)
@@ -38,7 +38,7 @@
     except OSError as exc:
         log.error('cannot_start', error=str(exc))
         sys.exit(1)
-    watch = settings_watch.SettingsWatch(
+    settings_file_watch = settings_watch.SettingsWatch(
         config,
         settings,
         lambda path: ini.load_file(path, pb.RouterFile),
@@ -47,8 +47,10 @@
     tasks = green.Tasks(
         lambda name, exc: log.error('task_failed', task=name, error=repr(exc))
     )
-    tasks.every('settings', _SETTINGS_MS, watch.reload_if_changed)
-    _program.on_reload(watch.reload_if_changed)
+    tasks.every(
+        'settings', _SETTINGS_CHECK_MS, settings_file_watch.reload_if_changed
+    )
+    _program.on_reload(settings_file_watch.reload_if_changed)
     log.info('stopping', signal=_program.wait_for_stop())
     router.drain()
     router.stop()
--- a/src/peridotmast/cli/standin.py
+++ b/src/peridotmast/cli/standin.py
@@ -1,4 +1,4 @@
-"""peridotmast-standin: the platform and the upstreams, for a first try."""
+"""peridotmast-standin: stand-ins for the platform and the upstreams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @click.option('--config', help='INI file with settings.')
 @click.option('--check', is_flag=True, help='Only check the settings.')
 def main(config: str, check: bool) -> None:
-    """Run stand-ins until SIGTERM and print where they listen."""
+    """Run stand-ins until SIGTERM and print their addresses."""
     if config:
         settings = _program.load_settings(config, pb.StandinFile, check)
     else:
@@ -24,7 +24,7 @@
             standin=ini.defaults(pb.StandinSettings),
             telemetry=ini.defaults(pb.TelemetrySettings),
         )
-    _program.begin(settings.telemetry.log_level)
+    _program.setup(settings.telemetry.log_level)
     cfg = settings.standin
     shape = shape_.FleetShape(
         routers=0,
--- a/src/peridotmast/embedded/__init__.py
+++ b/src/peridotmast/embedded/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet in one process, for the first try, tests and load."""
+"""A fleet embedded in one process, for the quickstart, tests and load."""
--- a/src/peridotmast/embedded/fleet.py
+++ b/src/peridotmast/embedded/fleet.py
@@ -27,22 +27,22 @@
 _READY_MS = 10_000
 _POLL_INTERVAL_MS = 20
 _HOUR_MS = 3_600_000
-_RECLAIMABLE = 0.25
-"""Price of a reclaimable engine as a part of a firm one's."""
+_RECLAIMABLE_PRICE_RATIO = 0.25
+"""Price of a reclaimable engine relative to that of a firm one."""
 
 
 class Fleet:
-    """The embedded fleet.
+    """Fleet of stand-ins and routers in one process.
 
     Parameters
     ----------
     shape : shape.FleetShape, optional
-        Its size and settings.
+        Size and settings of the fleet.
     seed : int
-        Seed of the stand-ins' faults.
+        Seed of the faults that the stand-ins inject.
     listen : str
-        Address of the stand-in store; the others take the next ports. With
-        port 0, and by default, all take free ones.
+        Address of the stand-in store; the other stand-ins use the ports that
+        follow. With port 0, and by default, all of them use free ports.
     """
 
     def __init__(
@@ -52,21 +52,21 @@
         listen: str = '',
     ) -> None:
         self.shape = shape or shape_.FleetShape()
-        """Its size and settings."""
+        """Size and settings of the fleet."""
         self.clock = clock_.SystemClock()
-        """Clock of all parts."""
+        """Clock on which the fleet records times."""
         self._seed = seed
-        self._numbers = itertools.count(1)
+        self._upstream_numbers = itertools.count(1)
         self._ports = _next_ports(listen)
         self.store = store_.StoreStandin(next(self._ports), seed)
-        """Stand-in of the platform's store."""
+        """Stand-in for the platform's store."""
         self.links = links_.Links(self.shape.proxied)
-        """Proxies in front of the links."""
+        """Proxies on the links between the parts."""
         self.links.add_proxy(links_.LinkKind.STORE, self.store.address)
         self.cloud = cloud_.CloudStandin(
             self._on_order, next(self._ports), seed
         )
-        """Stand-in of the platform's API."""
+        """Stand-in for the platform's API."""
         self.domains = [f'fd-{n}' for n in range(1, self.shape.domains + 1)]
         """Names of the failure domains."""
         self.prices = {
@@ -75,19 +75,19 @@
         }
         """Price of a firm engine by failure domain."""
         self.instances: list[upstream_instance.UpstreamInstance] = []
-        """Upstreams, those that were stopped too."""
+        """All upstreams started so far, including stopped ones."""
         self.routers: list[router_.Router] = []
-        """Routers, those that were stopped or killed too."""
+        """All routers started so far, including stopped ones."""
         self.exhausted_domains: set[str] = set()
-        """Failure domains that have no reclaimable engines to give."""
+        """Failure domains in which no reclaimable engine can be ordered."""
         self.on_crash: ty.Callable[
             [upstream_instance.UpstreamInstance], None
         ] = self.kill_upstream
-        """Called when a request crashes an upstream, to stop it."""
-        self._version = 0
+        """Called to stop an upstream that a request has crashed."""
+        self._config_version = 0
 
     def start(self) -> None:
-        """Start everything and wait until it serves."""
+        """Start all parts and wait until the routers are ready."""
         self.write_config(self.shape.config)
         self.write_document(self.shape.document)
         for domain in self.domains:
@@ -100,41 +100,46 @@
         self.wait_ready()
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all parts at once."""
         for router in self.routers:
             router.stop()
-            self.links.cut(router.chat_address)
+            self.links.close_proxies(router.chat_address)
         for instance in self.running_upstreams():
             self.kill_upstream(instance)
-        self.links.cut(self.store.address)
+        self.links.close_proxies(self.store.address)
         self.store.stop()
         self.cloud.stop()
 
     def wait_ready(self) -> None:
-        """Wait until all routers take callers and hear each other.
+        """Wait until all running routers are ready and know each other.
 
         Raises
         ------
         TimeoutError
-            If they don't in a generous time.
+            If they are not ready within the limit.
         """
         # Counts polls, not time, so that a paused process does not time out.
         for _ in range(0, _READY_MS, _POLL_INTERVAL_MS):
             if self._is_ready():
                 return
             green.sleep_ms(_POLL_INTERVAL_MS)
-        raise TimeoutError('the fleet does not come up')
+        raise TimeoutError('the routers of the fleet did not become ready')
 
     def _is_ready(self) -> bool:
-        return all(self._sees_all(router) for router in self.running_routers())
+        return all(
+            self._knows_all_routers(router)
+            for router in self.running_routers()
+        )
 
     def write_config(self, document: str) -> int:
-        """Write the operators' configuration, as an INI document.
+        """Write the operators' configuration; return its version.
+
+        The document is in INI format.
 
         Raises
         ------
         ValueError
-            If it is malformed.
+            If the document is malformed.
         """
         config, found = ini.load_text(document, pb.Config)
         if found:
@@ -143,10 +148,10 @@
             if service.scaled and not service.domains:
                 service.domains.extend(self.prices)
                 service.prices.extend(self.prices.values())
-        self._version += 3
-        spec = config_codec.write_config(config, self._version)
+        self._config_version += 3
+        spec = config_codec.write_config(config, self._config_version)
         self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, spec)
-        return self._version
+        return self._config_version
 
     def write_document(self, document: str) -> int:
         """Write the product's own document; return its version."""
@@ -160,12 +165,12 @@
         reclaimable: bool = False,
         service: str = shape_.ENGINE_SERVICE,
     ) -> upstream_instance.UpstreamInstance:
-        """Start an engine and enter it in the store."""
-        name = f'engine-{next(self._numbers)}'
+        """Start an engine and write its entry to the store."""
+        name = f'engine-{next(self._upstream_numbers)}'
         engine = engine_.Engine(
             name, next(self._ports), self.shape.engine_profile, self._seed
         )
-        return self._enter(
+        return self._register(
             engine,
             domain,
             service,
@@ -176,17 +181,17 @@
     def add_service(
         self, domain: str, service: str = shape_.PLAIN_SERVICE
     ) -> upstream_instance.UpstreamInstance:
-        """Start an upstream of a plain service and enter it in the store."""
-        name = f'service-{next(self._numbers)}'
+        """Start an upstream of a plain service and write its store entry."""
+        name = f'service-{next(self._upstream_numbers)}'
         upstream = plain_service.PlainService(
             name, next(self._ports), seed=self._seed
         )
-        return self._enter(upstream, domain, service, 16, False)
+        return self._register(upstream, domain, service, 16, False)
 
     def running_upstreams(
         self, service: str = ''
     ) -> list[upstream_instance.UpstreamInstance]:
-        """Return the upstreams that run, of one service or all."""
+        """Return the running upstreams, of one service or of all."""
         return [
             instance
             for instance in self.instances
@@ -195,7 +200,7 @@
         ]
 
     def cost(self) -> float:
-        """Return what the engines have cost so far, in price x hours."""
+        """Return the cost of the engines so far, in price x hours."""
         now = self.clock.now()
         return (
             sum(
@@ -211,7 +216,7 @@
         self, team: str, seed: int = 0, failure_domain: str = ''
     ) -> caller_.Caller:
         """Return a caller of the chat API with a team's key."""
-        # With none at the moment, the last ones come back at their addresses.
+        # If no router runs, the stopped ones restart at the same addresses.
         routers = self.running_routers() or self.routers
         addresses = [router.chat_address for router in routers]
         key = f'key-{team}'
@@ -220,13 +225,13 @@
     def remove_entry(
         self, instance: upstream_instance.UpstreamInstance
     ) -> None:
-        """Let an upstream's entry run out."""
+        """Remove an upstream's entry from the store, as if it had expired."""
         self.store.delete(names.UPSTREAM_KIND, instance.name)
 
     def announce_leaving(
         self, instance: upstream_instance.UpstreamInstance
     ) -> None:
-        """Let an upstream say that it leaves; it goes on serving."""
+        """Make an upstream announce that it is leaving; it keeps serving."""
         instance.upstream.app.draining = True
         instance.record.state = pb.UPSTREAM_STATE_LEAVING
         self._write_entry(instance)
@@ -236,45 +241,45 @@
         instance: upstream_instance.UpstreamInstance,
         keep_entry: bool = False,
     ) -> None:
-        """Take an upstream's VM away at once."""
+        """Stop an upstream abruptly, as if its VM were reclaimed."""
         if instance.ended_ms:
             return
         instance.ended_ms = self.clock.now()
         instance.upstream.stop()
-        self.links.cut(instance.upstream.address)
+        self.links.close_proxies(instance.upstream.address)
         if not keep_entry:
             self.remove_entry(instance)
 
     def restart_upstream(
         self, instance: upstream_instance.UpstreamInstance
     ) -> upstream_instance.UpstreamInstance:
-        """Let an upstream die and begin again under its id and address."""
+        """Stop an upstream abruptly; restart it with its id and address."""
         self.kill_upstream(instance, keep_entry=True)
         record = pb.UpstreamRecord()
         record.CopyFrom(instance.record)
         record.upstream.born = max(record.upstream.born + 1, self.clock.wall())
-        return self._admit(record, instance.upstream.restarted())
+        return self._add_instance(record, instance.upstream.restarted())
 
     def reclaim(
         self, domain: str, notice_ms: int
     ) -> list[upstream_instance.UpstreamInstance]:
-        """Take the reclaimable engines of a failure domain on notice."""
-        taken = [
+        """Reclaim the reclaimable engines of a failure domain, with notice."""
+        reclaimed = [
             instance
             for instance in self.running_upstreams()
             if instance.record.upstream.failure_domain == domain
             and instance.record.reclaimable
         ]
-        for instance in taken:
+        for instance in reclaimed:
             instance.upstream.app.leaves_at = self.clock.now() + notice_ms
             self.announce_leaving(instance)
             green.spawn_after_ms(notice_ms, self.kill_upstream, instance)
-        return taken
+        return reclaimed
 
     def add_router(
         self, name: str, wait: bool = False, **settings: ty.Any
     ) -> router_.Router:
-        """Start a router; one of the same name stands for its next run."""
+        """Start a router; with a name used before, as its next incarnation."""
         router = self._run(self.router_file(name, **settings))
         self.routers.append(router)
         self.links.add_proxy(links_.LinkKind.ROUTER, router.chat_address)
@@ -283,7 +288,7 @@
         return router
 
     def restart_router(self, router: ty.Any) -> None:
-        """Start the next run of a router that ended, at its addresses."""
+        """Restart a stopped router at its previous addresses."""
         self.add_router(
             router.cfg.name,
             listen=router.address,
@@ -293,9 +298,9 @@
         )
 
     def router_file(self, name: str, **settings: ty.Any) -> pb.RouterFile:
-        """Return the settings of a router."""
+        """Return the settings for a new router."""
         number = len(self.routers)
-        usual = {
+        defaults = {
             'name': name,
             'failure_domain': self.domains[number % len(self.domains)],
             'seeds': [router.peer_address for router in self.routers],
@@ -303,7 +308,7 @@
         return router_settings.make(
             self.shape,
             self._host_of(name),
-            {**usual, **self.shape.router, **settings},
+            {**defaults, **self.shape.router, **settings},
             pb.PlatformSettings(
                 objects=self.links.connect_address(self.store.address),
                 cloud=self.cloud.address,
@@ -311,19 +316,19 @@
         )
 
     def running_routers(self) -> list[router_.Router]:
-        """Return the routers that run."""
+        """Return the running routers."""
         return [router for router in self.routers if router.is_running]
 
     def invariant_violations(self) -> int:
-        """Return how often routers found a promise broken in themselves."""
+        """Return the number of invariant violations that routers detected."""
         return sum(router.invariants.violations for router in self.routers)
 
     def store_calls(self) -> int:
-        """Return the calls of the store by all routers."""
+        """Return the number of calls to the store."""
         return sum(self.store.app.calls.values())
 
     def _host_of(self, name: str) -> str:
-        """Return the IP number that a router listens at."""
+        """Return the IP address on which a router listens."""
         return '127.0.0.1'
 
     def _run(self, file: pb.RouterFile) -> ty.Any:
@@ -331,11 +336,11 @@
         router.start()
         return router
 
-    def _sees_all(self, router: ty.Any) -> bool:
-        """Return whether one of the routers names all to callers."""
+    def _knows_all_routers(self, router: ty.Any) -> bool:
+        """Return whether a router names all running routers to callers."""
         return len(router.members.serving()) >= len(self.running_routers())
 
-    def _enter(
+    def _register(
         self,
         upstream: ty.Any,
         domain: str,
@@ -355,9 +360,9 @@
             state=pb.UPSTREAM_STATE_LIVE,
             reclaimable=reclaimable,
         )
-        return self._admit(record, upstream)
+        return self._add_instance(record, upstream)
 
-    def _admit(
+    def _add_instance(
         self, record: pb.UpstreamRecord, upstream: ty.Any
     ) -> upstream_instance.UpstreamInstance:
         instance = upstream_instance.UpstreamInstance(record, upstream)
@@ -372,7 +377,9 @@
 
     def _price(self, instance: upstream_instance.UpstreamInstance) -> float:
         price = self.prices[instance.record.upstream.failure_domain]
-        return price * (_RECLAIMABLE if instance.record.reclaimable else 1)
+        return price * (
+            _RECLAIMABLE_PRICE_RATIO if instance.record.reclaimable else 1
+        )
 
     def _write_entry(
         self, instance: upstream_instance.UpstreamInstance
@@ -386,15 +393,15 @@
     def _on_order(
         self, service: str, domain: str, count: int, reclaimable: bool
     ) -> bool:
-        """Do what the platform does with an order."""
-        there = [
+        """Carry out an order as the platform does; return whether it can."""
+        live = [
             instance
             for instance in self.running_upstreams(service)
             if instance.record.upstream.failure_domain == domain
             and instance.record.reclaimable == reclaimable
             and instance.record.state == pb.UPSTREAM_STATE_LIVE
         ]
-        missing = count - len(there)
+        missing = count - len(live)
         if missing > 0 and reclaimable and domain in self.exhausted_domains:
             return False
         for _ in range(missing):
@@ -405,7 +412,7 @@
                 reclaimable,
                 service,
             )
-        for instance in there[count:]:
+        for instance in live[count:]:
             self.announce_leaving(instance)
             green.spawn_after_ms(2000, self.kill_upstream, instance)
         return True
--- a/src/peridotmast/embedded/links.py
+++ b/src/peridotmast/embedded/links.py
@@ -1,4 +1,4 @@
-"""The proxies in front of the links of an embedded fleet."""
+"""Proxies that inject faults into the links of an embedded fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LinkKind(enum.Enum):
-    """Whom a link leads to."""
+    """Kind of server to which a link leads."""
 
     ROUTER = 'router'
     UPSTREAM = 'upstream'
@@ -20,36 +20,40 @@
 
 
 class Links:
-    """Proxies by the address that each stands before, if there are any."""
+    """Proxies by target address; there are none unless enabled."""
 
-    def __init__(self, is_on: bool) -> None:
-        self._is_on = is_on
+    def __init__(self, enabled: bool) -> None:
+        self._enabled = enabled
         self._proxies: dict[str, link_proxy.LinkProxy] = {}
         self._kinds: dict[str, LinkKind] = {}
         self.drop_reasons: dict[str, str] = {}
-        """Why a proxy kept bytes back for good, by request id."""
+        """Why a proxy dropped bytes of a request or answer, by request id."""
 
     def add_proxy(self, kind: LinkKind, address: str) -> None:
-        """Put a proxy before `address`, or open the one that is there."""
-        if self._is_on and address not in self._proxies:
+        """Start a proxy for `address`, or reopen the existing one."""
+        if self._enabled and address not in self._proxies:
             proxy = link_proxy.LinkProxy(address, self.drop_reasons)
             self._proxies[address] = proxy
             self._kinds[address] = kind
-        elif self._is_on:
+        elif self._enabled:
             self._proxies[address].open()
 
     def connect_address(self, address: str) -> str:
-        """Return where to connect to reach `address`."""
+        """Return the proxy's address for `address`, or `address` itself."""
         proxy = self._proxies.get(address)
         return address if proxy is None else proxy.address
 
     def target_address(self, address: str) -> str:
-        """Return what a proxy's address stands for."""
-        found = (a for a, p in self._proxies.items() if p.address == address)
+        """Return the target of the proxy at `address`, or `address` itself."""
+        found = (
+            target
+            for target, proxy in self._proxies.items()
+            if proxy.address == address
+        )
         return next(found, address)
 
-    def cut(self, *addresses: str) -> None:
-        """End the proxies before `addresses`, as if their VMs were gone."""
+    def close_proxies(self, *addresses: str) -> None:
+        """Close the proxies for `addresses`, as if their VMs were gone."""
         for address in self._proxies.keys() & addresses:
             self._proxies[address].close()
 
@@ -58,14 +62,18 @@
         kind: LinkKind,
         fault: link_proxy.LinkFault,
         for_ms: int,
-        draws: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Let all links of a kind have `fault` for a while."""
-        hit = [p for a, p in self._proxies.items() if self._kinds[a] is kind]
-        for proxy in hit:
-            proxy.begin_fault(fault, draws)
+        """Inject `fault` into all links of a kind, for `for_ms`."""
+        affected = [
+            proxy
+            for target, proxy in self._proxies.items()
+            if self._kinds[target] is kind
+        ]
+        for proxy in affected:
+            proxy.begin_fault(fault, rng)
         green.sleep_ms(for_ms)
-        for proxy in hit:
+        for proxy in affected:
             proxy.end_fault(fault)
 
     def caller(self, *args: ty.Any) -> caller_.Caller:
--- a/src/peridotmast/embedded/process_router.py
+++ b/src/peridotmast/embedded/process_router.py
@@ -1,4 +1,4 @@
-"""A router that runs as a process of its own, for load and tests."""
+"""A router that runs as a separate process, for load and tests."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _START_MS = 15_000
-"""Bound on a start: an import on a busy machine takes seconds."""
+"""Limit on the start: imports take seconds on a busy machine."""
 
-_LOOK_MS = 20
-_END_SLACK_MS = 5000
+_POLL_INTERVAL_MS = 20
+_EXIT_SLACK_MS = 5000
 
-_numbers = itertools.count(1)
+_run_numbers = itertools.count(1)
 
 
 class ProcessRouter:
-    """Starts `peridotmast-router` and ends it as an operator would.
+    """Runs `peridotmast-router` and controls it with signals.
 
     Parameters
     ----------
     file : pb.RouterFile
-        Its settings.
+        Settings of the router.
     folder : str
-        Where its settings file and its log go.
+        Folder for its settings file and its log.
 
     Raises
     ------
     TimeoutError
-        If it does not start.
+        If it does not log its start in time.
     """
 
     def __init__(self, file: pb.RouterFile, folder: str) -> None:
         self.cfg = file.router
         """The router's own section of the settings."""
         self._grace_ms = int(file.bounds.grace_s * 1000)
-        path = os.path.join(folder, f'{file.router.name}-{next(_numbers)}')
+        path = os.path.join(folder, f'{file.router.name}-{next(_run_numbers)}')
         self.log_path = f'{path}.log'
-        """File that its log goes to."""
+        """Path of its log file."""
         with open(f'{path}.ini', 'w', encoding='utf-8') as settings:
             settings.write(settings_text(file))
         with open(self.log_path, 'w', encoding='utf-8') as log:
@@ -55,16 +55,16 @@
                 stderr=subprocess.STDOUT,
             )
         try:
-            addresses = self._addresses()
+            addresses = self._logged_addresses()
         except TimeoutError:
             self.stop()
             raise
         self.address = addresses['address']
-        """Address of the platform's callers."""
+        """Address for the platform's callers."""
         self.chat_address = addresses['chat_address']
         """Address of the chat API."""
         self.peer_address = addresses['peer_address']
-        """Address of the peers' and operators' gRPC."""
+        """Address of the gRPC services for peers and operators."""
 
     @property
     def is_running(self) -> bool:
@@ -72,48 +72,48 @@
         return self._process.poll() is None
 
     def log(self) -> str:
-        """Return what it has logged so far."""
+        """Return the content of its log so far."""
         with open(self.log_path, encoding='utf-8') as file:
             return file.read()
 
     def stop(self) -> None:
-        """Kill it."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait()
 
     def drain(self) -> None:
-        """Stop it as planned, and wait until it has ended."""
+        """Send SIGTERM, and wait until the process has exited."""
         self._process.send_signal(signal.SIGTERM)
         self._wait_for(
-            lambda: not self.is_running, self._grace_ms + _END_SLACK_MS
+            lambda: not self.is_running, self._grace_ms + _EXIT_SLACK_MS
         )
 
     def freeze(self) -> None:
-        """Let it stand still until `thaw`."""
+        """Suspend the process until `thaw`."""
         self._process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume the suspended process."""
         self._process.send_signal(signal.SIGCONT)
 
-    def _addresses(self) -> dict[str, str]:
-        """Return the addresses that it says it listens on."""
+    def _logged_addresses(self) -> dict[str, str]:
+        """Return the listening addresses from its log."""
         line = self._wait_for(
             lambda: re.search('event=started .*', self.log()), _START_MS
         )
         return dict(re.findall(r'(\w+)=(\S+)', line[0]))
 
-    def _wait_for(self, condition: ty.Callable[[], ty.Any], ms: int) -> ty.Any:
-        for _ in range(ms // _LOOK_MS):
-            found = condition()
-            if found:
-                return found
-            green.sleep_ms(_LOOK_MS)
+    def _wait_for(self, poll: ty.Callable[[], ty.Any], ms: int) -> ty.Any:
+        for _ in range(ms // _POLL_INTERVAL_MS):
+            result = poll()
+            if result:
+                return result
+            green.sleep_ms(_POLL_INTERVAL_MS)
         raise TimeoutError(f'{self.cfg.name}: {self.log()[-2000:]}')
 
 
 def settings_text(file: pb.RouterFile) -> str:
-    """Return settings as the INI file that says the same."""
+    """Return settings in the format of an INI file."""
     lines = []
     for section, values in file.ListFields():
         lines.append(f'[{section.name}]')
--- a/src/peridotmast/embedded/router_settings.py
+++ b/src/peridotmast/embedded/router_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an embedded fleet's routers."""
+"""Settings for the routers of an embedded fleet."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     settings: dict[str, ty.Any],
     platform: pb.PlatformSettings,
 ) -> pb.RouterFile:
-    """Return the settings of a router that listens at free ports.
+    """Return the settings of a router that listens on free ports.
 
     Parameters
     ----------
     shape : shape.FleetShape
-        Bounds and faces that all routers of the fleet have.
+        Settings common to all routers of the fleet.
     host : str
-        IP number that it listens at.
+        IP address on which it listens.
     settings : dict
-        Those of the router's own section.
+        Values for the ``[router]`` section.
     platform : pb.PlatformSettings
-        Where the stand-ins of the platform are.
+        Addresses of the platform's stand-ins.
     """
-    free = f'{host}:0'
+    any_port = f'{host}:0'
     values = {
-        'listen': free,
-        'peer_listen': free,
-        'ready_listen': free,
-        'directory_listen': free,
+        'listen': any_port,
+        'peer_listen': any_port,
+        'ready_listen': any_port,
+        'directory_listen': any_port,
         **settings,
     }
     if shape.chat:
-        values.setdefault('chat_listen', free)
+        values.setdefault('chat_listen', any_port)
     seeds = values.pop('seeds')
     cfg = ini.defaults(pb.RouterSettings, **values)
     cfg.seeds.extend(seeds)
--- a/src/peridotmast/embedded/shape.py
+++ b/src/peridotmast/embedded/shape.py
@@ -1,4 +1,4 @@
-"""Size of an embedded fleet, and the configuration that it begins with."""
+"""Size and initial configuration of an embedded fleet."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from peridotmast.standin import engine as engine_
 
 HOST = 'peridot.example'
-"""Host of the routes of the default configuration."""
+"""Host of the routes in the default configuration."""
 ENGINE_SERVICE = 'draft-pool'
-"""Service of model engines in the default configuration."""
+"""Name of the model engines' service in the default configuration."""
 PLAIN_SERVICE = 'booking'
-"""Plain service in the default configuration."""
+"""Name of the plain service in the default configuration."""
 
 CONFIG = f"""\
 [team kalnins]
@@ -72,7 +72,7 @@
 
 [limits]
 """
-"""What the operators of the embedded fleet write to the platform."""
+"""Configuration that the operators write to the platform."""
 
 DOCUMENT = """\
 [model draft-7b]
@@ -82,18 +82,19 @@
 [policy]
 scaling = fixed
 """
-"""The product's own document of the embedded fleet."""
+"""Initial version of the product's own document."""
 
 
 @dataclasses.dataclass
 class FleetShape:
-    """How large the fleet is and how its parts are set."""
+    """Size of the fleet and settings of its parts."""
 
     routers: int = 3
     domains: int = 4
     engines: int = 1
     """Engines in each failure domain."""
     services: int = 2
+    """Failure domains with an upstream of the plain service."""
     engine_profile: engine_.EngineProfile = dataclasses.field(
         default_factory=engine_.EngineProfile
     )
@@ -105,8 +106,8 @@
     """Bounds that differ from the defaults."""
     trace_file: str = ''
     chat: bool = True
-    """Whether routers listen for the chat API too."""
+    """Whether routers also serve the chat API."""
     crash_body: bytes = b''
-    """Bytes in request bodies that crash upstreams; empty for none."""
+    """Requests whose body contains this crash upstreams; empty for none."""
     proxied: bool = False
-    """Whether links have proxies in front, for faults of the network."""
+    """Whether links pass through proxies that can inject network faults."""
--- a/src/peridotmast/embedded/upstream_instance.py
+++ b/src/peridotmast/embedded/upstream_instance.py
@@ -8,18 +8,19 @@
 
 
 class UpstreamInstance:
-    """One upstream that runs, with its entry in the store."""
+    """One incarnation of an upstream, with its entry in the store."""
 
     def __init__(self, record: pb.UpstreamRecord, upstream: ty.Any) -> None:
         self.record = record
-        """What its entry says."""
+        """Content of its entry in the store."""
         self.upstream = upstream
-        """The stand-in."""
+        """Stand-in that serves its requests."""
         self.started_ms = 0
+        """Time at which it was started, on the fleet's clock."""
         self.ended_ms = 0
-        """When it was stopped, on the fleet's clock; 0 while it runs."""
+        """Time at which it was stopped, on that clock; 0 while it runs."""
 
     @property
     def name(self) -> str:
-        """Its id, which its next run may have too."""
+        """Id of the upstream; a restarted instance keeps it."""
         return self.record.upstream.name
--- a/src/peridotmast/standin/__init__.py
+++ b/src/peridotmast/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the upstreams, each an HTTP server."""
+"""Stand-ins for the platform and the upstreams, each an HTTP server."""
--- a/src/peridotmast/standin/cloud.py
+++ b/src/peridotmast/standin/cloud.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's API of usage reports and orders."""
+"""Stand-in for the platform API that takes usage reports and orders."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from peridotmast import web
 
 OnOrder = ty.Callable[[str, str, int, bool], bool]
-"""Gets service, failure domain, count and whether they may be reclaimed;
-returns false where none are to be had."""
+"""Called with the service, the failure domain, the desired number of engines
+and whether they are reclaimable; returns false if none are available."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """One order that was taken."""
+    """One accepted order of engines."""
 
     service: str
     failure_domain: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """One usage report."""
+    """One usage report, as received."""
 
     window: int
     counts: dict[str, int]
@@ -39,14 +39,19 @@
 
 
 class CloudStandin(http_standin.HttpStandin[faulty_app.FaultyApp]):
-    """Takes what comes and remembers it, as the platform does.
+    """Accepts and records all reports and orders, as the platform does.
+
+    Calls with a stale fencing number are accepted too, and noted in
+    `stale_call_times`.
 
     Parameters
     ----------
     on_order : callable
         Called with each order.
     address : str
-        ``IP:port`` to listen on; port 0 takes a free one.
+        ``IP:port`` to listen on; port 0 selects a free one.
+    seed : int
+        Seed of the injected faults.
     """
 
     def __init__(
@@ -55,31 +60,35 @@
         super().__init__(faulty_app.FaultyApp('cloud', seed), address)
         self._on_order = on_order
         self._clock = clock_.SystemClock()
-        self._highest: dict[str, int] = {}
+        self._highest_fencing: dict[str, int] = {}
         self.orders: list[Order] = []
-        """Orders taken, in order."""
+        """Accepted orders, by time of arrival."""
         self.reports: list[Report] = []
-        """Reports, in order."""
+        """Usage reports, by time of arrival."""
         self.stale_call_times: list[int] = []
-        """Moments of calls with a lower fencing number than one before."""
+        """Times, in ms, of calls with a lower fencing number than an earlier
+        call for the same duty."""
         self.app.route('POST', names.USAGE_PATH, self._usage)
         self.app.route('POST', names.SCALE_PATH, self._scale)
 
     def conflicting_reports(self) -> list[int]:
-        """Return the windows of which two reports differ."""
-        first: dict[int, dict[str, int]] = {}
+        """Return the windows of reports that differ from the first one."""
+        first_counts: dict[int, dict[str, int]] = {}
         return [
             report.window
             for report in self.reports
-            if first.setdefault(report.window, report.counts) != report.counts
+            if first_counts.setdefault(report.window, report.counts)
+            != report.counts
         ]
 
-    def _duty(self, req: web.Request, duty: str) -> tuple[str, int]:
-        """Return the holder that calls, and its fencing number."""
+    def _check_fencing(self, req: web.Request, duty: str) -> tuple[str, int]:
+        """Return the calling holder and its fencing number; note if stale."""
         fencing = int(req.header(names.FENCING) or 0)
-        if fencing < self._highest.get(duty, 0):
+        if fencing < self._highest_fencing.get(duty, 0):
             self.stale_call_times.append(self._clock.now())
-        self._highest[duty] = max(fencing, self._highest.get(duty, 0))
+        self._highest_fencing[duty] = max(
+            fencing, self._highest_fencing.get(duty, 0)
+        )
         return req.header(names.HOLDER), fencing
 
     def _usage(self, req: web.Request) -> web.Response:
@@ -88,7 +97,7 @@
             Report(
                 body[names.WINDOW],
                 body[names.COUNTS],
-                *self._duty(req, names.USAGE_PATH),
+                *self._check_fencing(req, names.USAGE_PATH),
             )
         )
         return web.json_response({})
@@ -98,8 +107,10 @@
         service, domain = body[names.SERVICE], body[names.FAILURE_DOMAIN]
         count = int(body[names.WANTED])
         reclaimable = bool(body.get(names.RECLAIMABLE))
-        duty = self._duty(req, f'{names.SCALE_PATH} {service} {domain}')
+        caller = self._check_fencing(
+            req, f'{names.SCALE_PATH} {service} {domain}'
+        )
         if not self._on_order(service, domain, count, reclaimable):
             return web.error_response(409, 'none', domain)
-        self.orders.append(Order(service, domain, count, reclaimable, *duty))
+        self.orders.append(Order(service, domain, count, reclaimable, *caller))
         return web.json_response({})
--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine with continuous batching in real time."""
+"""Stand-in for a model engine; does continuous batching in real time."""
 
 from __future__ import annotations
 
@@ -19,39 +19,44 @@
 from peridotmast.wire import calls
 from peridotmast.wire import strict_protocol
 
-_COPY_KEPT_MS = 5000
-_FOR_GOOD_MS = 600_000
-_DEFAULT_OUT = 20
+_COPY_RETENTION_MS = 5000
+_UNLIMITED_MS = 600_000
+_DEFAULT_ANSWER_TOKENS = 20
 
 
 @dataclasses.dataclass
 class EngineProfile:
-    """How fast an engine works."""
+    """Speed and capacity of an engine."""
 
     step_ms: float = 8
+    """Duration of a step, which generates one token per running request."""
     batch_size: int = 32
+    """Requests that are processed in one step."""
     prefill_tokens_per_step: int = 512
-    """Tokens of prompts that are read in one step."""
+    """Prompt tokens that one step prefills, over all requests."""
     tokens_per_event: int = 2
-    """Tokens in one event."""
+    """Tokens in one event of a stream."""
     move_tokens_per_ms: float = 200
+    """Rate at which a run is copied to another engine."""
     cache_parts: int = 4096
+    """Prompt parts that the prefix cache holds."""
     boot_ms: int = 300
+    """Time from an order to the start of the engine."""
 
 
 @dataclasses.dataclass
 class Run:
-    """One request that the engine works on, or has in memory."""
+    """One request that the engine processes or holds in its memory."""
 
     request_id: str
-    size: int
-    """Tokens of its prompt."""
-    unread: int
-    """Tokens of it that are still to be read."""
-    wanted: int
-    """Tokens of its answer."""
+    prompt_tokens: int
+    """Tokens of the prompt."""
+    prefill_left: int
+    """Tokens that are still to be prefilled."""
+    answer_tokens: int
+    """Tokens of the complete answer."""
     seed: int
-    made: int = 0
+    generated: int = 0
     """Tokens generated so far."""
     priority: int = 5
     stopped: bool = False
@@ -60,26 +65,28 @@
 
     @property
     def ended(self) -> bool:
-        """Whether its answer is complete."""
-        return self.made >= self.wanted
+        """Whether the answer is complete."""
+        return self.generated >= self.answer_tokens
 
     def wake(self) -> None:
-        """Let its reader look again."""
+        """Wake the stream that waits for new events."""
         changed, self.changed = self.changed, green.Event()
         changed.send()
 
 
 class Engine(http_standin.HttpStandin['_EngineApp']):
-    """One run of one engine.
+    """One incarnation of a stand-in engine.
 
     Parameters
     ----------
     name : str
-        Id of this run.
+        Id of the engine; a restarted one keeps it.
     address : str
-        ``IP:port`` to listen on; port 0 takes a free one.
+        ``IP:port`` to listen on; port 0 selects a free one.
     profile : EngineProfile
-        How fast it works.
+        Its speed and capacity.
+    seed : int
+        Seed of the injected faults.
     """
 
     def __init__(
@@ -96,25 +103,29 @@
 
     @property
     def totals(self) -> collections.Counter[str]:
-        """Tokens ``generated``, ``read``, ``recomputed`` and ``moved``."""
+        """Numbers of tokens, by kind.
+
+        ``generated``; ``read``, which counts prefilled tokens;
+        ``recomputed``, those of them prefilled to resume a stream; ``moved``.
+        """
         return self.app.totals
 
     def stop(self) -> None:
-        """Die at once, as a reclaimed VM does."""
-        self.app.loop.kill()
+        """Stop abruptly, as when its VM is reclaimed."""
+        self.app.step_task.kill()
         super().stop()
 
     def restarted(self) -> Engine:
-        """Return the next run under its id and address, once it is dead."""
+        """Return a new engine with the same id and address, after `stop`."""
         return Engine(self.name, self.address, self.profile, self._seed)
 
-    def mute(self, ms: int = _FOR_GOOD_MS) -> None:
-        """Let the open streams go silent while new ones work.
+    def mute(self, ms: int = _UNLIMITED_MS) -> None:
+        """Stall the streams that are open now; later ones are not affected.
 
         Parameters
         ----------
         ms : int
-            How long; for good by default.
+            Duration; in effect unlimited by default.
         """
         self.app.mute(ms)
 
@@ -132,24 +143,24 @@
         self._cache: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._work = green.Event()
+        self._work_available = green.Event()
         self.numbers = itertools.count(1)
-        self._mute_before = 0
-        self._mute_until = 0
+        self._muted_below = 0
+        self._muted_until = 0
         self.totals: collections.Counter[str] = collections.Counter()
         self.moves_refused = False
-        """Whether it takes no copies."""
+        """Whether it refuses copies of runs from other engines."""
         self.leaves_at = 0
-        """Moment at which its VM is taken, in ms; 0 unless it was told."""
+        """Time at which its VM is reclaimed, in ms; 0 if none is announced."""
         self.route('GET', names.REPORT_PATH, self._report)
         self.route('POST', names.MOVE_PATH, self._move)
         self.route('POST', '/standin/copy', self._take_copy)
-        self.loop = green.spawn(self._run_steps)
+        self.step_task = green.spawn(self._run_steps)
 
     def mute(self, ms: int) -> None:
-        """Send nothing on the streams that are open for so long."""
-        self._mute_before = next(self.numbers)
-        self._mute_until = self._clock.now() + ms
+        """Stall the streams that are open now, for `ms`."""
+        self._muted_below = next(self.numbers)
+        self._muted_until = self._clock.now() + ms
 
     def answer(
         self,
@@ -158,8 +169,8 @@
         body: bytes,
         start: ty.Callable[..., ty.Any],
     ) -> ty.Iterable[bytes]:
-        """Stream events, from where the request asks to go on."""
-        run = self._begin(request_id, environ, body)
+        """Stream the events after the last one that the request names."""
+        run = self._start_run(request_id, environ, body)
         if run is None:
             headers = [(names.NOT_RUN, '1'), (names.REQUEST_ID, request_id)]
             start('503 Service Unavailable', headers)
@@ -176,41 +187,45 @@
     def _events(
         self, run: Run, sent: int, environ: dict[str, ty.Any]
     ) -> ty.Iterator[bytes]:
-        number = next(self.numbers)
+        stream_number = next(self.numbers)
         conn = environ[strict_protocol.CONNECTION]
         try:
             while True:
                 ended, ready = run.ended, self._events_ready(run)
                 for event in range(sent + 1, ready + 1):
                     data = self._event(run, event)
-                    if number < self._mute_before:
-                        left = self._mute_until - self._clock.now()
-                        green.sleep_ms(max(0, left))
-                    if self.hits('cut'):
+                    if stream_number < self._muted_below:
+                        remaining = self._muted_until - self._clock.now()
+                        green.sleep_ms(max(0, remaining))
+                    if self.fault_occurs('cut'):
                         conn.break_off()
                         yield data[: len(data) // 2]
-                        raise ConnectionResetError('cut in an event')
+                        raise ConnectionResetError(
+                            'injected fault: stream cut within an event'
+                        )
                     yield data
                     sent = event
                 if ended:
                     return
                 if run.stopped:
                     conn.break_off()
-                    raise ConnectionResetError('moved away')
+                    raise ConnectionResetError(
+                        'the run moved to another engine'
+                    )
                 if not run.ended:
                     run.changed.wait()
         finally:
             if not run.ended and not run.stopped:
-                # Whoever asked is gone.
+                # The sender disconnected before the answer ended.
                 run.stopped = True
 
     def _events_ready(self, run: Run) -> int:
-        whole, rest = divmod(run.made, self._profile.tokens_per_event)
-        return whole + (1 if rest and run.ended else 0)
+        full, rest = divmod(run.generated, self._profile.tokens_per_event)
+        return full + (1 if rest and run.ended else 0)
 
     def _event(self, run: Run, number: int) -> bytes:
         first = (number - 1) * self._profile.tokens_per_event
-        last = min(run.wanted, first + self._profile.tokens_per_event)
+        last = min(run.answer_tokens, first + self._profile.tokens_per_event)
         text = ''.join(
             answers.token(run.seed, position)
             for position in range(first, last)
@@ -218,18 +233,18 @@
         data = json.dumps({'text': text})
         return f'id: {number}\ndata: {data}\n\n'.encode()
 
-    def _begin(
+    def _start_run(
         self, request_id: str, environ: dict[str, ty.Any], body: bytes
     ) -> ty.Optional[Run]:
-        copy = upstream_app.header(environ, names.COPY_FROM)
-        if copy:
-            run = self._copies.pop(copy, None)
+        copy_id = upstream_app.header(environ, names.COPY_FROM)
+        if copy_id:
+            run = self._copies.pop(copy_id, None)
             if run is None:
                 return None
-            # The same run goes on, whichever engine it was begun at.
+            # A moved run was counted at the engine where it began.
             self.runs[request_id] -= 1
         else:
-            run = self._read_request(request_id, environ, body)
+            run = self._new_run(request_id, environ, body)
         run.stopped = False
         run.priority = int(
             upstream_app.header(environ, names.PRIORITY) or run.priority
@@ -237,52 +252,61 @@
         self._by_id[request_id] = run
         entry = (run.priority, next(self.numbers), run)
         heapq.heappush(self._waiting, entry)
-        if not self._work.ready():
-            self._work.send()
+        if not self._work_available.ready():
+            self._work_available.send()
         return run
 
-    def _read_request(
+    def _new_run(
         self, request_id: str, environ: dict[str, ty.Any], body: bytes
     ) -> Run:
         counts = upstream_app.header(environ, names.TOKENS).split(',')
-        size = int(counts[0] or 1)
-        wanted = int(counts[1]) if len(counts) > 1 else _DEFAULT_OUT
+        prompt_tokens = int(counts[0] or 1)
+        answer_tokens = (
+            int(counts[1]) if len(counts) > 1 else _DEFAULT_ANSWER_TOKENS
+        )
         last = upstream_app.header(environ, names.LAST_EVENT)
-        made = int(last or 0) * self._profile.tokens_per_event
-        held = self._held(environ)
-        unread = max(1, size + made - held)
-        self.totals['read'] += unread
+        generated = int(last or 0) * self._profile.tokens_per_event
+        cached = self._take_prefix(environ)
+        prefill_left = max(1, prompt_tokens + generated - cached)
+        self.totals['read'] += prefill_left
         if last:
-            self.totals['recomputed'] += unread
+            self.totals['recomputed'] += prefill_left
         seed = answers.answer_seed('', '', body.decode('latin-1'))
-        return Run(request_id, size, unread, max(1, wanted), seed, made)
+        return Run(
+            request_id,
+            prompt_tokens,
+            prefill_left,
+            max(1, answer_tokens),
+            seed,
+            generated,
+        )
 
-    def _held(self, environ: dict[str, ty.Any]) -> int:
-        """Return how many tokens of the prompt are in the cache."""
-        held, unbroken = 0, True
+    def _take_prefix(self, environ: dict[str, ty.Any]) -> int:
+        """Return the size of the cached prefix, and cache the whole prompt."""
+        cached, is_prefix = 0, True
         for part in upstream_app.header(environ, names.PROMPT_PARTS).split(
             ','
         ):
             name, _, size = part.partition(':')
             if not name:
                 continue
-            if name in self._cache and unbroken:
-                held += int(size)
+            if name in self._cache and is_prefix:
+                cached += int(size)
                 self._cache.move_to_end(name)
             else:
-                unbroken = False
+                is_prefix = False
                 self._cache[name] = int(size)
         while len(self._cache) > self._profile.cache_parts:
             self._cache.popitem(last=False)
-        return held
+        return cached
 
     def _run_steps(self) -> None:
         due = float(self._clock.now())
         while True:
             self._admit()
             if not self._running:
-                self._work = green.Event()
-                self._work.wait()
+                self._work_available = green.Event()
+                self._work_available.wait()
                 due = float(self._clock.now())
                 continue
             due += self._profile.step_ms
@@ -300,12 +324,12 @@
         for run in self._running:
             if run.stopped:
                 continue
-            if run.unread > 0:
-                spent = min(budget, run.unread)
-                run.unread -= spent
-                budget -= spent
+            if run.prefill_left > 0:
+                prefilled = min(budget, run.prefill_left)
+                run.prefill_left -= prefilled
+                budget -= prefilled
                 continue
-            run.made += 1
+            run.generated += 1
             self.totals['generated'] += 1
             run.wake()
         self._running = [
@@ -317,44 +341,51 @@
             'phase': 'colocated',
             'queued-reqs': len(self._waiting),
             'active-reqs': len(self._running),
-            'kv-used': sum(r.size + r.made for r in self._running),
+            'kv-used': sum(
+                r.prompt_tokens + r.generated for r in self._running
+            ),
             'state': 'draining' if self.draining else 'ready',
             names.RUNS: [
-                [r.request_id, r.size + r.made, r.made, r.priority]
+                [
+                    r.request_id,
+                    r.prompt_tokens + r.generated,
+                    r.generated,
+                    r.priority,
+                ]
                 for r in self._running
             ],
         }
         if self.leaves_at:
-            left = max(0, self.leaves_at - self._clock.now())
-            report[names.LEAVES_MS] = left
+            remaining = max(0, self.leaves_at - self._clock.now())
+            report[names.LEAVES_MS] = remaining
         return web.json_response(report)
 
     def _move(self, req: web.Request) -> web.Response:
-        """Copy a run to another engine; with ``last`` it stops here first."""
+        """Copy a run to another engine; with ``last``, stop it here first."""
         body = req.json()
         run = self._by_id.get(body['id'])
         if run is None or run.ended or run.stopped:
             return web.error_response(404, 'no_run', body['id'])
         if body.get(names.LAST):
             run.stopped = True
-        size = run.size + run.made
+        size = run.prompt_tokens + run.generated
         green.sleep_ms(size / self._profile.move_tokens_per_ms)
         handle = f'h{next(self.numbers)}'
-        # Two engines may give copies the same handle: the address that they
-        # are asked at is part of what names one.
-        name = f'{req.header("Host")}/{handle}'
-        moved = calls.HttpCalls(2000).call(
+        # Two engines may issue the same handle, so a copy is identified by
+        # the address of the engine that issued it and the handle.
+        copy_id = f'{req.header("Host")}/{handle}'
+        reply = calls.HttpCalls(2000).call(
             'POST',
             body[names.TARGET],
             '/standin/copy',
             {
-                'name': name,
+                'name': copy_id,
                 'id': run.request_id,
-                'size': run.size,
-                'unread': run.unread,
-                'wanted': run.wanted,
+                'size': run.prompt_tokens,
+                'unread': run.prefill_left,
+                'wanted': run.answer_tokens,
                 'seed': run.seed,
-                'made': run.made,
+                'made': run.generated,
             },
         )
         self.totals['moved'] += size
@@ -363,10 +394,10 @@
             names.CREATED: self._events_ready(run),
         }
         if run.stopped:
-            self._copies[name] = run
+            self._copies[copy_id] = run
             run.stopped_at = self._clock.now()
             run.wake()
-        if isinstance(moved, failures.Failure) or moved.status != 200:
+        if isinstance(reply, failures.Failure) or reply.status != 200:
             return web.json_response(answer, 503)
         return web.json_response(answer)
 
--- a/src/peridotmast/standin/faulty_app.py
+++ b/src/peridotmast/standin/faulty_app.py
@@ -1,4 +1,4 @@
-"""A web application whose faults are set over its own HTTP interface."""
+"""Web application with injectable faults, which are set over HTTP."""
 
 from __future__ import annotations
 
@@ -12,41 +12,44 @@
 
 
 class FaultyApp(web.WebApp):
-    """Adds ``POST /faults`` and ``GET /faults`` to a stand-in.
+    """Adds ``POST /faults``, ``GET /faults`` and ``GET /calls`` to a stand-in.
 
-    The body names any of ``outage``, ``hang``, ``lose_reply`` (each the
-    share of calls that it hits), ``slow_ms``, and ``for_ms`` for how long.
-    ``outage`` answers 503 at once, ``hang`` swallows the call,
-    ``lose_reply`` cuts the connection after the effect.
+    The body of the POST may set ``outage``, ``hang`` and ``lose_reply`` (each
+    the fraction of calls affected), ``slow_ms`` (the delay of each call) and
+    ``for_ms`` (the duration of the faults). ``outage`` answers 503 at once,
+    ``hang`` holds the call for 60 s, and ``lose_reply`` closes the connection
+    after the call has taken effect.
 
     Parameters
     ----------
     name : str
-        Name in the log.
+        Name used in the log.
     seed : int
-        Seed of the draws.
+        Seed of the random choice of calls that a fault affects.
+    max_body : int
+        Largest request body accepted, in bytes.
     """
 
     def __init__(self, name: str, seed: int = 0, max_body: int = 4 << 20):
         super().__init__(name, max_body)
-        self._draws = random.Random(seed)
+        self._rng = random.Random(seed)
         self._clock = clock_.SystemClock()
         self._faults: dict[str, float] = {}
-        self._until = 0
+        self._faults_until = 0
         self.calls: dict[str, int] = {}
-        """Calls by the first two parts of their path."""
+        """Number of calls by the first two segments of their path."""
         self.route('POST', '/faults', self._set_faults)
         self.route('GET', '/faults', self._show_faults)
         self.route('GET', '/calls', self._show_calls)
 
     def set_faults(self, for_ms: int = 1 << 40, **faults: float) -> None:
-        """Set the faults in force from now on."""
+        """Replace the injected faults, for `for_ms` from now on."""
         self._faults = faults
-        self._until = self._clock.now() + for_ms
+        self._faults_until = self._clock.now() + for_ms
 
-    def is_out(self) -> bool:
-        """Return whether every call is answered 503 for the moment."""
-        return self._share('outage') >= 1
+    def in_outage(self) -> bool:
+        """Return whether every call is currently answered with 503."""
+        return self._fault_value('outage') >= 1
 
     def _answer(
         self,
@@ -58,27 +61,27 @@
             return super()._answer(environ, conn)
         group = '/'.join(path.split('/')[:3])
         self.calls[group] = self.calls.get(group, 0) + 1
-        if slow := self._share('slow_ms'):
+        if slow := self._fault_value('slow_ms'):
             green.sleep_ms(slow)
-        if self._hits('outage'):
+        if self._fault_occurs('outage'):
             return web.error_response(503, 'outage', 'fault')
-        if self._hits('hang'):
+        if self._fault_occurs('hang'):
             green.sleep_ms(60_000)
-        lost = self._hits('lose_reply')
+        loses_reply = self._fault_occurs('lose_reply')
         response = super()._answer(environ, conn)
-        if lost:
+        if loses_reply:
             conn.break_off()
-            raise ConnectionResetError('the reply is lost')
+            raise ConnectionResetError('injected fault: reply lost')
         return response
 
-    def _share(self, fault: str) -> float:
-        if self._clock.now() >= self._until:
+    def _fault_value(self, fault: str) -> float:
+        if self._clock.now() >= self._faults_until:
             return 0
         return self._faults.get(fault, 0)
 
-    def _hits(self, fault: str) -> bool:
-        share = self._share(fault)
-        return bool(share) and self._draws.random() < share
+    def _fault_occurs(self, fault: str) -> bool:
+        share = self._fault_value(fault)
+        return bool(share) and self._rng.random() < share
 
     def _set_faults(self, req: web.Request) -> web.Response:
         faults = req.json()
@@ -87,7 +90,7 @@
         return web.json_response({})
 
     def _show_faults(self, req: web.Request) -> web.Response:
-        active = self._faults if self._clock.now() < self._until else {}
+        active = self._faults if self._clock.now() < self._faults_until else {}
         return web.json_response(active)
 
     def _show_calls(self, req: web.Request) -> web.Response:
--- a/src/peridotmast/standin/http_standin.py
+++ b/src/peridotmast/standin/http_standin.py
@@ -1,4 +1,4 @@
-"""What all stand-ins have: an interface, and an address of its own."""
+"""Base class of the stand-ins: a web application with its own server."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class HttpStandin(ty.Generic[A]):
-    """A stand-in that listens from its start to its end.
+    """Stand-in that listens from its construction until `stop`.
 
     Parameters
     ----------
     app : web.WebApp
-        Its interface.
+        Web application that it serves.
     address : str
-        ``IP:port`` to listen on; port 0 takes a free one.
+        ``IP:port`` to listen on; port 0 selects a free one.
     """
 
     def __init__(self, app: A, address: str) -> None:
         self.app = app
-        """Its interface, whose faults may be set."""
+        """The web application, which can inject faults."""
         self.server = server_.HttpServer(address, app)
-        """The listening server."""
+        """HTTP server of the application."""
         self.server.start()
 
     @property
     def address(self) -> ids.Address:
-        """Address that it listens on."""
+        """Address on which it listens."""
         return self.server.address
 
     def stop(self) -> None:
-        """End at once."""
+        """Stop the server at once."""
         self.server.stop()
--- a/src/peridotmast/standin/plain_service.py
+++ b/src/peridotmast/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service that counts its runs by request."""
+"""Stand-in for an upstream of a plain service."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 
 class PlainService(http_standin.HttpStandin['_PlainApp']):
-    """One run of one service's upstream.
+    """One incarnation of a plain service's upstream.
 
     Parameters
     ----------
     name : str
-        Id of this run.
+        Id of the upstream; a restarted one keeps it.
     address : str
-        ``IP:port`` to listen on; port 0 takes a free one.
+        ``IP:port`` to listen on; port 0 selects a free one.
     work_ms : float
-        Time of one request.
+        Time to process a request.
+    slots : int
+        Requests that are processed concurrently; more are refused.
+    seed : int
+        Seed of the injected faults.
     """
 
     def __init__(
@@ -32,12 +36,12 @@
         seed: int = 0,
     ) -> None:
         self.name = name
-        self._given = work_ms, slots, seed
+        self._app_args = work_ms, slots, seed
         super().__init__(_PlainApp(name, slots, work_ms, seed), address)
 
     def restarted(self) -> PlainService:
-        """Return the next run under its id and address, once it is dead."""
-        return PlainService(self.name, self.address, *self._given)
+        """Return a new upstream with the same id and address, after `stop`."""
+        return PlainService(self.name, self.address, *self._app_args)
 
 
 class _PlainApp(upstream_app.UpstreamApp):
@@ -54,19 +58,19 @@
         body: bytes,
         start: ty.Callable[..., ty.Any],
     ) -> ty.Iterable[bytes]:
-        """Echo the request after a while."""
+        """Echo the request body after the processing time."""
         green.sleep_ms(self._work_ms)
-        whole = b'done:' + body
+        payload = b'done:' + body
         headers = [
             *self.answer_headers(request_id),
             ('Content-Type', 'text/plain'),
-            ('Content-Length', str(len(whole))),
+            ('Content-Length', str(len(payload))),
         ]
         start('200 OK', headers)
-        if self.hits('cut'):
+        if self.fault_occurs('cut'):
             environ[strict_protocol.CONNECTION].break_off()
-            yield whole[: len(whole) // 2]
-            raise ConnectionResetError('cut short')
-        if self.hits('extra'):
-            whole += b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'
-        yield whole
+            yield payload[: len(payload) // 2]
+            raise ConnectionResetError('injected fault: answer cut short')
+        if self.fault_occurs('extra'):
+            payload += b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad'
+        yield payload
--- a/src/peridotmast/standin/store.py
+++ b/src/peridotmast/standin/store.py
@@ -16,8 +16,8 @@
 
 Json = dict[str, ty.Any]
 
-_PAGE = 500
-_LOOK_MS = 20
+_PAGE_SIZE = 500
+_POLL_INTERVAL_MS = 20
 
 
 class _Change(ty.NamedTuple):
@@ -28,14 +28,14 @@
 
 
 class StoreStandin(http_standin.HttpStandin[faulty_app.FaultyApp]):
-    """Objects by kind and name, with one revision and a history.
+    """Objects by kind and name, with one revision counter and a history.
 
     Parameters
     ----------
     address : str
-        ``IP:port`` to listen on; port 0 takes a free one.
+        ``IP:port`` to listen on; port 0 selects a free one.
     seed : int
-        Seed of the faults.
+        Seed of the injected faults.
     """
 
     def __init__(self, address: str = '127.0.0.1:0', seed: int = 0) -> None:
@@ -44,10 +44,10 @@
         self._objects: dict[str, dict[str, Json]] = {}
         self._revision = 0
         self._history: collections.deque[_Change] = collections.deque()
-        self._history_from = 0
+        self._history_start = 0
         self._changed = green.Event()
         self.writes: collections.Counter[str] = collections.Counter()
-        """Writes that took effect, by kind."""
+        """Number of writes that changed an object, by kind."""
         kind = f'{names.OBJECTS_PATH}/([^/]+)'
         self.app.route('GET', kind, self._list_or_watch)
         self.app.route('POST', kind, self._create)
@@ -56,28 +56,28 @@
         self.app.route('DELETE', f'{kind}/([^/]+)', self._delete)
 
     def put(self, kind: str, name: str, spec: Json) -> int:
-        """Write an object whatever there is; return its revision."""
+        """Write an object unconditionally; return its revision."""
         return self._write(kind, name, spec)[names.META][names.REVISION]
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object, if it is there."""
+        """Delete an object, if it exists."""
         body = self._objects.get(kind, {}).pop(name, None)
         if body is not None:
-            self._note(kind, body, deleted=True)
+            self._record_change(kind, body, deleted=True)
 
     def spec(self, kind: str, name: str) -> ty.Optional[Json]:
-        """Return an object's value, or None."""
+        """Return the spec of an object, or None if there is no such object."""
         body = self._objects.get(kind, {}).get(name)
         return body[names.SPEC] if body else None
 
-    def names_of(self, kind: str) -> list[str]:
+    def object_names(self, kind: str) -> list[str]:
         """Return the names of the objects of a kind."""
         return sorted(self._objects.get(kind, {}))
 
     def compact(self) -> None:
-        """Forget all history."""
+        """Discard the history; watches from an earlier revision get a 410."""
         self._history.clear()
-        self._history_from = self._revision
+        self._history_start = self._revision
 
     def _list_or_watch(self, req: web.Request, kind: str) -> web.Response:
         kind = urllib.parse.unquote(kind)
@@ -86,13 +86,13 @@
         after = urllib.parse.unquote(req.query.get(names.AFTER, ''))
         found = [
             self._objects[kind][name]
-            for name in self.names_of(kind)
+            for name in self.object_names(kind)
             if name > after
         ]
         return web.json_response(
             {
-                names.ITEMS: found[:_PAGE],
-                names.MORE: len(found) > _PAGE,
+                names.ITEMS: found[:_PAGE_SIZE],
+                names.MORE: len(found) > _PAGE_SIZE,
                 names.AT: self._revision,
             }
         )
@@ -102,9 +102,9 @@
         wait_ms = int(req.query.get(names.WAIT_MS, 0))
         deadline = self._clock.now() + wait_ms
         while True:
-            if self.app.is_out():
+            if self.app.in_outage():
                 return web.error_response(503, 'outage', 'fault')
-            if since < self._history_from:
+            if since < self._history_start:
                 return web.error_response(410, 'gone', 'history')
             events = [
                 {names.OBJECT: change.body, names.DELETED: change.deleted}
@@ -114,7 +114,7 @@
             if events or self._clock.now() >= deadline:
                 body = {names.EVENTS: events, names.AT: self._revision}
                 return web.json_response(body)
-            green.sleep_ms(_LOOK_MS)
+            green.sleep_ms(_POLL_INTERVAL_MS)
 
     def _get(self, req: web.Request, kind: str, name: str) -> web.Response:
         body = self._find(kind, name)
@@ -123,40 +123,42 @@
         return web.json_response(body)
 
     def _create(self, req: web.Request, kind: str) -> web.Response:
-        given = req.json()
-        name = given[names.META]['name']
-        known = self._find(kind, name)
-        if known is not None:
-            return web.json_response(known, 409)
+        requested = req.json()
+        name = requested[names.META]['name']
+        existing = self._find(kind, name)
+        if existing is not None:
+            return web.json_response(existing, 409)
         return web.json_response(
-            self._write(urllib.parse.unquote(kind), name, given[names.SPEC])
+            self._write(
+                urllib.parse.unquote(kind), name, requested[names.SPEC]
+            )
         )
 
     def _replace(self, req: web.Request, kind: str, name: str) -> web.Response:
-        given = req.json()
-        known = self._find(kind, name)
-        if known is None:
+        requested = req.json()
+        existing = self._find(kind, name)
+        if existing is None:
             return web.error_response(404, 'missing', name)
-        revision = given[names.META].get(names.REVISION)
-        if revision not in (None, known[names.META][names.REVISION]):
-            return web.json_response(known, 409)
+        revision = requested[names.META].get(names.REVISION)
+        if revision not in (None, existing[names.META][names.REVISION]):
+            return web.json_response(existing, 409)
         return web.json_response(
             self._write(
                 urllib.parse.unquote(kind),
                 urllib.parse.unquote(name),
-                given[names.SPEC],
+                requested[names.SPEC],
             )
         )
 
     def _delete(self, req: web.Request, kind: str, name: str) -> web.Response:
-        known = self._find(kind, name)
-        if known is None:
+        existing = self._find(kind, name)
+        if existing is None:
             return web.error_response(404, 'missing', name)
         revision = int(req.query.get(names.REVISION, 0))
-        if revision and revision != known[names.META][names.REVISION]:
-            return web.json_response(known, 409)
+        if revision and revision != existing[names.META][names.REVISION]:
+            return web.json_response(existing, 409)
         self.delete(urllib.parse.unquote(kind), urllib.parse.unquote(name))
-        return web.json_response(known)
+        return web.json_response(existing)
 
     def _find(self, kind: str, name: str) -> ty.Optional[Json]:
         objects = self._objects.get(urllib.parse.unquote(kind), {})
@@ -164,9 +166,9 @@
 
     def _write(self, kind: str, name: str, spec: Json) -> Json:
         objects = self._objects.setdefault(kind, {})
-        known = objects.get(name)
-        if known is not None and known[names.SPEC] == spec:
-            return known
+        existing = objects.get(name)
+        if existing is not None and existing[names.SPEC] == spec:
+            return existing
         self.writes[kind] += 1
         body = {
             names.META: {
@@ -180,10 +182,12 @@
             'status': None,
         }
         objects[name] = body
-        self._note(kind, body)
+        self._record_change(kind, body)
         return body
 
-    def _note(self, kind: str, body: Json, deleted: bool = False) -> None:
+    def _record_change(
+        self, kind: str, body: Json, deleted: bool = False
+    ) -> None:
         self._revision += 1
         if deleted:
             meta = {**body[names.META], names.REVISION: self._revision}
--- a/src/peridotmast/standin/upstream_app.py
+++ b/src/peridotmast/standin/upstream_app.py
@@ -1,4 +1,4 @@
-"""What the stand-ins for engines and plain services have in common."""
+"""Base class of the stand-ins for engines and plain services."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class UpstreamApp(web.WebApp):
-    """Checks who is meant, counts runs, and brings faults about.
+    """Checks the expected upstream, counts runs and injects faults.
 
     Parameters
     ----------
     name : str
-        Id of this run of the upstream.
+        Id of the upstream; a restarted one keeps it.
     slots : int
-        Requests that it works on at once; more are refused as not run.
+        Requests that are processed concurrently; more are refused as not run.
     seed : int
-        Seed of the faults.
+        Seed of the injected faults.
     """
 
     def __init__(self, name: str, slots: int, seed: int = 0) -> None:
@@ -34,31 +34,31 @@
         self.name = name
         self.slots = slots
         self.draining = False
-        """Whether it says that it leaves."""
+        """Whether its health check and its report say that it is leaving."""
         self.runs: collections.Counter[str] = collections.Counter()
-        """Runs so far, by request id."""
+        """Number of runs by request id."""
         self.arrivals: list[tuple[int, str]] = []
-        """Moment and id of each request that came, run or not."""
+        """Time and id of each request received, whether it ran or not."""
         self.teams: dict[str, str] = {}
-        """Team that each request came with."""
+        """Team of each request that ran, by request id."""
         self.bodies: dict[str, bytes] = {}
-        """Body of each request that ran."""
+        """Body of each request that ran, by request id."""
         self.in_progress = 0
-        """Requests in work."""
+        """Number of requests in progress."""
         self.abandoned: list[str] = []
-        """Ids of requests whose sender closed before their end."""
+        """Ids of requests whose sender disconnected before their end."""
         self.faults: dict[str, float] = {}
-        """Share of requests that each fault hits: ``refuse``, ``error``,
+        """Fraction of requests that each fault affects: ``refuse``, ``error``,
         ``lose``, ``cut``, ``hang``, ``garble``, ``extra``."""
         self.limit = ''
-        """Value of the limit header of its answers; empty for none."""
+        """Value of the rate limit header of its answers; empty for none."""
         self.crash_body = b''
-        """Bytes in request bodies that crash it; empty for none."""
+        """Requests whose body contains this crash it; empty for none."""
         self.crash_delay_ms = 0
-        """Time from the start of such a request to the crash."""
+        """Delay from the start of such a request to the crash."""
         self.on_crash: ty.Callable[[], None] = lambda: None
-        """Ends this run of the upstream and closes its connections."""
-        self._draws = random.Random(seed)
+        """Called on a crash, to stop it and close its connections."""
+        self._rng = random.Random(seed)
         self._serials = itertools.count(1)
         self._clock = clock_.SystemClock()
         self.route('GET', names.HEALTH_PATH, self._health)
@@ -78,16 +78,16 @@
         body: bytes,
         start: ty.Callable[..., ty.Any],
     ) -> ty.Iterable[bytes]:
-        """Run a request; overridden by the kinds of upstream."""
+        """Run a request; each kind of upstream overrides this."""
         raise NotImplementedError
 
-    def hits(self, fault: str) -> bool:
-        """Return whether `fault` hits the request at hand."""
+    def fault_occurs(self, fault: str) -> bool:
+        """Decide at random whether `fault` affects the current request."""
         share = self.faults.get(fault, 0)
-        return bool(share) and self._draws.random() < share
+        return bool(share) and self._rng.random() < share
 
     def answer_headers(self, request_id: str) -> list[tuple[str, str]]:
-        """Return the headers that every answer of a run has."""
+        """Return the headers that the answer to every request run has."""
         limit = [(names.LIMIT, self.limit)] if self.limit else []
         return [
             (names.REQUEST_ID, request_id),
@@ -106,7 +106,7 @@
             start('421 Misdirected Request', headers)
             return [b'']
         self.arrivals.append((self._clock.now(), request_id))
-        if self.in_progress >= self.slots or self.hits('refuse'):
+        if self.in_progress >= self.slots or self.fault_occurs('refuse'):
             headers = [
                 (names.NOT_RUN, '1'),
                 (names.REQUEST_ID, request_id),
@@ -130,23 +130,23 @@
         if self.crash_body and self.crash_body in body:
             green.spawn_after_ms(self.crash_delay_ms, self.on_crash)
             green.sleep_ms(_HANG_MS)
-        if self.hits('hang'):
+        if self.fault_occurs('hang'):
             green.sleep_ms(_HANG_MS)
-        if self.hits('lose'):
+        if self.fault_occurs('lose'):
             conn.break_off()
-            raise ConnectionResetError('the answer is lost')
-        if self.hits('garble'):
+            raise ConnectionResetError('injected fault: answer lost')
+        if self.fault_occurs('garble'):
             conn.break_off()
             environ['eventlet.input'].get_socket().sendall(b'\x00no answer')
-            raise ConnectionResetError('garbled')
-        if self.hits('error'):
+            raise ConnectionResetError('injected fault: garbled answer')
+        if self.fault_occurs('error'):
             headers = [
                 *self.answer_headers(request_id),
                 ('Content-Length', '5'),
             ]
             start('500 Internal Server Error', headers)
             return [b'error']
-        return _Counted(self, request_id, environ, body, start)
+        return _TrackedAnswer(self, request_id, environ, body, start)
 
     def _health(self, req: web.Request) -> web.Response:
         response = web.Response(503 if self.draining else 200, b'')
@@ -154,8 +154,8 @@
         return response
 
 
-class _Counted:
-    """An answer, counted as in work until it is out or given up."""
+class _TrackedAnswer:
+    """Answer that counts as in progress until it is sent or abandoned."""
 
     def __init__(
         self,
@@ -168,7 +168,7 @@
         self._app = app
         self._id = request_id
         self._conn = environ[strict_protocol.CONNECTION]
-        self._ended = False
+        self._is_complete = False
         app.in_progress += 1
         self._conn.watch()
         try:
@@ -184,14 +184,14 @@
         try:
             return next(self._parts)
         except StopIteration:
-            self._ended = True
+            self._is_complete = True
             raise
 
     def close(self) -> None:
-        """Count it out; the server calls this."""
+        """End the count as in progress; the WSGI server calls this."""
         self._conn.unwatch()
         self._app.in_progress -= 1
-        if not self._ended:
+        if not self._is_complete:
             self._app.abandoned.append(self._id)
         close = getattr(getattr(self, '_parts', None), 'close', None)
         if close is not None:
