--- a/features/config.feature
+++ b/features/config.feature
@@ -70,7 +70,7 @@
       [policy]
       scaling = guesswork
       """
-    Then the findings name "unknown model b" and "belongs into the platform" and "must be one of planner"
+    Then the findings contain "unknown model b" and "belongs into the platform" and "must be one of planner"
 
   Scenario: Versions and documents in any order
     Then in 100 random orders the highest version is in force
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,4 +1,4 @@
-Feature: Settings are checked as a whole before anything starts
+Feature: All settings are checked before a program starts
 
   Scenario: All findings are reported together with file, line and key
     When these router settings are checked
@@ -26,7 +26,7 @@
       | 9    | did you mean platform?                  |
       | 1    | needs name                              |
 
-  Scenario: Text that is not INI
+  Scenario: A file that is not in INI format
     When these router settings are checked
       """
       listen
@@ -35,16 +35,16 @@
       | line | text    |
       | 1    | not INI |
 
-  Scenario: The program exits with 2 and has not started
+  Scenario: The program exits with 2 and does not start
     When the router program checks these settings
       """
       [router]
       listen = nowhere
       """
-    Then it exits with 2
-    And it names "listen = nowhere" and "needs failure_domain"
+    Then the router program exits with 2
+    And its output contains "listen = nowhere" and "needs failure_domain"
 
-  Scenario: Good settings
+  Scenario: Valid settings
     When the router program checks these settings
       """
       [router]
@@ -56,4 +56,4 @@
       objects = 127.0.0.1:1
       cloud = 127.0.0.1:2
       """
-    Then it exits with 0
+    Then the router program exits with 0
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps of settings and their findings."""
+"""Steps for settings and the findings of their checks."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @when('the router program checks these settings')
-def program_checks(context):
+def check_with_program(context):
     path = f'{context.folder}/router.ini'
     with open(path, 'w') as file:
         file.write(context.text)
@@ -38,18 +38,18 @@
     context.run = runner.invoke(router_cli.main, ['--config', path, '--check'])
 
 
-@then('it exits with {code:d}')
+@then('the router program exits with {code:d}')
 def exits_with(context, code):
     assert context.run.exit_code == code, context.run.output
 
 
-@then('it names "{first}" and "{second}"')
-def names_both(context, first, second):
+@then('its output contains "{first}" and "{second}"')
+def output_contains(context, first, second):
     assert first in context.run.output, context.run.output
     assert second in context.run.output, context.run.output
 
 
-@then('the findings name "{one}" and "{two}" and "{three}"')
-def findings_name(context, one, two, three):
+@then('the findings contain "{first}" and "{second}" and "{third}"')
+def findings_contain(context, first, second, third):
     text = str(context.found)
-    assert all(part in text for part in (one, two, three)), text
+    assert all(part in text for part in (first, second, third)), text
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of certificates and what they allow."""
+"""Steps for certificates and the access that they give."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.schema import peridotmast_pb2_grpc as pb_grpc
 
-ROUTERS = 'router.peridotmast'
-CALL_MS = 3000
+ROUTER_DNS_NAME = 'router.peridotmast'
+CALL_TIMEOUT_MS = 3000
 
-CALLS = {
+PEER_CALLS = {
     'Join': pb.JoinRequest(member=pb.Member(name='anna', incarnation=1)),
     'FetchConfig': pb.ConfigRequest(),
     'FetchUpstreams': pb.UpstreamsRequest(),
@@ -29,13 +29,15 @@
 }
 
 
-def certified(context, name, *others):
-    """Return the settings of one who has a certificate."""
+def tls_settings(context, name, *dns_names):
+    """Issue a certificate and return the TLS settings that use it."""
     files = {
-        part: os.path.join(context.folder, f'{name}-{len(others)}.{part}')
+        part: os.path.join(context.folder, f'{name}-{len(dns_names)}.{part}')
         for part in ('crt', 'key', 'ca')
     }
-    cert = context.authority.issue_cert('127.0.0.1', *others, common_name=name)
+    cert = context.authority.issue_cert(
+        '127.0.0.1', *dns_names, common_name=name
+    )
     cert.cert_chain_pems[0].write_to_path(files['crt'])
     cert.private_key_pem.write_to_path(files['key'])
     context.authority.cert_pem.write_to_path(files['ca'])
@@ -48,16 +50,16 @@
 
 
 class _CertifiedFleet(fleet_.Fleet):
-    """A fleet whose routers have certificates."""
+    """Fleet whose routers have router certificates."""
 
     def router_file(self, name, **settings):
         file = super().router_file(name, **settings)
-        file.tls.CopyFrom(certified(self.context, name, ROUTERS))
+        file.tls.CopyFrom(tls_settings(self.context, name, ROUTER_DNS_NAME))
         return file
 
 
-@given('{count:d} routers with certificates of routers')
-def certified_routers(context, count):
+@given('{count:d} routers with router certificates')
+def start_certified_routers(context, count):
     context.authority = trustme.CA()
     shape = shape_.FleetShape(routers=count, router={'fatal_invariants': True})
     context.fleet = _CertifiedFleet(shape, seed=7)
@@ -65,36 +67,36 @@
     context.fleet.start()
 
 
-@then('each has heard of the other by a call')
-def heard_by_call(context):
+@then('the routers can call each other')
+def routers_call_each_other(context):
     first, second = context.fleet.routers
-    news = [
+    updated = [
         router._catch_up.fetch_upstreams(other.peer_address)
         for router, other in ((first, second), (second, first))
     ]
-    assert news == [False, False], news
+    assert updated == [False, False], updated
     reply = first._peers.call(
-        second.peer_address, 'FetchConfig', pb.ConfigRequest(), CALL_MS
+        second.peer_address, 'FetchConfig', pb.ConfigRequest(), CALL_TIMEOUT_MS
     )
     assert not isinstance(reply, failures.Failure), reply
 
 
-def client(context, stub, name):
-    made = rpc.RpcClient(stub, certified(context, name))
-    context.closing.append(made.close)
-    return made
+def rpc_client(context, stub, name):
+    client = rpc.RpcClient(stub, tls_settings(context, name))
+    context.closing.append(client.close)
+    return client
 
 
 @when(
     '"{name}" calls Join, FetchConfig, FetchUpstreams and FetchRequest with an'
-    " operator's certificate"
+    ' operator certificate'
 )
-def calls_peers(context, name):
-    peers = client(context, pb_grpc.PeerStub, name)
+def call_peer_rpcs(context, name):
+    peers = rpc_client(context, pb_grpc.PeerStub, name)
     address = context.fleet.routers[0].peer_address
     context.replies = [
-        peers.call(address, method, request, CALL_MS)
-        for method, request in CALLS.items()
+        peers.call(address, method, request, CALL_TIMEOUT_MS)
+        for method, request in PEER_CALLS.items()
     ]
 
 
@@ -107,8 +109,8 @@
         assert router.members.get(name) is None
 
 
-@given('a document in which "{name}" may read')
-def may_read(context, name):
+@given('a document that gives "{name}" read access')
+def gives_read_access(context, name):
     document = f'{shape_.DOCUMENT}\n[operator {name}]\nmay = read\n'
     version = context.fleet.write_document(document)
     helpers.wait_until(
@@ -120,14 +122,14 @@
     )
 
 
-@when('"{name}" asks for the status with an operator\'s certificate')
-def asks_status(context, name):
-    operators = client(context, pb_grpc.OperatorsStub, name)
+@when('"{name}" requests the status with an operator certificate')
+def request_status(context, name):
+    operators = rpc_client(context, pb_grpc.OperatorsStub, name)
     context.reply = operators.call(
         context.fleet.routers[0].peer_address,
         'ConfigStatus',
         pb.ConfigStatusRequest(),
-        CALL_MS,
+        CALL_TIMEOUT_MS,
     )
 
 
@@ -137,6 +139,6 @@
     assert context.reply.reason == 'permission_denied', context.reply
 
 
-@then('that call is answered')
-def call_answered(context):
+@then('that call succeeds')
+def call_succeeds(context):
     assert not isinstance(context.reply, failures.Failure), context.reply
--- a/features/tls.feature
+++ b/features/tls.feature
@@ -1,18 +1,18 @@
-Feature: Certificates tell who may call what
+Feature: Certificates control access to the RPCs
 
-  Scenario: Routers know each other by their certificates
-    Given 2 routers with certificates of routers
-    Then each has heard of the other by a call
+  Scenario: Routers with router certificates can call each other
+    Given 2 routers with router certificates
+    Then the routers can call each other
 
-  Scenario: An operator's certificate does not open what routers call
-    Given 2 routers with certificates of routers
-    When "anna" calls Join, FetchConfig, FetchUpstreams and FetchRequest with an operator's certificate
+  Scenario: An operator certificate gives no access to the routers' RPCs
+    Given 2 routers with router certificates
+    When "anna" calls Join, FetchConfig, FetchUpstreams and FetchRequest with an operator certificate
     Then each call is denied and no router "anna" is known
 
-  Scenario: A router's name in an operator's certificate gives no rights
-    Given 2 routers with certificates of routers
-    And a document in which "anna" may read
-    When "router-1" asks for the status with an operator's certificate
+  Scenario: A router's name in an operator certificate gives no rights
+    Given 2 routers with router certificates
+    And a document that gives "anna" read access
+    When "router-1" requests the status with an operator certificate
     Then that call is denied
-    When "anna" asks for the status with an operator's certificate
-    Then that call is answered
+    When "anna" requests the status with an operator certificate
+    Then that call succeeds
