--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -145,6 +145,7 @@
         )
         self._work_available = green.Event()
         self.numbers = itertools.count(1)
+        """Numbers streams, queued runs and handles, in order."""
         self._muted_below = 0
         self._muted_until = 0
         self.totals: collections.Counter[str] = collections.Counter()
