--- a/features/config.feature
+++ b/features/config.feature
@@ -71,7 +71,7 @@
       [policy]
       scaling = guesswork
       """
-    Then the findings name "unknown model b" and "belongs into the platform" and "must be one of planner"
+    Then the findings contain "unknown model b" and "belongs into the platform" and "must be one of planner"
 
   Scenario: Routes and documents arrive in any order
     Then the highest version is in force after updates in 100 random orders
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -21,7 +21,7 @@
 def record_environs(context):
     """Record the WSGI environments of all requests at the upstreams."""
     context.environs = []
-    for guest in context.fleet.guests:
+    for guest in context.fleet.instances:
         app = guest.upstream.app
         run = app._run
 
@@ -111,7 +111,7 @@
             ).status
             == 200
         )
-    for service in (shape_.SERVICE, 'other'):
+    for service in (shape_.PLAIN_SERVICE, 'other'):
         requests = [
             arrival
             for guest in helpers.guests(context, service)
@@ -289,7 +289,7 @@
 def exactly_one_run(context):
     runs = [
         request_id
-        for guest in context.fleet.guests
+        for guest in context.fleet.instances
         for request_id in guest.upstream.app.runs
     ]
     assert runs == ['raw-1'], runs
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -98,10 +98,10 @@
     ]
     green.sleep_ms(300)
     busiest = max(
-        helpers.guests(context, shape_.ENGINES),
-        key=lambda guest: guest.upstream.app.in_work,
+        helpers.guests(context, shape_.ENGINE_SERVICE),
+        key=lambda guest: guest.upstream.app.in_progress,
     )
-    context.fleet.lose(busiest)
+    context.fleet.kill_upstream(busiest)
     context.answers = [task.wait() for task in tasks]
 
 
@@ -127,9 +127,9 @@
     def on_text(text):
         texts.append(text)
         if len(texts) == 5:
-            for guest in helpers.guests(context, shape_.ENGINES):
-                if guest.upstream.app.in_work:
-                    context.fleet.lose(guest)
+            for guest in helpers.guests(context, shape_.ENGINE_SERVICE):
+                if guest.upstream.app.in_progress:
+                    context.fleet.kill_upstream(guest)
 
     context.answer = caller.chat(
         oracle.MODEL, PROMPT, tokens, idempotent=False, on_text=on_text
@@ -152,7 +152,7 @@
 
 @when('all engines fail every request')
 def all_engines_fail(context):
-    for guest in context.fleet.running(shape_.ENGINES):
+    for guest in context.fleet.running_upstreams(shape_.ENGINE_SERVICE):
         guest.upstream.app.faults = {'error': 1.0}
 
 
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -615,7 +615,7 @@
 def count_engines(context):
     live = [
         guest
-        for guest in helpers.guests(context, shape_.ENGINES)
+        for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
         if guest.record.state == 1
     ]
     reclaimable = [g for g in live if g.record.reclaimable]
@@ -646,7 +646,7 @@
     'no reclaimable engines are available, and a failure domain is reclaimed'
 )
 def reclaim_without_capacity(context):
-    context.fleet.dry.update(context.fleet.domains)
+    context.fleet.exhausted_domains.update(context.fleet.domains)
     _, reclaimable = count_engines(context)
     context.fleet.reclaim(reclaimable[0].record.upstream.failure_domain, 400)
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -180,7 +180,9 @@
     ' restarts'
 )
 def stream_and_restart(context, tokens, path):
-    stream_steps.stream_and(context, tokens, path, context.fleet.begin_again)
+    stream_steps.stream_and(
+        context, tokens, path, context.fleet.restart_upstream
+    )
 
 
 def change_entry_only(context, guest):
@@ -216,8 +218,8 @@
     def running():
         return [
             guest
-            for guest in helpers.guests(context, shape_.SERVICE)
-            if guest.upstream.app.in_work
+            for guest in helpers.guests(context, shape_.PLAIN_SERVICE)
+            if guest.upstream.app.in_progress
         ]
 
     helpers.wait_until(running, 'the request runs')
@@ -233,7 +235,7 @@
     assert context.last.status == 502, context.last
     runs = [
         guest.upstream.app.runs['seat-1']
-        for guest in helpers.guests(context, shape_.SERVICE)
+        for guest in helpers.guests(context, shape_.PLAIN_SERVICE)
     ]
     assert sum(runs) == 1, runs
 
@@ -241,7 +243,7 @@
 @when('every upstream of "{service}" restarts')
 def restart_all(context, service):
     context.later = [
-        context.fleet.begin_again(guest)
+        context.fleet.restart_upstream(guest)
         for guest in helpers.guests(context, service)
     ]
     table = context.fleet.routers[0].upstream_table
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -562,7 +562,7 @@
 
 @when('one router sends a prompt of {tokens:d} tokens to an engine')
 def sends_prompt(context, tokens):
-    service = pb.Service(name=shape_.ENGINES, slots=64)
+    service = pb.Service(name=shape_.ENGINE_SERVICE, slots=64)
     exchange = make_exchange('a')
     exchange.prompt = exchange_.Prompt(tokens_in=tokens, tokens_out=10)
     selector = context.fleet.routers[0].serving.placement
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -71,10 +71,10 @@
 @when('its link is {mode}, and a new connection gets an answer')
 def start_fault(context, mode):
     mode, _, affected = mode.partition(', ')
-    context.fault = link_proxy.Trouble(
-        link_proxy.Mode(mode), hits_requests=affected == 'requests'
+    context.fault = link_proxy.LinkFault(
+        link_proxy.FaultMode(mode), affects_requests=affected == 'requests'
     )
-    context.proxy.begin(context.fault, random.Random(1))
+    context.proxy.begin_fault(context.fault, random.Random(1))
     context.exchange.send()
     new_exchange(context)
 
@@ -82,7 +82,7 @@
 @then('it receives nothing until the fault ends, and then it {ends}')
 def wait_for_fault_end(context, ends):
     assert context.exchange.conn.is_clean()
-    context.proxy.end(context.fault)
+    context.proxy.end_fault(context.fault)
     context.execute_steps(f'Then it {ends}')
 
 
@@ -113,7 +113,7 @@
 @then('the next connection is refused until the target listens again')
 def check_refused(context):
     assert Exchange(context.proxy).failure.reason == 'no_connection'
-    context.closing.append(context.target.again().stop)
+    context.closing.append(context.target.restarted().stop)
     context.proxy.open()
     new_exchange(context)
 
@@ -125,7 +125,7 @@
 def check_excused(context):
     context.fleet = fleet_.Fleet()
     for request_id, count in (('', 1), ('another', 1), ('its', 0)):
-        context.fleet.links.broken[request_id] = 'reset'
+        context.fleet.links.drop_reasons[request_id] = 'reset'
         assert count_cuts(context.fleet, 50, {ADDRESS: (0, 100)}) == count
 
 
@@ -153,8 +153,8 @@
         cfg=types.SimpleNamespace(failure_domain='fd-1'),
         stop=lambda: None,
     )
-    fleet.serving = lambda: [router] * 3
-    fleet.restart = lambda router: None
+    fleet.running_routers = lambda: [router] * 3
+    fleet.restart_router = lambda router: None
     router.drain = lambda: driver.bring(pb.Fault(kind='kill_all_routers'))
     driver.bring(pb.Fault(kind='drain_router'))
     began, ended = driver.drained[ADDRESS]
--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -423,7 +423,7 @@
 def check_no_shared_address(context):
     found = [
         [fleet.store.address, fleet.cloud.address]
-        + [guest.record.upstream.address for guest in fleet.guests]
+        + [guest.record.upstream.address for guest in fleet.instances]
         for fleet in context.fleets
     ]
     assert all(len(addresses) > 2 for addresses in found), found
@@ -489,6 +489,6 @@
 
 @then('it restarts at its address')
 def check_restarted(context):
-    context.processes.restart(context.killed)
-    [router] = context.processes.serving()
+    context.processes.restart_router(context.killed)
+    [router] = context.processes.running_routers()
     assert router.address == context.killed.address, router.address
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -228,7 +228,7 @@
 
 def holder_of(context):
     return next(
-        (r for r in context.fleet.serving() if r.lease.is_held()), None
+        (r for r in context.fleet.running_routers() if r.lease.is_held()), None
     )
 
 
@@ -250,7 +250,7 @@
 
 @then('no platform call carried an outdated fencing token')
 def no_outdated_token(context):
-    assert not context.fleet.cloud.out_of_turn
+    assert not context.fleet.cloud.stale_call_times
 
 
 @when('a router is killed')
@@ -264,7 +264,7 @@
     helpers.wait_until(
         lambda: all(
             context.killed.address not in resolve(router)
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         'removal from the directories',
         ms,
@@ -338,18 +338,18 @@
 )
 def lists_all(context, count):
     def all_listed():
-        serving = context.fleet.serving()
+        serving = context.fleet.running_routers()
         wanted = {router.address for router in serving}
         return len(wanted) == count and all(
             set(resolve(router)) == wanted for router in serving
         )
 
     helpers.wait_until(all_listed, f'all {count} routers in the directories')
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         domain = router.cfg.failure_domain
         near = {
             r.address
-            for r in context.fleet.serving()
+            for r in context.fleet.running_routers()
             if r.cfg.failure_domain == domain
         }
         assert set(resolve(router, domain)[: len(near)]) == near
@@ -480,7 +480,7 @@
 
 @when('an engine announces that it is leaving')
 def engine_leaves(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.fleet.announce_leaving(context.leaver)
 
 
@@ -491,7 +491,7 @@
         return view.record.state == upstreams_.LEAVING
 
     helpers.wait_until(
-        lambda: all(map(is_leaving, context.fleet.serving())),
+        lambda: all(map(is_leaving, context.fleet.running_routers())),
         'the state leaving everywhere',
         ms,
     )
@@ -676,7 +676,7 @@
     reply = calls.HttpCalls().call(
         'POST',
         router.chat_address,
-        f'/v1/services/{shape_.SERVICE}/hold',
+        f'/v1/services/{shape_.PLAIN_SERVICE}/hold',
         body,
         {
             'traceparent': f'00-{TRACE}-00f067aa0ba902b7-01',
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -42,7 +42,7 @@
     return next(
         (
             guest
-            for guest in helpers.guests(context, shape_.ENGINES)
+            for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
             if guest.upstream.app.runs[request_id]
         ),
         None,
@@ -74,7 +74,7 @@
     ' killed'
 )
 def stream_and_kill(context, tokens, path):
-    stream_and(context, tokens, path, context.fleet.lose)
+    stream_and(context, tokens, path, context.fleet.kill_upstream)
 
 
 @when(
@@ -194,8 +194,8 @@
 def upstream_detects_disconnect(context, ms):
     def detected():
         return any(
-            'leaver' in guest.upstream.app.left_early
-            for guest in context.fleet.guests
+            'leaver' in guest.upstream.app.abandoned
+            for guest in context.fleet.instances
         )
 
     helpers.wait_until(detected, 'the upstream detects the disconnect', ms)
@@ -211,9 +211,9 @@
 def request_and_read_nothing(context):
     context.sock = open_raw(context, '/once/x', 200_000)
     context.closing.append(context.sock.close)
-    for guest in helpers.guests(context, shape_.ENGINES):
-        guest.upstream.times.step_ms = 0.2
-        guest.upstream.times.stride = 2000
+    for guest in helpers.guests(context, shape_.ENGINE_SERVICE):
+        guest.upstream.profile.step_ms = 0.2
+        guest.upstream.profile.tokens_per_event = 2000
 
 
 @then('the router aborts the request')
@@ -230,11 +230,13 @@
 def reclaim_fullest(context, ms):
     engines = [
         guest
-        for guest in helpers.guests(context, shape_.ENGINES)
+        for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
         if guest.record.reclaimable and not guest.upstream.app.leaves_at
     ]
-    fullest = max(engines, key=lambda guest: guest.upstream.app.in_work)
-    assert fullest.upstream.app.in_work, 'no engine has a request in progress'
+    fullest = max(engines, key=lambda guest: guest.upstream.app.in_progress)
+    assert fullest.upstream.app.in_progress, (
+        'no engine has a request in progress'
+    )
     domain = fullest.record.upstream.failure_domain
     context.fleet.reclaim(domain, ms)
     green.sleep_ms(100)
@@ -243,8 +245,8 @@
 def engine_total(context, name):
     return sum(
         guest.upstream.totals[name]
-        for guest in context.fleet.guests
-        if guest.record.upstream.service == shape_.ENGINES
+        for guest in context.fleet.instances
+        if guest.record.upstream.service == shape_.ENGINE_SERVICE
     )
 
 
@@ -263,7 +265,7 @@
 
 @when('an engine announces that it leaves while callers send requests')
 def engine_leaves_under_load(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     clock = context.fleet.clock
     context.left_at = clock.now() + 300
     green.spawn_after_ms(300, context.fleet.announce_leaving, context.leaver)
@@ -296,7 +298,7 @@
 def engine_leaves_and_router_loses_store(context):
     context.cut_router = context.fleet.routers[0]
     context.cut_router.store.address = '127.0.0.1:1'
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.left_at = context.fleet.clock.now()
     context.fleet.store.app.set_faults(0)
     for address in list(context.cut_router.store._http._pool._idle):
@@ -320,15 +322,15 @@
 
 @when('the store is down and the entry of an engine expires meanwhile')
 def entry_expires_in_outage(context):
-    context.leaver = helpers.guests(context, shape_.ENGINES)[0]
+    context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.fleet.store.app.set_faults(600, outage=1.0)
     green.sleep_ms(300)
     context.states = []
-    for router in context.fleet.serving():
+    for router in context.fleet.running_routers():
         router.upstream_table.listen(
             lambda view: context.states.append((view.name, view.record.state))
         )
-    context.fleet.drop_entry(context.leaver)
+    context.fleet.remove_entry(context.leaver)
     green.sleep_ms(400)
 
 
@@ -352,7 +354,7 @@
     helpers.wait_until(
         lambda: all(
             router.upstream_table.get(context.leaver.name).record.state == 3
-            for router in context.fleet.serving()
+            for router in context.fleet.running_routers()
         ),
         'all routers consider the engine gone',
         ms,
@@ -380,8 +382,10 @@
 
 @given('two engines that run one stream each and a third engine')
 def two_engines_with_streams(context):
-    times = engine_.EngineTimes(step_ms=5)
-    context.engines = [engine_.Engine(f'e-{n}', times=times) for n in range(3)]
+    profile = engine_.EngineProfile(step_ms=5)
+    context.engines = [
+        engine_.Engine(f'e-{n}', profile=profile) for n in range(3)
+    ]
     for engine in context.engines:
         context.closing.append(engine.stop)
     context.bodies = {'one': b'first prompt', 'two': b'second prompt'}
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -26,7 +26,7 @@
 @given('a fleet of {count:d} routers with one scripted upstream')
 def scripted_fleet(context, count):
     fleet = helpers.start_fleet(context, routers=count, services=0)
-    register_scripted(context, fleet, shape_.SERVICE)
+    register_scripted(context, fleet, shape_.PLAIN_SERVICE)
 
 
 @given('a fleet of {count:d} routers with one scripted engine')
@@ -37,7 +37,7 @@
         engines=0,
         bounds={'usage_window_s': USAGE_WINDOW_MS / 1000},
     )
-    register_scripted(context, fleet, shape_.ENGINES)
+    register_scripted(context, fleet, shape_.ENGINE_SERVICE)
 
 
 def register_scripted(context, fleet, service):
@@ -374,7 +374,7 @@
         tasks = [
             green.spawn(
                 helpers.send_request,
-                draws.choice(fleet.serving()).address,
+                draws.choice(fleet.running_routers()).address,
                 path,
                 body=b'seat %d' % number,
             )
