--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -85,14 +85,19 @@
         parsed = self._read_chat(req)
         if isinstance(parsed, failures.Failure):
             return web.failure_response(parsed)
-        call, body = parsed
-        reply = self._gateway.handle(call)
+        incoming, body = parsed
+        reply = self._gateway.handle(incoming)
         if isinstance(reply, failures.Failure):
-            return web.failure_response(reply, call.id, _http_status(reply))
-        answer = chat_answers.ChatAnswer(reply, call.id, body.model)
+            return web.failure_response(
+                reply, incoming.id, _http_status(reply)
+            )
+        answer = chat_answers.ChatAnswer(reply, incoming.id, body.model)
         if answer.has_failed or not body.stream:
             return answer.completion()
-        headers = [('X-Request-Id', call.id), ('Cache-Control', 'no-cache')]
+        headers = [
+            ('X-Request-Id', incoming.id),
+            ('Cache-Control', 'no-cache'),
+        ]
         return web.Response(
             200,
             answer.event_stream(),
@@ -104,20 +109,22 @@
     def _service(
         self, req: web.Request, service: str, name: str
     ) -> web.Response:
-        call = self._read_service(req, service, name)
-        if isinstance(call, failures.Failure):
-            return web.failure_response(call)
-        reply = self._gateway.handle(call)
+        incoming = self._read_service(req, service, name)
+        if isinstance(incoming, failures.Failure):
+            return web.failure_response(incoming)
+        reply = self._gateway.handle(incoming)
         if isinstance(reply, failures.Failure):
-            return web.failure_response(reply, call.id, _http_status(reply))
+            return web.failure_response(
+                reply, incoming.id, _http_status(reply)
+            )
         try:
             body = chat_answers.read_body(reply)
         finally:
             reply.close()
         if isinstance(body, failures.Failure):
-            return web.failure_response(body, call.id)
+            return web.failure_response(body, incoming.id)
         response = web.Response(reply.head.status, body, 'text/plain')
-        response.headers.append(('X-Request-Id', call.id))
+        response.headers.append(('X-Request-Id', incoming.id))
         return response
 
     def _resolve(self, req: web.Request) -> web.Response:
@@ -161,20 +168,20 @@
         route = next((r for r in config.routes if r.name == model.route), None)
         if route is None:
             return failures.not_run('no_route', model.route)
-        call = self._build_request(req, body, route, 'chat')
-        if isinstance(call, failures.Failure):
-            return call
+        incoming = self._build_request(req, body, route, 'chat')
+        if isinstance(incoming, failures.Failure):
+            return incoming
         if body.HasField('idempotent') and not body.idempotent:
-            call.route = _without_retries(route)
+            incoming.route = _without_retries(route)
         content = {
             'model': body.model,
             'adapter': body.adapter,
             'messages': [[m.role, m.content] for m in body.messages],
             'max_tokens': max_tokens,
         }
-        call.body = json.dumps(content).encode()
-        call.prompt = _prompt(body, max_tokens)
-        return call, body
+        incoming.body = json.dumps(content).encode()
+        incoming.prompt = _prompt(body, max_tokens)
+        return incoming, body
 
     def _read_service(
         self, req: web.Request, service: str, name: str
@@ -196,10 +203,10 @@
         if route is None:
             missing = failures.missing('no_route', service[:80])
             return self._gateway.retryable_if_stale(missing)
-        call = self._build_request(req, body, route, name)
-        if not isinstance(call, failures.Failure):
-            call.body = body.payload.encode()
-        return call
+        incoming = self._build_request(req, body, route, name)
+        if not isinstance(incoming, failures.Failure):
+            incoming.body = body.payload.encode()
+        return incoming
 
     def _build_request(
         self, req: web.Request, body: ty.Any, route: pb.Route, path: str
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -70,9 +70,7 @@
             spends=_spends(self._spends.group_total()),
             loads=_to_messages(_summed(self._members_loads())),
             usage=self._usage.group_counts(),
-            demand=_demand(
-                self._offered.group_total(), self._prefill_speeds()
-            ),
+            demand=_demand(self._offered.group_total(), self._prefill_rates()),
         )
 
     def totals_for_members(
@@ -84,7 +82,7 @@
         subtracted: separate sums would cost time quadratic in the group size.
         """
         loads = _summed([*self._members_loads(), *self._group_loads.values()])
-        speeds = self._prefill_speeds()
+        rates = self._prefill_rates()
         rows = zip(
             members,
             self._spends.totals_without(members),
@@ -100,7 +98,7 @@
                     spends=_spends(spent),
                     loads=_to_messages(loads, except_for=own),
                     usage=used,
-                    demand=_demand(offered, speeds),
+                    demand=_demand(offered, rates),
                 ),
             )
 
@@ -121,7 +119,7 @@
         self._loads[router] = list(totals.loads)
         if counted:
             self._table.set_peer_loads(router, totals.loads)
-            self._update_prefill_speeds(router, totals)
+            self._update_prefill_rates(router, totals)
 
     def update_group(
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
@@ -135,7 +133,7 @@
         self._group_loads[group] = list(totals.loads)
         if counted:
             self._table.set_peer_loads(_group_name(group), totals.loads)
-            self._update_prefill_speeds(head, totals)
+            self._update_prefill_rates(head, totals)
 
     def update_fleet(
         self, head: str, run: int, totals: pb.Totals, counted: bool
@@ -146,7 +144,7 @@
         self._usage.merge_fleet(totals.usage)
         if counted:
             self._table.set_peer_loads(_FLEET_NAME, totals.loads)
-            self._update_prefill_speeds(head, totals)
+            self._update_prefill_rates(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
         """Add what others may have spent while nobody reported it."""
@@ -200,15 +198,15 @@
     def _members_loads(self) -> list[Loads]:
         return [self._table.local_loads(), *self._loads.values()]
 
-    def _prefill_speeds(self) -> dict[str, float]:
+    def _prefill_rates(self) -> dict[str, float]:
         found = {
             s: self._demand.prefill_rate(s) for s in self._demand.counts()
         }
-        return {service: speed for service, speed in found.items() if speed}
+        return {service: rate for service, rate in found.items() if rate}
 
-    def _update_prefill_speeds(self, reporter: str, totals: pb.Totals) -> None:
-        speeds = {d.service: d.reading for d in totals.demand}
-        self._demand.set_peer_prefill_rates(reporter, speeds)
+    def _update_prefill_rates(self, reporter: str, totals: pb.Totals) -> None:
+        rates = {d.service: d.reading for d in totals.demand}
+        self._demand.set_peer_prefill_rates(reporter, rates)
 
 
 def _group_name(group: int) -> str:
@@ -220,11 +218,11 @@
 
 
 def _demand(
-    counts: dict[str, int], speeds: dict[str, float]
+    counts: dict[str, int], rates: dict[str, float]
 ) -> list[pb.ServiceDemand]:
     return [
         pb.ServiceDemand(
-            service=service, tokens=tokens, reading=speeds.get(service, 0)
+            service=service, tokens=tokens, reading=rates.get(service, 0)
         )
         for service, tokens in counts.items()
     ]
