--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Puts the programs and their libraries into target/deps.
+# Installs the programs and their dependencies into target/deps.
 set -eu
 deps=target/deps
 if [ ! "$deps/.made" -nt pyproject.toml ]; then
@@ -8,5 +8,6 @@
 fi
 rm -rf "$deps/peridotmast"
 cp -r src/peridotmast "$deps/peridotmast"
-# The programs may not write there: without this each start compiles anew.
+# The programs cannot write to this folder: unless the modules are compiled
+# here, each start compiles them again.
 python3 -m compileall -q "$deps/peridotmast"
