--- a/features/steps/experiment_steps.py
+++ b/features/steps/experiment_steps.py
@@ -52,12 +52,15 @@
 
 @then('seeds {first:d} to {last:d} have each kind of fault at least once')
 def each_kind(context, first, last):
-    for among in (faults.EMBEDDED, faults.IN_PROCESSES):
-        wanted = {kind.value for kind in among}
+    for fault_kinds in (
+        faults.EMBEDDED_FAULT_KINDS,
+        faults.PROCESS_FAULT_KINDS,
+    ):
+        wanted = {kind.value for kind in fault_kinds}
         for seed in range(first, last + 1):
-            drawn = faults.draw(40, seed, among=among)
+            drawn = faults.draw(40, seed, fault_kinds=fault_kinds)
             assert {fault.kind for fault in drawn} == wanted
-    assert set(faults.IN_PROCESSES) == set(faults.FaultKind)
+    assert set(faults.PROCESS_FAULT_KINDS) == set(faults.FaultKind)
 
 
 @when(
@@ -68,7 +71,7 @@
     context.broken = soak.run(
         seconds, seed, context.folder, lambda line: None, processes=True
     )
-    context.command = soak.command(seconds, seed, processes=True)
+    context.command = soak.reproduction_command(seconds, seed, processes=True)
     with open(f'{context.folder}/report.json', encoding='utf-8') as file:
         context.report = json.load(file)
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -155,11 +155,11 @@
     )
     fleet.serving = lambda: [router] * 3
     fleet.restart = lambda router: None
-    router.drain = lambda: driver.bring(pb.Fault(kind='kill_all_routers'))
-    driver.bring(pb.Fault(kind='drain_router'))
-    began, ended = driver.drained[ADDRESS]
-    killed = ended + 1 + oracle.CUT_MS
+    router.drain = lambda: driver.inject(pb.Fault(kind='kill_all_routers'))
+    driver.inject(pb.Fault(kind='drain_router'))
+    began, ended = driver.drain_spans[ADDRESS]
+    killed = ended + 1 + oracle.DISCONNECT_WINDOW_MS
     assert began <= killed <= CLOCK.now()
-    assert count_cuts(fleet, killed, driver.drained) == 0
-    driver.drained[ADDRESS] = killed - 9, ended
-    assert count_cuts(fleet, killed - 1, driver.drained) == 1
+    assert count_cuts(fleet, killed, driver.drain_spans) == 0
+    driver.drain_spans[ADDRESS] = killed - 9, ended
+    assert count_cuts(fleet, killed - 1, driver.drain_spans) == 1
--- a/src/peridotmast/cli/load.py
+++ b/src/peridotmast/cli/load.py
@@ -60,7 +60,7 @@
     """Run random load with every kind of fault and judge the promises."""
     broken = soak_.run(seconds, seed, out, _progress, processes)
     if broken:
-        line = soak_.command(seconds, seed, processes)
+        line = soak_.reproduction_command(seconds, seed, processes)
         click.echo(f'\nseed {seed} fails, again: {line}', err=True)
     _end(broken, out)
 
--- a/src/peridotmast/load/experiment.py
+++ b/src/peridotmast/load/experiment.py
@@ -67,7 +67,7 @@
     report_.write(folder, report)
     _draw(folder, trial, faults)
     page.write(folder, report)
-    found = trial.verdict.broken()
+    found = trial.verdict.violated_guarantees()
     return found + ([] if report['meets_target'] else ['latency target'])
 
 
--- a/src/peridotmast/load/explain.py
+++ b/src/peridotmast/load/explain.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass
-class Asked:
+class RequestLog:
     """What the logs say of one request."""
 
     at: float = 0.0
@@ -83,7 +83,7 @@
     OSError
         If a log can't be read.
     """
-    asked = read(paths)
+    asked = read_requests(paths)
     speeds = _Speeds(asked.values())
     lost = [
         (one.at, one.route, cause)
@@ -99,9 +99,9 @@
     ]
 
 
-def read(paths: ty.Iterable[str]) -> dict[str, Asked]:
+def read_requests(paths: ty.Iterable[str]) -> dict[str, RequestLog]:
     """Return what logs say of each request, by its id."""
-    asked: dict[str, Asked] = collections.defaultdict(Asked)
+    asked: dict[str, RequestLog] = collections.defaultdict(RequestLog)
     for path in paths:
         with open(path, encoding='utf-8', errors='replace') as file:
             for line in file:
@@ -109,7 +109,7 @@
     return dict(asked)
 
 
-def cause_of(one: Asked, speeds: _Speeds) -> ty.Optional[Cause]:
+def cause_of(one: RequestLog, speeds: _Speeds) -> ty.Optional[Cause]:
     """Return why a request was late or lost; None where it was neither."""
     if one.refused:
         return Cause.REFUSED
@@ -122,7 +122,7 @@
     return _late_cause(one, speeds)
 
 
-def _late_cause(one: Asked, speeds: _Speeds) -> Cause:
+def _late_cause(one: RequestLog, speeds: _Speeds) -> Cause:
     last = one.attempts[-1]
     if len(one.attempts) > 1:
         return Cause.RETRIED
@@ -144,7 +144,7 @@
 class _Speeds:
     """Tokens a ms that engines read, from those that had nothing to read."""
 
-    def __init__(self, asked: ty.Iterable[Asked]) -> None:
+    def __init__(self, asked: ty.Iterable[RequestLog]) -> None:
         found: dict[str, list[float]] = collections.defaultdict(list)
         for one in asked:
             if len(one.attempts) != 1 or not one.first_ms:
@@ -167,7 +167,7 @@
         return self._by_upstream.get(upstream, 0.0)
 
 
-def _take(asked: dict[str, Asked], line: str) -> None:
+def _take(asked: dict[str, RequestLog], line: str) -> None:
     values = dict(_PAIR.findall(line))
     event, request = values.get('event'), values.get('request')
     if event not in _EVENTS or not request:
--- a/src/peridotmast/load/faults.py
+++ b/src/peridotmast/load/faults.py
@@ -55,9 +55,9 @@
     LIMIT_VM = 'limit_vm'
 
 
-IN_PROCESSES = tuple(FaultKind)
+PROCESS_FAULT_KINDS = tuple(FaultKind)
 """Kinds that can be brought about where routers are processes."""
-EMBEDDED = tuple(
+EMBEDDED_FAULT_KINDS = tuple(
     kind
     for kind in FaultKind
     if kind not in (FaultKind.FREEZE_ROUTER, FaultKind.KILL_ALL_ROUTERS)
@@ -98,7 +98,7 @@
     seconds: float,
     seed: int,
     share: float = 0.85,
-    among: ty.Sequence[FaultKind] = EMBEDDED,
+    fault_kinds: ty.Sequence[FaultKind] = EMBEDDED_FAULT_KINDS,
 ) -> list[pb.Fault]:
     """Return a timetable on which every kind of fault comes at least once.
 
@@ -106,13 +106,15 @@
     ----------
     share : float
         Part of the time in which faults come; the rest is for recovery.
-    among : sequence of FaultKind
+    fault_kinds : sequence of FaultKind
         Kinds to draw from.
     """
     draws = random.Random(f'faults|{seed}')
-    kinds = [kind for kind in among for _ in range(_WEIGHTS.get(kind, 1))]
-    extra = draws.choices(among, k=int(seconds // 8))
-    timetable = [
+    kinds = [
+        kind for kind in fault_kinds for _ in range(_WEIGHTS.get(kind, 1))
+    ]
+    extra = draws.choices(fault_kinds, k=int(seconds // 8))
+    schedule = [
         pb.Fault(
             name=f'f{number}',
             kind=kind.value,
@@ -122,7 +124,7 @@
         )
         for number, kind in enumerate([*kinds, *extra])
     ]
-    return sorted(timetable, key=lambda fault: fault.at)
+    return sorted(schedule, key=lambda fault: fault.at)
 
 
 class FaultDriver:
@@ -143,17 +145,17 @@
         self._tasks: list[ty.Any] = []
         self.counts: collections.Counter[str] = collections.Counter()
         """Faults brought about, by kind."""
-        self.noticed: dict[str, int] = {}
+        self.notice_times: dict[str, int] = {}
         """When upstreams got notice, in ms of the fleet's clock."""
-        self.drained: dict[str, oracle_.Span] = {}
+        self.drain_spans: dict[str, oracle_.Span] = {}
         """Stops as planned: chat address, and from when to when, in ms."""
         self._killed: dict[str, int] = {}
-        self.thawed: list[int] = []
+        self.thaw_times: list[int] = []
         """When frozen routers went on, in ms of the fleet's clock."""
         self._operators = rpc.RpcClient(pb_grpc.OperatorsStub)
-        self.links: collections.Counter[str] = collections.Counter()
+        self.link_counts: collections.Counter[str] = collections.Counter()
         """Faults of links, by kind of fault and of link."""
-        self.races_lost = 0
+        self.operator_conflicts = 0
         """Operators who were told of a conflict."""
         self.crash_times: list[int] = []
         """When requests crashed engines, in ms of the fleet's clock."""
@@ -166,20 +168,20 @@
         """When all routers were killed, in ms of the fleet's clock."""
         fleet.on_crash = self._replace_crashed
 
-    def run(self, timetable: ty.Iterable[pb.Fault]) -> None:
+    def run(self, schedule: ty.Iterable[pb.Fault]) -> None:
         """Bring the faults about, each at its time from now."""
         began = self._fleet.clock.now()
-        for fault in timetable:
+        for fault in schedule:
             wait = began + fault.at * 1000 - self._fleet.clock.now()
             green.sleep_ms(max(0, wait))
-            self._tasks.append(green.spawn(self.bring, fault))
+            self._tasks.append(green.spawn(self.inject, fault))
 
     def wait(self) -> None:
         """Wait until all faults are over and all losses replaced."""
         for task in self._tasks:
             task.wait()
 
-    def bring(self, fault: pb.Fault) -> None:
+    def inject(self, fault: pb.Fault) -> None:
         """Bring one fault about and wait until it is over."""
         kind = FaultKind(fault.kind)
         self.counts[kind.value] += 1
@@ -191,7 +193,7 @@
     def _trouble(self, fault: pb.Fault, mode: link_proxy.Mode) -> None:
         kinds = list(links_.LinkKind)
         kind = kinds[fault.target % len(kinds)]
-        self.links[f'{fault.kind} {kind.value}'] += 1
+        self.link_counts[f'{fault.kind} {kind.value}'] += 1
         draws = random.Random(fault.target)
         trouble = link_proxy.Trouble(
             mode,
@@ -218,7 +220,7 @@
     def _reclaim(self, guests: list[guest_.Guest], notice_ms: int) -> None:
         now = self._fleet.clock.now()
         for guest in guests:
-            self.noticed[guest.name] = now
+            self.notice_times[guest.name] = now
             guest.upstream.app.leaves_at = now + notice_ms
             self._fleet.announce_leaving(guest)
             green.spawn_after_ms(notice_ms, self._fleet.lose, guest)
@@ -348,15 +350,15 @@
         router = self._pick_router(fault.target)
         if router is not None:
             began = self._fleet.clock.now()
-            self.drained[router.chat_address] = began, _NEVER
+            self.drain_spans[router.chat_address] = began, _NEVER
             router.drain()
             router.stop()
             ended: int = self._fleet.clock.now()
             killed = self._killed.get(router.chat_address, 0)
             if killed >= began:
                 # What went with the kill was not cut by the stop.
-                ended = killed - 1 - oracle_.CUT_MS
-            self.drained[router.chat_address] = began, ended
+                ended = killed - 1 - oracle_.DISCONNECT_WINDOW_MS
+            self.drain_spans[router.chat_address] = began, ended
             self._replace_router(router.cfg.failure_domain)
 
     def _freeze_router(self, fault: pb.Fault) -> None:
@@ -365,8 +367,8 @@
             router.freeze()
             green.sleep_ms(fault.for_ms)
             router.thaw()
-            self.thawed.append(self._fleet.clock.now())
-            self.resume_times.append(self.thawed[-1])
+            self.thaw_times.append(self._fleet.clock.now())
+            self.resume_times.append(self.thaw_times[-1])
 
     def _kill_all_routers(self, fault: pb.Fault) -> None:
         killed = self._fleet.serving()
@@ -383,7 +385,7 @@
         live = [
             router
             for router in self._fleet.serving()
-            if router.chat_address not in self.drained
+            if router.chat_address not in self.drain_spans
         ]
         return live[target % len(live)] if len(live) > 2 else None
 
@@ -436,7 +438,7 @@
             for number, address in enumerate(addresses)
         ]
         replies = [task.wait() for task in tasks]
-        self.races_lost += sum(
+        self.operator_conflicts += sum(
             not isinstance(reply, failures.Failure) and reply.conflict
             for reply in replies
         )
--- a/src/peridotmast/load/oracle.py
+++ b/src/peridotmast/load/oracle.py
@@ -16,7 +16,7 @@
 from peridotmast.standin import answers
 
 MODEL = 'draft-7b'
-PROMISES = (
+GUARANTEES = (
     'wrong_answers',
     'not_run_but_ran',
     'non_idempotent_ran_twice',
@@ -31,7 +31,7 @@
 """Counts of a verdict that must be zero."""
 
 _LEAVING_BOUND_MS = 2000
-CUT_MS = 500
+DISCONNECT_WINDOW_MS = 500
 """Time after a router's end in which its callers see their connections go."""
 _BLOCK_THRESHOLD = 3
 """Number of crashes at which a request must be blocked."""
@@ -106,9 +106,9 @@
     generated_tokens: int = 0
     refused: dict[str, int] = dataclasses.field(default_factory=dict)
 
-    def broken(self) -> list[str]:
+    def violated_guarantees(self) -> list[str]:
         """Return the promises that do not hold."""
-        return [name for name in PROMISES if getattr(self, name)]
+        return [name for name in GUARANTEES if getattr(self, name)]
 
 
 class Oracle:
@@ -118,7 +118,7 @@
         self._fleet = fleet
         self.outcomes: list[Outcome] = []
         """What the callers saw."""
-        self.lost: list[str] = []
+        self.problems: list[str] = []
         """A line for each request that was not served as promised."""
 
     def add(self, outcome: Outcome) -> None:
@@ -127,9 +127,9 @@
 
     def judge(
         self,
-        noticed: dict[str, int],
-        drained: dict[str, Span],
-        thawed: ty.Sequence[int],
+        notice_times: dict[str, int],
+        drain_spans: dict[str, Span],
+        thaw_times: ty.Sequence[int],
         crash_times: ty.Sequence[int] = (),
         resume_times: ty.Sequence[int] = (),
         limited_engines: ty.Sequence[LimitedEngine] = (),
@@ -139,11 +139,11 @@
 
         Parameters
         ----------
-        noticed : dict
+        notice_times : dict
             When each reclaimed VM got notice, in ms.
-        drained : dict
+        drain_spans : dict
             Stops as planned: chat address, and from when to when, in ms.
-        thawed : sequence of int
+        thaw_times : sequence of int
             When frozen routers went on, in ms.
         crash_times : sequence of int, optional
             When requests crashed engines, in ms.
@@ -157,16 +157,16 @@
         verdict = Verdict(requests=len(self.outcomes))
         refused: collections.Counter[str] = collections.Counter()
         for outcome in self.outcomes:
-            self._judge_one(outcome, verdict, drained)
+            self._judge_one(outcome, verdict, drain_spans)
             failure = outcome.failure
             if failure is not None and failure.kind is _Kinds.NOT_RUN:
                 refused[failure.reason.partition(':')[0]] += 1
         verdict.refused = dict(refused)
-        verdict.work_to_leaving_upstreams = self._late_work(noticed)
+        verdict.work_to_leaving_upstreams = self._late_work(notice_times)
         cloud = self._fleet.cloud
         verdict.reports_that_differ = len(cloud.conflicting_reports())
         verdict.duties_out_of_turn = sum(
-            not any(0 <= at - thaw <= _THAW_MS for thaw in thawed)
+            not any(0 <= at - thaw <= _THAW_MS for thaw in thaw_times)
             for at in cloud.out_of_turn
         )
         verdict.sent_though_blocked = count_excess_crashes(
@@ -190,7 +190,7 @@
         return verdict
 
     def _judge_one(
-        self, outcome: Outcome, verdict: Verdict, drained: dict[str, Span]
+        self, outcome: Outcome, verdict: Verdict, drain_spans: dict[str, Span]
     ) -> None:
         answer = outcome.answer
         wanted = expected(outcome.arrival)
@@ -207,7 +207,7 @@
         if failure is not None and failure.kind is _Kinds.OUTCOME_UNKNOWN:
             verdict.outcome_unknown += 1
             links = self._fleet.links
-            verdict.cut_by_planned_stop += _was_cut(answer, drained, links)
+            verdict.cut_by_planned_stop += _was_cut(answer, drain_spans, links)
         for attempt in answer.attempts:
             self._judge_attempt(outcome, attempt, verdict)
 
@@ -225,21 +225,21 @@
             verdict.non_idempotent_ran_twice += 1
             self._lose(outcome, f'ran {runs} times')
 
-    def _late_work(self, noticed: dict[str, int]) -> int:
+    def _late_work(self, notice_times: dict[str, int]) -> int:
         return sum(
-            at > noticed[guest.name] + _LEAVING_BOUND_MS
+            at > notice_times[guest.name] + _LEAVING_BOUND_MS
             for guest in self._fleet.guests
-            if guest.name in noticed
+            if guest.name in notice_times
             for at, _ in guest.upstream.app.arrivals
         )
 
     def _lose(self, outcome: Outcome, what: str) -> None:
         ids = ' '.join(a.request_id for a in outcome.answer.attempts)
-        self.lost.append(f'{ids} {what} {outcome.failure}')
+        self.problems.append(f'{ids} {what} {outcome.failure}')
 
 
 def _was_cut(
-    answer: caller_.Answer, drained: dict[str, Span], links: links_.Links
+    answer: caller_.Answer, drain_spans: dict[str, Span], links: links_.Links
 ) -> bool:
     """Return whether a planned stop broke an answer off.
 
@@ -248,12 +248,12 @@
     before it notes each request of which it kept bytes back for good.
     """
     last = answer.attempts[-1]
-    began, ended = drained.get(links.target(last.address), _NO_SPAN)
+    began, ended = drain_spans.get(links.target(last.address), _NO_SPAN)
     reason = answer.failure.reason if answer.failure else ''
     silent = last.request_id not in links.broken
     if last.error_reported:
         silent = reason == 'cut_off'
-    return silent and began <= last.ended_at <= ended + CUT_MS
+    return silent and began <= last.ended_at <= ended + DISCONNECT_WINDOW_MS
 
 
 def count_excess_crashes(
--- a/src/peridotmast/load/overhead.py
+++ b/src/peridotmast/load/overhead.py
@@ -74,7 +74,7 @@
     return found
 
 
-class NotWholeError(Exception):
+class IncompleteStreamError(Exception):
     """A stream did not come whole, so that nothing can be said of it."""
 
 
@@ -83,7 +83,7 @@
 
     Raises
     ------
-    NotWholeError
+    IncompleteStreamError
         With each one that did not come whole, and what the router decided
         on it.
     """
@@ -108,7 +108,7 @@
     ]
     spent = time.process_time() - began
     if broken:
-        raise NotWholeError(_told(fleet, broken, routed))
+        raise IncompleteStreamError(_told(fleet, broken, routed))
     us = spent / (streams * wanted) * 1e6
     return Figures(report_.percentiles(first), round(us, 1))
 
--- a/src/peridotmast/load/overload.py
+++ b/src/peridotmast/load/overload.py
@@ -77,7 +77,7 @@
 
 
 def _short(report: dict[str, ty.Any], trial: trial_.Trial) -> list[str]:
-    found = trial.verdict.broken()
+    found = trial.verdict.violated_guarantees()
     if report['goodput_share'] < _GOODPUT:
         found.append(f'goodput {report["goodput_share"]}')
     if report['first_token_ms']['p95'] > _TTFT_TARGET_MS:
--- a/src/peridotmast/load/page.py
+++ b/src/peridotmast/load/page.py
@@ -52,7 +52,7 @@
         f'{report["between_tokens_ms"]["p95"]} of '
         f'{report["targets"]["tpot_ms"]:g} ms, 95 in 100.</p>',
         _table('Figures', ((n, report[n]) for n in _FIGURES)),
-        _table('Promises broken', ((n, report[n]) for n in oracle.PROMISES)),
+        _table('Promises broken', ((n, report[n]) for n in oracle.GUARANTEES)),
         _workloads(report['workloads']),
         _table('Refusals by reason', report['refused'].items()),
         _table('Faults', report['faults'].items()),
--- a/src/peridotmast/load/costs.py
+++ b/src/peridotmast/load/profiling.py
@@ -7,7 +7,7 @@
 import typing as ty
 
 
-def timed(func: ty.Callable[[], ty.Any], times: int = 1) -> float:
+def measure_cpu_us(func: ty.Callable[[], ty.Any], times: int = 1) -> float:
     """Return the processor time of one call, in us."""
     began = time.process_time()
     for _ in range(times):
@@ -15,7 +15,7 @@
     return (time.process_time() - began) / times * 1e6
 
 
-def held(make: ty.Callable[[], ty.Any]) -> tuple[float, ty.Any]:
+def measure_allocation(make: ty.Callable[[], ty.Any]) -> tuple[float, ty.Any]:
     """Return the bytes that what `make` returns holds, and that."""
     tracemalloc.start()
     made = make()
--- a/src/peridotmast/load/slopes.py
+++ b/src/peridotmast/load/slopes.py
@@ -16,11 +16,11 @@
 from peridotmast.embedded import shape as shape_
 from peridotmast import failures
 from peridotmast import green
-from peridotmast.load import costs
 from peridotmast.load import driver as driver_
 from peridotmast.load import overhead
 from peridotmast.load import platform_calls
 from peridotmast.load import plots
+from peridotmast.load import profiling
 from peridotmast.load import report as report_
 from peridotmast.load import state_slopes
 from peridotmast.platform import config_codec
@@ -208,13 +208,13 @@
             {
                 'routes': float(count),
                 'document_bytes': float(len(json.dumps(document))),
-                'read_us': costs.timed(
+                'read_us': profiling.measure_cpu_us(
                     lambda: config_codec.read_config(document), 3
                 ),
-                'table_us': costs.timed(
+                'table_us': profiling.measure_cpu_us(
                     lambda: route_table.RouteTable(config), 3
                 ),
-                'route_us': costs.timed(
+                'route_us': profiling.measure_cpu_us(
                     lambda: table.route('peridot.example', '/route7/a/b'), 100
                 ),
             }
@@ -231,7 +231,7 @@
         rows.append(
             {
                 'engines': float(count),
-                'plan_us': costs.timed(
+                'plan_us': profiling.measure_cpu_us(
                     lambda: capacity_plan.cheapest_mix(market, count)
                 ),
             }
@@ -252,7 +252,7 @@
         rows.append(
             {
                 'series': float(count),
-                'scrape_us': costs.timed(
+                'scrape_us': profiling.measure_cpu_us(
                     lambda: prometheus_client.generate_latest(registry), 5
                 ),
             }
--- a/src/peridotmast/load/soak.py
+++ b/src/peridotmast/load/soak.py
@@ -91,16 +91,20 @@
         faults_.draw(
             seconds,
             seed,
-            among=faults_.IN_PROCESSES if processes else faults_.EMBEDDED,
+            fault_kinds=faults_.PROCESS_FAULT_KINDS
+            if processes
+            else faults_.EMBEDDED_FAULT_KINDS,
         ),
         seed,
         make_fleet=make_fleet,
     )
     report_.write(folder, trial.run(progress))
-    return trial.verdict.broken()
+    return trial.verdict.violated_guarantees()
 
 
-def command(seconds: float, seed: int, processes: bool = False) -> str:
+def reproduction_command(
+    seconds: float, seed: int, processes: bool = False
+) -> str:
     """Return the command of a run."""
     line = f'peridotmast-load soak --seconds {seconds:g} --seed {seed}'
     return f'{line} --out OUT{" --processes" * processes}'
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -6,7 +6,7 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import members as members_
-from peridotmast.load import costs
+from peridotmast.load import profiling
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import exchange as exchange_
 from peridotmast.serving import placement
@@ -46,7 +46,7 @@
     rows = []
     for count in _RECORDS:
         records = [record_of(number) for number in range(count)]
-        held, table = costs.held(lambda: _table_of(records))
+        held, table = profiling.measure_allocation(lambda: _table_of(records))
         news = record_of(0)
         news.revision = count + 1
         news.state = pb.UPSTREAM_STATE_LEAVING
@@ -57,17 +57,21 @@
             upstream_limits.UpstreamLimits(clock_.SystemClock(), 'edge-1'),
         )
         _place(places, service)
-        steady_us = costs.timed(lambda: _place(places, service), _PLACEMENTS)
-        merge_us = costs.timed(lambda: table.merge(news))
+        steady_us = profiling.measure_cpu_us(
+            lambda: _place(places, service), _PLACEMENTS
+        )
+        merge_us = profiling.measure_cpu_us(lambda: table.merge(news))
         rows.append(
             {
                 'upstreams': float(count),
                 'merge_us': merge_us,
-                'first_after_change_us': costs.timed(
+                'first_after_change_us': profiling.measure_cpu_us(
                     lambda: _place(places, service)
                 ),
                 'placement_us': steady_us,
-                'beacon_us': costs.timed(lambda: _take_loads(table), 50),
+                'beacon_us': profiling.measure_cpu_us(
+                    lambda: _take_loads(table), 50
+                ),
                 'held_bytes': held,
                 'reply_bytes': float(
                     pb.UpstreamsReply(upstreams=records).ByteSize()
@@ -146,15 +150,17 @@
 def memberships(seed: int) -> Rows:
     rows = []
     for count in _MEMBERS:
-        held, members = costs.held(lambda: _members_of(count))
+        held, members = profiling.measure_allocation(
+            lambda: _members_of(count)
+        )
         rows.append(
             {
                 'members': float(count),
-                'hear_us': costs.timed(
+                'hear_us': profiling.measure_cpu_us(
                     lambda: members.receive(_member(1)), 50
                 ),
-                'tick_us': costs.timed(members.tick, 20),
-                'resolve_us': costs.timed(members.serving, 50),
+                'tick_us': profiling.measure_cpu_us(members.tick, 20),
+                'resolve_us': profiling.measure_cpu_us(members.serving, 50),
                 'held_bytes': held,
             }
         )
@@ -191,8 +197,10 @@
             {
                 'upstreams': float(count),
                 'bytes': float(len(data)),
-                'pack_us': costs.timed(beacon.SerializeToString, _BEACONS),
-                'unpack_us': costs.timed(
+                'pack_us': profiling.measure_cpu_us(
+                    beacon.SerializeToString, _BEACONS
+                ),
+                'unpack_us': profiling.measure_cpu_us(
                     lambda: pb.Beacon.FromString(data), _BEACONS
                 ),
             }
--- a/src/peridotmast/load/trial.py
+++ b/src/peridotmast/load/trial.py
@@ -17,7 +17,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 
-def silent(line: str) -> None:
+def discard_progress(line: str) -> None:
     """Drop a line of progress."""
 
 
@@ -27,7 +27,7 @@
 
     shape: shape_.FleetShape
     arrivals: list[arrivals_.Arrival]
-    timetable: list[pb.Fault]
+    fault_schedule: list[pb.Fault]
     seed: int
     replace_ms: int = 1200
     make_fleet: ty.Callable[..., fleet_.Fleet] = fleet_.Fleet
@@ -39,9 +39,13 @@
     outcomes: list[oracle_.Outcome] = dataclasses.field(default_factory=list)
     """What the callers saw, once it has run."""
 
-    def run(self, progress: driver_.Progress = silent) -> dict[str, ty.Any]:
+    def run(
+        self, progress: driver_.Progress = discard_progress
+    ) -> dict[str, ty.Any]:
         """Run it and return its figures."""
-        kinds = {faults_.FaultKind(fault.kind) for fault in self.timetable}
+        kinds = {
+            faults_.FaultKind(fault.kind) for fault in self.fault_schedule
+        }
         proxied = not kinds.isdisjoint(faults_.LINK_MODES)
         shape = dataclasses.replace(self.shape, proxied=proxied)
         fleet = self.make_fleet(shape, self.seed)
@@ -50,14 +54,14 @@
             oracle = oracle_.Oracle(fleet)
             faults = faults_.FaultDriver(fleet, self.replace_ms)
             driver = driver_.LoadDriver(fleet, oracle, self.seed)
-            fault_task = green.spawn(faults.run, self.timetable)
+            fault_task = green.spawn(faults.run, self.fault_schedule)
             driver.run(self.arrivals, progress)
             fault_task.wait()
             faults.wait()
             self.verdict = oracle.judge(
-                faults.noticed,
-                faults.drained,
-                faults.thawed,
+                faults.notice_times,
+                faults.drain_spans,
+                faults.thaw_times,
                 faults.crash_times,
                 faults.resume_times,
                 faults.limited_engines,
@@ -80,14 +84,14 @@
             **report_.latencies(oracle.outcomes),
             'faults': dict(faults.counts),
             'crashed_engines': len(faults.crash_times),
-            'link_faults': dict(faults.links),
+            'link_faults': dict(faults.link_counts),
             'broken_by_proxy': collections.Counter(
                 fleet.links.broken.values()
             ),
-            'operator_conflicts': faults.races_lost,
+            'operator_conflicts': faults.operator_conflicts,
             'cost': round(fleet.cost(), 6),
             'store_calls': fleet.store_calls(),
-            'digest': arrivals_.digest(self.arrivals, self.timetable),
+            'digest': arrivals_.digest(self.arrivals, self.fault_schedule),
             'late_ms': driver.late_ms,
-            'lost': oracle.lost[:50],
+            'lost': oracle.problems[:50],
         }
