--- a/features/experiments.feature
+++ b/features/experiments.feature
@@ -1,7 +1,7 @@
-Feature: Experiments are checked and come out alike for one seed
+Feature: Experiment files are checked, and schedules are reproducible
 
-  Scenario: All findings of an experiment file come together
-    When this experiment is checked
+  Scenario: All findings of an experiment file are reported at once
+    When this experiment file is checked
       """
       [run]
       seconds = soon
@@ -17,25 +17,25 @@
       service = toaster
       rate = 1
       """
-    Then the experiment's findings name
-      | text                       |
-      | seconds = soon             |
-      | work: one of interactive   |
-      | tokens_max is below        |
-      | kind: one of               |
-      | the stand-in has booking   |
+    Then the findings of the experiment file contain
+      | text                               |
+      | seconds = soon                     |
+      | work: must be one of interactive   |
+      | tokens_max is below                |
+      | kind: must be one of               |
+      | the stand-ins provide only booking |
 
-  Scenario: The experiments that come with the project are good
-    Then "kalnins" and "wadi-noor" have no findings
+  Scenario: The bundled experiment files are valid
+    Then the experiment files "kalnins" and "wadi-noor" have no findings
 
   Scenario: The same seed gives the same arrivals and faults
-    Then seed 7 gives one digest twice, and seed 8 another
+    Then seed 7 gives the same digest twice, and seed 8 a different one
 
-  Scenario: Every kind of fault is on a soak's timetable
-    Then seeds 1 to 20 have each kind of fault at least once
+  Scenario: The schedule of a soak contains all kinds of faults
+    Then the schedules of seeds 1 to 20 contain each kind of fault
 
   Scenario Outline: Engine crashes caused by a blocked request are limited
-    # Guards against soaks that pass although blocked requests are sent.
+    # Guards against soaks that pass although routers send blocked requests.
     When one request crashes engines at <crashes> ms, and routers start at <starts> ms
     Then <count> crashes exceed the limit
 
@@ -48,12 +48,12 @@
       | 0 100 200 1300 1400 1500 1600 1700          | 500 1250 | 1     |
       | 1700 0 1600 100 1500 200 1400 1300          | 500      | 2     |
 
-  Scenario Outline: Requests to an engine that states a limit are limited
-    # Guards against soaks that pass although limits are exceeded.
-    Given an engine that states a limit of 1 request per second from 0 to 10000 ms
-    When it receives <count> requests from <first> ms, <interval> ms apart
+  Scenario Outline: Requests to an engine that advertises a limit are limited
+    # Guards against soaks that pass although routers exceed limits.
+    Given an engine that advertises a limit of 1 request per second from 0 to 10000 ms
+    When the engine receives <count> requests from <first> ms, <interval> ms apart
     And all routers are killed at <killed> ms
-    Then its limit is <outcome>
+    Then the engine's limit is <outcome>
 
     Examples:
       | count | first | interval | killed | outcome   |
--- a/features/overhead.feature
+++ b/features/overhead.feature
@@ -1,22 +1,22 @@
-Feature: What a router adds is measured on whole answers only
+Feature: The overhead of a router is measured on complete streams only
 
-  Scenario: Whole answers are measured
-    Given one router and engines that answer whole
-    When what the router adds is measured on 4 streams
+  Scenario: Complete streams are measured
+    Given one router and engines without faults
+    When the router's overhead is measured with 4 streams
     Then 4 first events are measured
 
-  Scenario Outline: A stream that is not whole is told of, with what the router did
+  Scenario Outline: An incomplete stream is reported with the router's decisions
     Given one router and engines that <fault> every answer
-    When what the router adds is measured on 4 streams
-    Then it ends with an error that says "<told>" and how far the stream came
-    And the error has the router's decisions on that request
+    When the router's overhead is measured with 4 streams
+    Then the measurement fails with "<error>" and the progress of the stream
+    And the error contains the router's decisions on that request
 
     Examples:
-      | fault  | told      |
+      | fault  | error     |
       | cut    | broke_off |
       | refuse | 503       |
 
-  Scenario: A stream that is not whole is told of where no router is in its way
+  Scenario: An incomplete stream is reported without a router in the path
     Given one router and engines that cut every answer
-    When the streams that the router is compared with are measured
-    Then it ends with an error that says "broke_off" and how far the stream came
+    When 4 streams directly to the engines are measured
+    Then the measurement fails with "broke_off" and the progress of the stream
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,5 +1,5 @@
-Feature: Routers that are processes keep their promises under random faults
+Feature: Router processes keep the guarantees under random load and faults
 
-  Scenario: Every kind of fault within a quarter of a minute
-    When 15 s of random load and faults with seed 5 are run on processes
-    Then no promise is broken and every kind of fault was brought about
+  Scenario: A soak of 15 s injects all kinds of faults
+    When a soak of 15 s with seed 5 is run with router processes
+    Then no guarantee is violated and each kind of fault was injected
--- a/features/steps/experiment_steps.py
+++ b/features/steps/experiment_steps.py
@@ -1,4 +1,4 @@
-"""Steps of experiment files, arrivals and timetables."""
+"""Steps for experiment files, arrivals and fault schedules."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 EXPERIMENTS = pathlib.Path(__file__).parents[2] / 'experiments'
 
 
-@when('this experiment is checked')
+@when('this experiment file is checked')
 def check_experiment(context):
     path = f'{context.folder}/e.ini'
     with open(path, 'w') as file:
@@ -26,49 +26,53 @@
     _, context.found = experiment.load(path)
 
 
-@then("the experiment's findings name")
-def findings_name(context):
+@then('the findings of the experiment file contain')
+def check_findings(context):
     text = str(context.found)
     for row in context.table:
         assert row['text'] in text, (row['text'], text)
 
 
-@then('"{first}" and "{second}" have no findings')
-def no_findings(context, first, second):
+@then('the experiment files "{first}" and "{second}" have no findings')
+def check_no_findings(context, first, second):
     for name in (first, second):
         _, found = experiment.load(str(EXPERIMENTS / f'{name}.ini'))
         assert not found, str(found)
 
 
 def digest(seed):
-    drawn = arrivals.draw(soak.WORKLOADS, 20, seed)
-    return arrivals.digest(drawn, faults.draw(20, seed))
+    requests = arrivals.draw(soak.WORKLOADS, 20, seed)
+    return arrivals.digest(requests, faults.draw(20, seed))
 
 
-@then('seed {one:d} gives one digest twice, and seed {other:d} another')
-def same_digest(context, one, other):
+@then(
+    'seed {one:d} gives the same digest twice, and seed {other:d} a different'
+    ' one'
+)
+def check_digests(context, one, other):
     assert digest(one) == digest(one) != digest(other)
 
 
-@then('seeds {first:d} to {last:d} have each kind of fault at least once')
-def each_kind(context, first, last):
+@then(
+    'the schedules of seeds {first:d} to {last:d} contain each kind of fault'
+)
+def check_fault_kinds(context, first, last):
     for fault_kinds in (
         faults.EMBEDDED_FAULT_KINDS,
         faults.PROCESS_FAULT_KINDS,
     ):
-        wanted = {kind.value for kind in fault_kinds}
+        expected = {kind.value for kind in fault_kinds}
         for seed in range(first, last + 1):
-            drawn = faults.draw(40, seed, fault_kinds=fault_kinds)
-            assert {fault.kind for fault in drawn} == wanted
+            schedule = faults.draw(40, seed, fault_kinds=fault_kinds)
+            assert {fault.kind for fault in schedule} == expected
     assert set(faults.PROCESS_FAULT_KINDS) == set(faults.FaultKind)
 
 
 @when(
-    '{seconds:d} s of random load and faults with seed {seed:d} are run on'
-    ' processes'
+    'a soak of {seconds:d} s with seed {seed:d} is run with router processes'
 )
 def run_on_processes(context, seconds, seed):
-    context.broken = soak.run(
+    context.violations = soak.run(
         seconds, seed, context.folder, lambda line: None, processes=True
     )
     context.command = soak.reproduction_command(seconds, seed, processes=True)
@@ -76,10 +80,14 @@
         context.report = json.load(file)
 
 
-@then('no promise is broken and every kind of fault was brought about')
-def none_broken(context):
-    lost = context.report['lost']
-    assert not context.broken, (context.command, context.broken, lost)
+@then('no guarantee is violated and each kind of fault was injected')
+def check_soak(context):
+    problems = context.report['lost']
+    assert not context.violations, (
+        context.command,
+        context.violations,
+        problems,
+    )
     kinds = {kind.value for kind in faults.FaultKind}
     assert set(context.report['faults']) == kinds, context.report['faults']
     assert context.report['answered_whole'], context.report
@@ -105,15 +113,16 @@
 
 
 @given(
-    'an engine that states a limit of {rate:d} request per second from'
+    'an engine that advertises a limit of {rate:d} request per second from'
     ' {first:d} to {last:d} ms'
 )
-def engine_states_limit(context, rate, first, last):
+def engine_advertises_limit(context, rate, first, last):
     context.rate, context.span = rate, (first, last)
 
 
 @when(
-    'it receives {count:d} requests from {first:d} ms, {interval:d} ms apart'
+    'the engine receives {count:d} requests from {first:d} ms,'
+    ' {interval:d} ms apart'
 )
 def engine_receives_requests(context, count, first, interval):
     context.arrival_times = [first + n * interval for n in range(count)]
@@ -124,7 +133,7 @@
     context.kill_all_times = [at]
 
 
-@then('its limit is {outcome}')
+@then("the engine's limit is {outcome}")
 def check_limit_outcome(context, outcome):
     exceeds = oracle.exceeds_limit(
         context.arrival_times,
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps of explanations from logs."""
+"""Steps for explanations of late and failed requests from logs."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from peridotmast.load import explain
 
 TARGET_MS = 600
-STAMP = '2026-03-15T06:00:{:02}.000000Z'
+TIMESTAMP = '2026-03-15T06:00:{:02}.000000Z'
 
 
-def line(context, event, request, **values):
+def add_line(context, event, request, **values):
     number = next(context.numbers)
     pairs = ' '.join(f'{name}={value}' for name, value in values.items())
-    stamp = STAMP.format(number % 60)
+    timestamp = TIMESTAMP.format(number % 60)
     context.lines.append(
-        f'timestamp={stamp} level=info event={event} program=request '
+        f'timestamp={timestamp} level=info event={event} program=request '
         f'request={request} {pairs}'
     )
 
 
-def attempt(context, request, **values):
-    given_ = {
+def add_attempt(context, request, **values):
+    defaults = {
         'upstream': 'u-1',
         'home': 'False',
         'running': 0,
@@ -35,11 +35,13 @@
         'shared': 0,
         'outcome': 200,
     }
-    line(context, 'attempt', request, route='chat', **{**given_, **values})
+    add_line(
+        context, 'attempt', request, route='chat', **{**defaults, **values}
+    )
 
 
-def answered(context, request, first_ms, status=200):
-    line(
+def add_answer(context, request, first_ms, status=200):
+    add_line(
         context,
         'answered',
         request,
@@ -51,84 +53,84 @@
 
 
 @given(
-    'a log of {count:d} requests that idle engines read at {speed:d} tokens a'
-    ' ms'
+    'a log of {count:d} requests whose prompts idle engines read at {speed:d}'
+    ' tokens per ms'
 )
-def log_of(context, count, speed):
+def make_log(context, count, speed):
     context.lines = []
     context.numbers = itertools.count()
     for number in range(count):
-        attempt(context, f'r-{number}')
-        answered(context, f'r-{number}', 3000 // speed)
+        add_attempt(context, f'r-{number}')
+        add_answer(context, f'r-{number}', 3000 // speed)
 
 
-WHAT = {
-    'a refusal': lambda c: line(c, 'refused', 'odd', reason='team_limit'),
-    'a stream that broke': lambda c: (
-        attempt(c, 'odd'),
-        line(c, 'stream_broke', 'odd', upstream='u-1'),
+LOG_EVENTS = {
+    'a refusal': lambda c: add_line(c, 'refused', 'last', reason='team_limit'),
+    'a broken stream': lambda c: (
+        add_attempt(c, 'last'),
+        add_line(c, 'stream_broke', 'last', upstream='u-1'),
     ),
-    'an answer of 500': lambda c: (
-        attempt(c, 'odd', outcome=500),
-        answered(c, 'odd', 50, status=500),
+    'a response with status 500': lambda c: (
+        add_attempt(c, 'last', outcome=500),
+        add_answer(c, 'last', 50, status=500),
     ),
     'two attempts and a first event after 900 ms': lambda c: (
-        attempt(c, 'odd', outcome='silent'),
-        attempt(c, 'odd', upstream='u-2'),
-        answered(c, 'odd', 900),
+        add_attempt(c, 'last', outcome='silent'),
+        add_attempt(c, 'last', upstream='u-2'),
+        add_answer(c, 'last', 900),
     ),
-    '64 of 64 places taken and a first event after 900 ms': lambda c: (
-        attempt(c, 'odd', running=64),
-        answered(c, 'odd', 900),
+    '64 of 64 slots in use and a first event after 900 ms': lambda c: (
+        add_attempt(c, 'last', running=64),
+        add_answer(c, 'last', 900),
     ),
-    '20000 tokens of its own and a first event after 900 ms': lambda c: (
-        attempt(c, 'odd', tokens=20000),
-        answered(c, 'odd', 900),
+    'a prompt of 20000 tokens and a first event after 900 ms': lambda c: (
+        add_attempt(c, 'last', tokens=20000),
+        add_answer(c, 'last', 900),
     ),
-    '15000 tokens before it and a first event after 900 ms': lambda c: (
-        attempt(c, 'odd', unread=15000, tokens=500),
-        answered(c, 'odd', 900),
+    'a backlog of 15000 tokens and a first event after 900 ms': lambda c: (
+        add_attempt(c, 'last', unread=15000, tokens=500),
+        add_answer(c, 'last', 900),
     ),
-    'an engine that reads 5 tokens a ms and a first event after 900 ms': (
+    'an engine that reads 5 tokens per ms and a first event after 900 ms': (
         lambda c: (
             [
                 (
-                    attempt(c, f's-{n}', upstream='slow', tokens=1000),
-                    answered(c, f's-{n}', 200),
+                    add_attempt(c, f's-{n}', upstream='slow', tokens=1000),
+                    add_answer(c, f's-{n}', 200),
                 )
                 for n in range(6)
             ],
-            attempt(c, 'odd', upstream='slow', tokens=4500),
-            answered(c, 'odd', 900),
+            add_attempt(c, 'last', upstream='slow', tokens=4500),
+            add_answer(c, 'last', 900),
         )
     ),
-    'nothing before it and a first event after 900 ms': lambda c: (
-        attempt(c, 'odd', tokens=500),
-        answered(c, 'odd', 900),
+    'no backlog and a first event after 900 ms': lambda c: (
+        add_attempt(c, 'last', tokens=500),
+        add_answer(c, 'last', 900),
     ),
 }
 
 
-@given('one more request with {what}')
-def one_more(context, what):
-    WHAT[what](context)
+@given('one more request with {event}')
+def add_request(context, event):
+    LOG_EVENTS[event](context)
 
 
-def explained(context):
+def explain_log(context):
     path = os.path.join(context.folder, 'router.log')
     with open(path, 'w', encoding='utf-8') as file:
-        file.write('\n'.join([*context.lines, 'a line of no event']))
+        file.write('\n'.join([*context.lines, 'a line without an event']))
     return explain.run([path], context.folder)
 
 
-@then('it is explained as {cause}')
-def is_explained(context, cause):
-    found = explained(context)
-    assert any(row.startswith(cause) for row in found), found
+@then('that request is explained as {cause}')
+def check_cause(context, cause):
+    lines = explain_log(context)
+    assert any(row.startswith(cause) for row in lines), lines
     assert os.path.exists(os.path.join(context.folder, 'losses.png'))
 
 
-@then('nothing is explained, and the table says {count:d} requests')
-def nothing_explained(context, count):
-    found = explained(context)
-    assert found[0] == f'{count} requests, 0 late or lost', found
+@then('no request is explained, and the table counts {count:d} requests')
+def check_no_cause(context, count):
+    lines = explain_log(context)
+    assert lines[0] == f'{count} requests, 0 late or failed', lines
--- a/features/steps/overhead_steps.py
+++ b/features/steps/overhead_steps.py
@@ -1,4 +1,4 @@
-"""Steps that measure what a router adds."""
+"""Steps for measurements of the overhead of a router."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from peridotmast.standin import engine
 
 
-def start(context):
+def start_fleet(context):
     shape = shape_.FleetShape(
         routers=1,
         domains=2,
@@ -26,19 +26,19 @@
     context.fleet.start()
 
 
-@given('one router and engines that answer whole')
-def whole(context):
-    start(context)
+@given('one router and engines without faults')
+def start_without_faults(context):
+    start_fleet(context)
 
 
 @given('one router and engines that {fault} every answer')
-def faulty(context, fault):
-    start(context)
+def start_with_fault(context, fault):
+    start_fleet(context)
     for guest in context.fleet.running(shape_.ENGINES):
         guest.upstream.app.faults[fault] = 1
 
 
-@when('what the router adds is measured on {streams:d} streams')
+@when("the router's overhead is measured with {streams:d} streams")
 def measure(context, streams, routed=True):
     context.figures = context.error = None
     try:
@@ -47,25 +47,25 @@
         context.error = exc
 
 
-@when('the streams that the router is compared with are measured')
+@when('4 streams directly to the engines are measured')
 def measure_direct(context):
     measure(context, 4, routed=False)
 
 
 @then('{count:d} first events are measured')
-def measured(context, count):
+def check_first_events(context, count):
     assert context.error is None, context.error
     assert context.figures.first_event_ms['count'] == count, context.figures
 
 
-@then('it ends with an error that says "{told}" and how far the stream came')
-def tells(context, told):
+@then('the measurement fails with "{error}" and the progress of the stream')
+def check_error(context, error):
     text = str(context.error)
-    assert told in text, (text, context.figures)
+    assert error in text, (text, context.figures)
     assert re.search(r'overhead-\d+-\d+: .* after \d+ events, \d+ ms', text)
 
 
-@then("the error has the router's decisions on that request")
-def tells_decisions(context):
+@then("the error contains the router's decisions on that request")
+def check_decisions(context):
     text = str(context.error)
     assert 'attempt ' in text and 'upstream=engine-' in text, text
--- a/src/peridotmast/load/__init__.py
+++ b/src/peridotmast/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load, faults, oracle and reports: how the promises are measured."""
+"""Load generation, fault injection, checks of the guarantees, reports."""
--- a/src/peridotmast/load/arrivals.py
+++ b/src/peridotmast/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals from a seed: open loop, the same for the same seed."""
+"""Random arrivals for open-loop load, reproducible by their seed."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """One request that will be sent."""
+    """One request to send."""
 
     at_ms: int
-    """When, in ms from the start."""
+    """Time of the request, in ms from the start of the run."""
     number: int
     workload: str
     team: str
@@ -35,38 +35,39 @@
 def draw(
     workloads: ty.Iterable[pb.Workload], seconds: float, seed: int
 ) -> list[Arrival]:
-    """Return the arrivals of `seconds` seconds, in order of time."""
-    found: list[Arrival] = []
+    """Return the arrivals of a run of `seconds` seconds, in order of time."""
+    arrivals: list[Arrival] = []
     for workload in workloads:
-        # A generator for each: one workload's draws don't move another's.
-        draws = random.Random(f'{seed}|{workload.name}')
+        # Each workload has its own generator, so that a change to one does
+        # not change the arrivals of another.
+        rng = random.Random(f'{seed}|{workload.name}')
         ends = min(seconds, workload.closes_at)
         at = workload.opens_at
         while workload.rate > 0:
-            at += draws.expovariate(workload.rate)
+            at += rng.expovariate(workload.rate)
             if at >= ends:
                 break
-            found.append(_draw_one(workload, draws, at, len(found)))
-    found.sort(key=lambda arrival: (arrival.at_ms, arrival.number))
-    return found
+            arrivals.append(_draw_arrival(workload, rng, at, len(arrivals)))
+    arrivals.sort(key=lambda arrival: (arrival.at_ms, arrival.number))
+    return arrivals
 
 
 def digest(arrivals: ty.Iterable[Arrival], faults: ty.Iterable[ty.Any]) -> str:
-    """Return a digest by which two runs are known to be alike."""
+    """Return a digest that is equal for runs with the same schedule."""
     state = hashlib.blake2b(digest_size=8)
     for item in (*arrivals, *faults):
         state.update(repr(item).encode())
     return state.hexdigest()
 
 
-def _draw_one(
-    workload: pb.Workload, draws: random.Random, at: float, number: int
+def _draw_arrival(
+    workload: pb.Workload, rng: random.Random, at: float, number: int
 ) -> Arrival:
-    group = draws.randrange(workload.groups)
+    group = rng.randrange(workload.groups)
     shared = random.Random(f'{workload.name}|{group}')
     words = [
         *(shared.choice(_WORDS) for _ in range(workload.shared_words)),
-        *(draws.choice(_WORDS) for _ in range(workload.prompt_words)),
+        *(rng.choice(_WORDS) for _ in range(workload.prompt_words)),
     ]
     return Arrival(
         int(at * 1000),
@@ -76,7 +77,7 @@
         workload.work,
         workload.service,
         f'{" ".join(words)} {workload.name} {number}',
-        draws.randint(workload.tokens_min, workload.tokens_max),
+        rng.randint(workload.tokens_min, workload.tokens_max),
         workload.idempotent,
         workload.deadline_ms,
     )
--- a/src/peridotmast/load/compare.py
+++ b/src/peridotmast/load/compare.py
@@ -1,4 +1,4 @@
-"""This policy against the baseline, under the same arrivals and faults."""
+"""Comparison of the routing policies under the same load and faults."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 )  # fmt: skip
 
 POLICIES = ('scored', 'least_loaded', 'round_robin')
-"""Routing policies, as settings name them."""
+"""Routing policies, by their names in the settings."""
 
 
 def run(seed: int, folder: str, progress: driver_.Progress) -> list[str]:
-    """Run all policies, write report and plot, return what fell short."""
+    """Run all policies, write report and plot, and return the violations."""
     arrivals = arrivals_.draw(WORKLOADS, SECONDS, seed)
-    # What runs first in a process is slower: a short run takes that part.
+    # The first run in a process is slower, so a short run comes first.
     progress('warm-up')
     warm_up = arrivals_.draw(WORKLOADS, _WARM_UP_S, seed)
     trial_.Trial(soak.shape(), warm_up, [], seed).run()
@@ -57,7 +57,7 @@
         progress(f'policy {policy}')
         trial = trial_.Trial(soak.shape(policy), arrivals, list(FAULTS), seed)
         results[policy] = trial.run()
-    ours, base = results['scored'], results['round_robin']
+    scored, baseline = results['scored'], results['round_robin']
     report_.write(folder, results)
     names = list(POLICIES)
     plots.bars(
@@ -72,12 +72,17 @@
             ],
         },
     )
-    return _short(ours, base)
+    return _find_violations(scored, baseline)
 
 
-def _short(ours: dict[str, ty.Any], base: dict[str, ty.Any]) -> list[str]:
-    found = []
-    first, other = ours['first_token_ms'], base['first_token_ms']
+def _find_violations(
+    scored: dict[str, ty.Any], baseline: dict[str, ty.Any]
+) -> list[str]:
+    violations = []
+    first, other = scored['first_token_ms'], baseline['first_token_ms']
     if first['p95'] > other['p95']:
-        found.append(f'first_token p95 {first["p95"]} > {other["p95"]}')
-    return found
+        violations.append(
+            'first token p95 in ms, scored against round_robin: '
+            f'{first["p95"]} > {other["p95"]}'
+        )
+    return violations
--- a/src/peridotmast/load/driver.py
+++ b/src/peridotmast/load/driver.py
@@ -1,4 +1,4 @@
-"""Sends arrivals to a fleet, open loop, and hands outcomes to the oracle."""
+"""An open-loop load generator that passes outcomes to the oracle."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from peridotmast.load import oracle as oracle_
 
 Progress = ty.Callable[[str], None]
+"""Called with each progress message."""
 
-_CALLERS = 12
+_CALLERS_PER_TEAM = 12
 
 
 class LoadDriver:
-    """Sends each arrival at its time, whatever became of the others.
+    """Sends each request at its scheduled time, without regard to the others.
 
     Parameters
     ----------
     fleet : fleet.Fleet
-        Whom to ask.
+        Fleet that receives the requests.
     oracle : oracle.Oracle
-        Whom to tell.
+        Oracle that receives the outcomes.
     seed : int
-        Seed of the callers' choices.
+        Seed of the callers' random choices.
     """
 
     def __init__(
@@ -36,33 +37,35 @@
         self._oracle = oracle
         self._seed = seed
         self._callers: dict[str, caller_.Caller] = {}
-        self._turns = itertools.count()
+        self._send_counter = itertools.count()
         self._tasks: list[ty.Any] = []
         self.late_ms = 0
-        """How late the latest arrival was sent, in ms."""
+        """Maximum delay of a request beyond its scheduled time, in ms."""
 
     def run(
         self,
         arrivals: ty.Iterable[arrivals_.Arrival],
         progress: Progress = lambda line: None,
     ) -> None:
-        """Send everything and wait for all outcomes."""
+        """Send all requests and wait for their outcomes."""
         began = self._fleet.clock.now()
-        said = 0
+        last_second = 0
         for arrival in arrivals:
             due = began + arrival.at_ms
             green.sleep_ms(max(0, due - self._fleet.clock.now()))
             self.late_ms = max(self.late_ms, self._fleet.clock.now() - due)
             self._tasks.append(green.spawn(self._send, arrival))
-            if arrival.at_ms // 1000 > said:
-                said = arrival.at_ms // 1000
+            if arrival.at_ms // 1000 > last_second:
+                last_second = arrival.at_ms // 1000
                 ended = len(self._oracle.outcomes)
-                progress(f'{said} s  sent {len(self._tasks)}  ended {ended}')
+                progress(
+                    f'{last_second} s  sent {len(self._tasks)}  ended {ended}'
+                )
         for task in self._tasks:
             task.wait()
 
     def _send(self, arrival: arrivals_.Arrival) -> None:
-        caller = self._caller(arrival.team)
+        caller = self._next_caller(arrival.team)
         if arrival.service:
             answer = caller.call(
                 arrival.service,
@@ -82,9 +85,9 @@
             )
         self._oracle.add(oracle_.Outcome(arrival, answer))
 
-    def _caller(self, team: str) -> caller_.Caller:
-        """Return one of a few callers of `team`, in turn."""
-        number = next(self._turns) % _CALLERS
+    def _next_caller(self, team: str) -> caller_.Caller:
+        """Return a caller of `team`, with the callers in rotation."""
+        number = next(self._send_counter) % _CALLERS_PER_TEAM
         name = f'{team}-{number}'
         if name not in self._callers:
             domain = self._fleet.domains[number % len(self._fleet.domains)]
--- a/src/peridotmast/load/event.py
+++ b/src/peridotmast/load/event.py
@@ -1,4 +1,4 @@
-"""A live event's opening: the planner, a fixed fleet, a reactive one."""
+"""Start of an announced event: planned, fixed and reactive capacity."""
 
 from __future__ import annotations
 
@@ -17,29 +17,32 @@
 from peridotmast.standin import engine
 
 _LEAD_S = 7.0
-_OPEN_S = 8.0
+"""Time from the start of the run to the start of the event."""
+_EVENT_S = 8.0
 _TAIL_S = 3.0
+"""Time after the event for which capacity is still paid."""
 _NOTICE_MS = 800
 _STEP_MS = 20.0
 _BATCH = 16
 _READ_PER_STEP = 64
 _BOOT_MS = 1500
 _PROMPT_WORDS = 120
-_ENGINE_TOKENS = _READ_PER_STEP / _STEP_MS * 1000 * 0.45
-"""Prompt tokens a second that one engine reads beside its streams."""
-_PEAK = 4
-"""Engines that carry the event."""
+_ENGINE_TOKENS_PER_S = _READ_PER_STEP / _STEP_MS * 1000 * 0.45
+"""Prompt tokens that one engine reads per second while it generates."""
+_PEAK_ENGINES = 4
+"""Number of engines that the load of the event needs."""
 _TTFT_TARGET_MS = 1300
-_MOST_COST = 0.7
+_MAX_COST_SHARE = 0.7
+"""Maximum cost of planned capacity, as a share of that of fixed capacity."""
 
 DOCUMENT = f"""
 [model draft-7b]
 route = chat
-vm_tokens_per_second = {_ENGINE_TOKENS:.0f}
+vm_tokens_per_second = {_ENGINE_TOKENS_PER_S:.0f}
 
 [policy]
 scaling = {{scaling}}
-tokens_per_second = {_ENGINE_TOKENS:.0f}
+tokens_per_second = {_ENGINE_TOKENS_PER_S:.0f}
 headroom = 1.0
 warmup_ms = 500
 margin_ms = 1000
@@ -56,7 +59,7 @@
 
 
 class _Run:
-    """One way of holding capacity, under the same load and loss."""
+    """A run with one way to provide capacity; load and faults are the same."""
 
     def __init__(self, name: str, scaling: str, engines: int) -> None:
         self.name = name
@@ -79,65 +82,72 @@
         )
         self.fleet = fleet_.Fleet(shape, 1)
         self.capacity: list[tuple[float, float]] = []
-        """Engines that are paid for, by second of the run."""
+        """Number of paid engines by time, in s from the start of the run."""
 
-    def play(
+    def run(
         self, arrivals: list[arrivals_.Arrival], seed: int
     ) -> dict[str, ty.Any]:
-        """Play the opening and return its figures."""
+        """Run the load and return the measurements."""
         fleet = self.fleet
         fleet.start()
         green.sleep_ms(3000)
         began = fleet.clock.now()
-        opens = began + int(_LEAD_S * 1000)
+        event_start = began + int(_LEAD_S * 1000)
         if self.name == 'planned':
-            self._declare()
+            self._declare_event()
         before = fleet.cost()
         oracle = oracle_.Oracle(fleet)
         tasks = [
-            green.spawn(self._lose_domain),
-            green.spawn(self._watch, began),
+            green.spawn(self._reclaim_domain),
+            green.spawn(self._record_capacity, began),
         ]
         driver_.LoadDriver(fleet, oracle, seed).run(arrivals)
-        ends = began + (_LEAD_S + _OPEN_S + _TAIL_S) * 1000
-        green.sleep_ms(max(0, ends - fleet.clock.now()))
+        run_end = began + (_LEAD_S + _EVENT_S + _TAIL_S) * 1000
+        green.sleep_ms(max(0, run_end - fleet.clock.now()))
         for task in tasks:
             task.kill()
         cost = fleet.cost() - before
         fleet.stop()
-        return {**_figures(oracle.outcomes, opens), 'cost': round(cost, 6)}
+        return {
+            **_summarize(oracle.outcomes, event_start),
+            'cost': round(cost, 6),
+        }
 
-    def _declare(self) -> None:
+    def _declare_event(self) -> None:
         event = EVENT.format(
             start=self.fleet.clock.wall() + int(_LEAD_S * 1000),
-            duration=int(_OPEN_S * 1000),
-            load=_ENGINE_TOKENS * _PEAK,
+            duration=int(_EVENT_S * 1000),
+            load=_ENGINE_TOKENS_PER_S * _PEAK_ENGINES,
         )
         self.fleet.write_document(self.fleet.shape.document + event)
 
-    def _lose_domain(self) -> None:
-        """Take a failure domain's reclaimable engines after the opening."""
+    def _reclaim_domain(self) -> None:
+        """Reclaim engines of one failure domain 1 s after the event starts.
+
+        It is the domain with the most reclaimable engines; afterwards no
+        domain offers reclaimable engines.
+        """
         green.sleep_ms((_LEAD_S + 1.0) * 1000)
-        taken = [
+        domains = [
             guest.record.upstream.failure_domain
             for guest in self.fleet.running(shape_.ENGINES)
             if guest.record.reclaimable
         ]
-        if taken:
+        if domains:
             self.fleet.dry.update(self.fleet.domains)
-            self.fleet.reclaim(max(taken, key=taken.count), _NOTICE_MS)
+            self.fleet.reclaim(max(domains, key=domains.count), _NOTICE_MS)
 
-    def _watch(self, began: int) -> None:
+    def _record_capacity(self, began: int) -> None:
         while True:
-            count = len(self.fleet.running(shape_.ENGINES))
+            engines = len(self.fleet.running(shape_.ENGINES))
             second = (self.fleet.clock.now() - began) / 1000
-            self.capacity.append((second, count))
+            self.capacity.append((second, engines))
             green.sleep_ms(100)
 
 
 def run(seed: int, folder: str, progress: driver_.Progress) -> list[str]:
-    """Run the three, write report and plot, return what fell short."""
-    arrivals = arrivals_.draw(_workloads(), _LEAD_S + _OPEN_S, seed)
+    """Run all three, write report and plot, and return the violated limits."""
+    arrivals = arrivals_.draw(_workloads(), _LEAD_S + _EVENT_S, seed)
     report: dict[str, ty.Any] = {'ttft_target_ms': _TTFT_TARGET_MS}
     series = {}
     for name, scaling, engines in (
@@ -147,55 +157,63 @@
     ):
         progress(f'{name} capacity')
         trial = _Run(name, scaling, engines)
-        report[name] = trial.play(arrivals, seed)
+        report[name] = trial.run(arrivals, seed)
         series[name] = tuple(zip(*trial.capacity))
     share = report['planned']['cost'] / report['fixed']['cost']
     report['cost_share_of_fixed'] = round(share, 3)
     report_.write(folder, report)
     plots.lines(
         os.path.join(folder, 'event.png'),
-        'Engines paid for around the opening',
+        'Paid engines around the start of the event',
         series,
-        'seconds of the run',
+        'time in s',
         'engines',
     )
-    found = []
+    violations = []
     if not report['planned']['meets_target']:
-        found.append(f'target: {report["planned"]}')
-    if share > _MOST_COST:
-        found.append(f'cost is {share:.2f} of the fixed one')
-    return found
+        violations.append(
+            f'planned capacity misses the target: {report["planned"]}'
+        )
+    if share > _MAX_COST_SHARE:
+        violations.append(
+            f'planned capacity costs {share:.2f} of fixed capacity'
+        )
+    return violations
 
 
 def _workloads() -> list[pb.Workload]:
-    rate = _ENGINE_TOKENS / _PROMPT_WORDS
+    rate = _ENGINE_TOKENS_PER_S / _PROMPT_WORDS
     return [
         _workload('base', rate * 0.8, 0.0),
-        _workload('parents', rate * (_PEAK - 0.8), _LEAD_S),
+        _workload('parents', rate * (_PEAK_ENGINES - 0.8), _LEAD_S),
     ]
 
 
-def _workload(name: str, rate: float, opens: float) -> pb.Workload:
+def _workload(name: str, rate: float, opens_at: float) -> pb.Workload:
     return pb.Workload(
         name=name, team='noor', work='interactive', rate=rate,
         tokens_min=8, tokens_max=16, prompt_words=_PROMPT_WORDS,
         shared_words=0, groups=1, idempotent=True, deadline_ms=8000,
-        opens_at=opens, closes_at=3600,
+        opens_at=opens_at, closes_at=3600,
     )  # fmt: skip
 
 
-def _figures(outcomes: list[oracle_.Outcome], opens: int) -> dict[str, ty.Any]:
-    opened = [o for o in outcomes if o.answer.started_at >= opens]
-    early = [o for o in opened if o.answer.started_at < opens + 1000]
-    whole = report_.latencies(opened)['first_token_ms']
-    first = report_.latencies(early)['first_token_ms']
-    failed = sum(o.failure is not None for o in opened)
+def _summarize(
+    outcomes: list[oracle_.Outcome], event_start: int
+) -> dict[str, ty.Any]:
+    in_event = [o for o in outcomes if o.answer.started_at >= event_start]
+    first_second = [
+        o for o in in_event if o.answer.started_at < event_start + 1000
+    ]
+    latencies = report_.latencies(in_event)['first_token_ms']
+    first = report_.latencies(first_second)['first_token_ms']
+    failed = sum(o.failure is not None for o in in_event)
     return {
-        'requests': len(opened),
+        'requests': len(in_event),
         'failed': failed,
-        'ttft_p95_ms': whole['p95'],
+        'ttft_p95_ms': latencies['p95'],
         'first_second_ttft_p95_ms': first['p95'],
         'meets_target': not failed
-        and whole['p95'] <= _TTFT_TARGET_MS
+        and latencies['p95'] <= _TTFT_TARGET_MS
         and first['p95'] <= _TTFT_TARGET_MS,
     }
--- a/src/peridotmast/load/experiment.py
+++ b/src/peridotmast/load/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments from INI files: a fleet, workloads, faults, a report."""
+"""Experiments that an INI file describes: fleet, workloads and faults."""
 
 from __future__ import annotations
 
@@ -19,29 +19,36 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.standin import engine
 
-_WORKS = ('interactive', 'standard', 'draft')
+_WORK_KINDS = ('interactive', 'standard', 'draft')
 _SERVICES = ('', 'booking')
 
 
 def load(path: str) -> tuple[pb.ExperimentFile, findings_.Findings]:
-    """Read and check the experiment at `path`."""
-    experiment, found = ini.load_file(path, pb.ExperimentFile)
+    """Read the experiment at `path` and return it with the findings."""
+    experiment, findings = ini.load_file(path, pb.ExperimentFile)
     kinds = [kind.value for kind in faults_.FaultKind]
     for fault in experiment.faults:
         if fault.kind and fault.kind not in kinds:
-            text = f'[fault {fault.name}] kind: one of {", ".join(kinds)}'
-            found.add(path, text)
+            text = (
+                f'[fault {fault.name}] kind: must be one of {", ".join(kinds)}'
+            )
+            findings.add(path, text)
     for workload in experiment.workloads:
-        place = f'[workload {workload.name}]'
-        if workload.work not in _WORKS:
-            found.add(path, f'{place} work: one of {", ".join(_WORKS)}')
+        section = f'[workload {workload.name}]'
+        if workload.work not in _WORK_KINDS:
+            findings.add(
+                path,
+                f'{section} work: must be one of {", ".join(_WORK_KINDS)}',
+            )
         if workload.tokens_max < workload.tokens_min:
-            found.add(path, f'{place} tokens_max is below tokens_min')
+            findings.add(path, f'{section} tokens_max is below tokens_min')
         if workload.service not in _SERVICES:
-            found.add(path, f'{place} service: the stand-in has booking')
-    if not experiment.workloads and not found:
-        found.add(path, 'there is no [workload NAME]')
-    return experiment, found
+            findings.add(
+                path, f'{section} service: the stand-ins provide only booking'
+            )
+    if not experiment.workloads and not findings:
+        findings.add(path, 'section [workload NAME] is missing')
+    return experiment, findings
 
 
 def run(
@@ -50,12 +57,12 @@
     folder: str,
     progress: driver_.Progress,
 ) -> list[str]:
-    """Run, write report, plots and page, and return what fell short."""
+    """Run, write report, plots and page, and return the violations."""
     seconds = experiment.run.seconds
     arrivals = arrivals_.draw(experiment.workloads, seconds, seed)
     faults = sorted(experiment.faults, key=lambda fault: fault.at)
     trial = trial_.Trial(
-        _shape(experiment),
+        _fleet_shape(experiment),
         arrivals,
         faults,
         seed,
@@ -65,13 +72,15 @@
     _add_targets(report, experiment)
     report['workloads'] = _by_workload(trial.outcomes)
     report_.write(folder, report)
-    _draw(folder, trial, faults)
+    _plot_first_tokens(folder, trial, faults)
     page.write(folder, report)
-    found = trial.verdict.violated_guarantees()
-    return found + ([] if report['meets_target'] else ['latency target'])
+    violations = trial.verdict.violated_guarantees()
+    return violations + (
+        [] if report['meets_target'] else ['latency target missed']
+    )
 
 
-def _shape(experiment: pb.ExperimentFile) -> shape_.FleetShape:
+def _fleet_shape(experiment: pb.ExperimentFile) -> shape_.FleetShape:
     cfg = experiment.fleet
     return shape_.FleetShape(
         routers=cfg.routers,
@@ -116,14 +125,14 @@
     return result
 
 
-def _draw(
+def _plot_first_tokens(
     folder: str, trial: trial_.Trial, faults: ty.Sequence[pb.Fault]
 ) -> None:
-    """Draw first-token times over the run, a line for each kind of work."""
+    """Plot first-token times over the run, one line for each kind of work."""
     series = {}
     answers = [o for o in trial.outcomes if o.answer.arrivals]
     start = min((o.answer.started_at for o in answers), default=0)
-    for work in _WORKS:
+    for work in _WORK_KINDS:
         points = sorted(
             (
                 (o.answer.started_at - start) / 1000,
@@ -138,7 +147,7 @@
         series[fault.kind] = ((fault.at, fault.at), (0.0, 50.0))
     plots.lines(
         os.path.join(folder, 'first_token.png'),
-        'First token, ms; short bars are faults',
+        'First token in ms; short bars mark faults',
         series,
         'seconds',
         'ms',
--- a/src/peridotmast/load/explain.py
+++ b/src/peridotmast/load/explain.py
@@ -1,4 +1,4 @@
-"""Why requests were late or lost, from the logs of a fleet's routers."""
+"""Attributes late and failed requests to causes, from the routers' logs."""
 
 from __future__ import annotations
 
@@ -13,28 +13,31 @@
 
 from peridotmast.load import plots
 
-_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+_KEY_VALUE = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
-_BUCKET_S = 2
-"""Width of a moment in the table over time, in s."""
+_INTERVAL_S = 2
+"""Length of the intervals in the table and the plot over time, in s."""
 
-_LONG_SHARE = 0.5
-"""Part of the target that a prompt's own reading may take before it counts
-as the cause."""
+_MAX_READ_SHARE = 0.5
+"""Share of the latency target above which the time to read prompts counts as
+the cause of a late answer."""
 
-_LEAST_SAMPLES = 5
-"""First tokens at an idle engine from which its speed is told."""
+_MIN_SAMPLES = 5
+"""Minimum number of requests to an engine without a backlog from which its
+speed is estimated."""
 
-_SLOW_SHARE = 0.5
-"""Part of the fleet's speed below which an engine counts as slow."""
+_SLOW_ENGINE_SHARE = 0.5
+"""Share of the fleet's median speed below which an engine counts as slow."""
 
-_LEAST_TOKENS = 1000
-_BROKE = frozenset(('stream_broke', 'not_moved'))
-_EVENTS = frozenset(('attempt', 'answered', 'refused', *_BROKE))
+_MIN_TOKENS = 1000
+"""Minimum number of uncached prompt tokens of a request from which speed is
+estimated."""
+_BROKEN_STREAM_EVENTS = frozenset(('stream_broke', 'not_moved'))
+_EVENTS = frozenset(('attempt', 'answered', 'refused', *_BROKEN_STREAM_EVENTS))
 
 
 class Cause(enum.Enum):
-    """Why a request was not answered in time."""
+    """Causes of late and failed requests."""
 
     REFUSED = 'refused by the router'
     CUT = 'cut off by its upstream'
@@ -49,161 +52,172 @@
 
 @dataclasses.dataclass
 class RequestLog:
-    """What the logs say of one request."""
+    """The logged events of one request."""
 
     at: float = 0.0
-    """Moment of its last line, in s since 1970."""
+    """Time of the last event, in s since the epoch."""
     route: str = ''
     attempts: list[dict[str, str]] = dataclasses.field(default_factory=list)
     answered: dict[str, str] = dataclasses.field(default_factory=dict)
     refused: dict[str, str] = dataclasses.field(default_factory=dict)
-    broke: bool = False
+    is_broken: bool = False
 
     @property
     def first_ms(self) -> int:
-        """Time to its first byte, in ms."""
+        """Time to the first byte of the answer, in ms."""
         return int(self.answered.get('first_ms', 0))
 
     @property
     def target_ms(self) -> int:
-        """Latency target of its route, in ms; 0 where no line tells."""
+        """Latency target of the route, in ms; 0 if it was not logged."""
         return int(self.answered.get('target_ms', 0))
 
     @property
     def is_late(self) -> bool:
-        """Whether its answer began after its target."""
+        """Whether the first byte came after the latency target."""
         return bool(self.target_ms) and self.first_ms > self.target_ms
 
 
 def run(paths: ty.Sequence[str], folder: str) -> list[str]:
-    """Return a table of losses by cause; plot them over time into `folder`.
+    """Return tables of late and failed requests by cause and by time.
+
+    A plot over time is written into `folder`.
 
     Raises
     ------
     OSError
-        If a log can't be read.
+        If a log cannot be read.
     """
-    asked = read_requests(paths)
-    speeds = _Speeds(asked.values())
-    lost = [
-        (one.at, one.route, cause)
-        for one in asked.values()
-        if (cause := cause_of(one, speeds)) is not None
+    requests = read_requests(paths)
+    speeds = _EngineSpeeds(requests.values())
+    losses = [
+        (request.at, request.route, cause)
+        for request in requests.values()
+        if (cause := cause_of(request, speeds)) is not None
     ]
-    if lost:
-        _plot(folder, lost)
+    if losses:
+        _plot(folder, losses)
     return [
-        f'{len(asked)} requests, {len(lost)} late or lost',
-        *_by_cause(lost),
-        *_by_moment(lost),
+        f'{len(requests)} requests, {len(losses)} late or failed',
+        *_table_by_cause(losses),
+        *_table_by_time(losses),
     ]
 
 
 def read_requests(paths: ty.Iterable[str]) -> dict[str, RequestLog]:
-    """Return what logs say of each request, by its id."""
-    asked: dict[str, RequestLog] = collections.defaultdict(RequestLog)
+    """Return the logged events of each request by request id."""
+    requests: dict[str, RequestLog] = collections.defaultdict(RequestLog)
     for path in paths:
         with open(path, encoding='utf-8', errors='replace') as file:
             for line in file:
-                _take(asked, line)
-    return dict(asked)
+                _add_line(requests, line)
+    return dict(requests)
 
 
-def cause_of(one: RequestLog, speeds: _Speeds) -> ty.Optional[Cause]:
-    """Return why a request was late or lost; None where it was neither."""
-    if one.refused:
+def cause_of(request: RequestLog, speeds: _EngineSpeeds) -> ty.Optional[Cause]:
+    """Return the cause if a request was late or failed, else None."""
+    if request.refused:
         return Cause.REFUSED
-    if one.broke:
+    if request.is_broken:
         return Cause.CUT
-    if one.answered.get('status', '').startswith('5'):
+    if request.answered.get('status', '').startswith('5'):
         return Cause.FAILED
-    if not one.is_late or not one.attempts:
+    if not request.is_late or not request.attempts:
         return None
-    return _late_cause(one, speeds)
+    return _cause_of_delay(request, speeds)
 
 
-def _late_cause(one: RequestLog, speeds: _Speeds) -> Cause:
-    last = one.attempts[-1]
-    if len(one.attempts) > 1:
+def _cause_of_delay(request: RequestLog, speeds: _EngineSpeeds) -> Cause:
+    last = request.attempts[-1]
+    if len(request.attempts) > 1:
         return Cause.RETRIED
     if int(last.get('running', 0)) >= int(last.get('slots', 0) or 1 << 30):
         return Cause.FULL
     speed = speeds.fleet
-    tokens = _read_tokens(last)
-    if speed and tokens / speed > _LONG_SHARE * one.target_ms:
+    tokens = _uncached_tokens(last)
+    if speed and tokens / speed > _MAX_READ_SHARE * request.target_ms:
         return Cause.OWN_PROMPT
-    own = speeds.of(last.get('upstream', ''))
-    if own and speed and own < _SLOW_SHARE * speed:
+    own_speed = speeds.of(last.get('upstream', ''))
+    if own_speed and speed and own_speed < _SLOW_ENGINE_SHARE * speed:
         return Cause.SLOW_ENGINE
-    behind = int(last.get('unread', 0))
-    if speed and (behind + tokens) / speed > _LONG_SHARE * one.target_ms:
+    backlog = int(last.get('unread', 0))
+    if (
+        speed
+        and (backlog + tokens) / speed > _MAX_READ_SHARE * request.target_ms
+    ):
         return Cause.KNOWN_QUEUE
     return Cause.UNKNOWN_QUEUE
 
 
-class _Speeds:
-    """Tokens a ms that engines read, from those that had nothing to read."""
+class _EngineSpeeds:
+    """Prompt speeds of engines, in tokens per ms.
+
+    They are estimated from the time to the first byte of requests that were
+    sent once, to an engine without a backlog.
+    """
 
-    def __init__(self, asked: ty.Iterable[RequestLog]) -> None:
-        found: dict[str, list[float]] = collections.defaultdict(list)
-        for one in asked:
-            if len(one.attempts) != 1 or not one.first_ms:
+    def __init__(self, requests: ty.Iterable[RequestLog]) -> None:
+        samples: dict[str, list[float]] = collections.defaultdict(list)
+        for request in requests:
+            if len(request.attempts) != 1 or not request.first_ms:
                 continue
-            attempt = one.attempts[0]
-            tokens = _read_tokens(attempt)
-            if tokens >= _LEAST_TOKENS and attempt.get('unread') == '0':
-                found[attempt['upstream']].append(tokens / one.first_ms)
+            attempt = request.attempts[0]
+            tokens = _uncached_tokens(attempt)
+            if tokens >= _MIN_TOKENS and attempt.get('unread') == '0':
+                samples[attempt['upstream']].append(tokens / request.first_ms)
         self._by_upstream = {
             name: statistics.median(values)
-            for name, values in found.items()
-            if len(values) >= _LEAST_SAMPLES
+            for name, values in samples.items()
+            if len(values) >= _MIN_SAMPLES
         }
-        every = [value for values in found.values() for value in values]
-        self.fleet = statistics.median(every) if every else 0.0
-        """The middle one of all."""
+        combined = [value for values in samples.values() for value in values]
+        self.fleet = statistics.median(combined) if combined else 0.0
+        """Median of all engines' samples; 0 if there are none."""
 
     def of(self, upstream: str) -> float:
-        """Return one engine's; 0 where too little is known."""
+        """Return the speed of one engine; 0 if it has too few samples."""
         return self._by_upstream.get(upstream, 0.0)
 
 
-def _take(asked: dict[str, RequestLog], line: str) -> None:
-    values = dict(_PAIR.findall(line))
-    event, request = values.get('event'), values.get('request')
-    if event not in _EVENTS or not request:
+def _add_line(requests: dict[str, RequestLog], line: str) -> None:
+    values = dict(_KEY_VALUE.findall(line))
+    event, request_id = values.get('event'), values.get('request')
+    if event not in _EVENTS or not request_id:
         return
-    one = asked[request]
-    one.at = _moment(values.get('timestamp', '')) or one.at
-    one.route = values.get('route', one.route)
+    request = requests[request_id]
+    request.at = _parse_timestamp(values.get('timestamp', '')) or request.at
+    request.route = values.get('route', request.route)
     if event == 'attempt':
-        one.attempts.append(values)
+        request.attempts.append(values)
     elif event == 'answered':
-        one.answered = values
+        request.answered = values
     elif event == 'refused':
-        one.refused = values
+        request.refused = values
     else:
-        one.broke = True
+        request.is_broken = True
 
 
-def _read_tokens(attempt: dict[str, str]) -> int:
-    """Return the tokens that the engine had to read for a request."""
+def _uncached_tokens(attempt: dict[str, str]) -> int:
+    """Return the prompt tokens that the engine did not have in its cache."""
     tokens = int(attempt.get('tokens', 0))
     if attempt.get('home') == 'True':
         tokens -= int(attempt.get('shared', 0))
     return max(0, tokens)
 
 
-def _moment(text: str) -> float:
+def _parse_timestamp(text: str) -> float:
     try:
         return datetime.datetime.fromisoformat(text).timestamp()
     except ValueError:
         return 0.0
 
 
-def _by_cause(lost: ty.Sequence[tuple[float, str, Cause]]) -> list[str]:
-    causes = collections.Counter(cause for _, _, cause in lost)
-    routes = sorted({route for _, route, _ in lost})
-    counts = collections.Counter((cause, route) for _, route, cause in lost)
+def _table_by_cause(
+    losses: ty.Sequence[tuple[float, str, Cause]],
+) -> list[str]:
+    causes = collections.Counter(cause for _, _, cause in losses)
+    routes = sorted({route for _, route, _ in losses})
+    counts = collections.Counter((cause, route) for _, route, cause in losses)
     head = f'{"cause":<40}{"all":>6}' + ''.join(f'{r:>14}' for r in routes)
     return ['', head] + [
         f'{cause.value:<40}{count:>6}'
@@ -212,38 +226,40 @@
     ]
 
 
-def _by_moment(lost: ty.Sequence[tuple[float, str, Cause]]) -> list[str]:
-    if not lost:
+def _table_by_time(losses: ty.Sequence[tuple[float, str, Cause]]) -> list[str]:
+    if not losses:
         return []
-    began = min(at for at, _, _ in lost)
-    moments: dict[int, collections.Counter[Cause]] = collections.defaultdict(
+    began = min(at for at, _, _ in losses)
+    intervals: dict[int, collections.Counter[Cause]] = collections.defaultdict(
         collections.Counter
     )
-    for at, _, cause in lost:
-        moments[int((at - began) // _BUCKET_S) * _BUCKET_S][cause] += 1
-    rows = sorted(moments.items(), key=lambda item: -sum(item[1].values()))
-    return ['', f'{"from second":<14}{"lost":>6}  most of them'] + [
+    for at, _, cause in losses:
+        intervals[int((at - began) // _INTERVAL_S) * _INTERVAL_S][cause] += 1
+    rows = sorted(intervals.items(), key=lambda item: -sum(item[1].values()))
+    return ['', f'{"from second":<14}{"count":>6}  most common causes'] + [
         f'{second:<14}{sum(causes.values()):>6}  '
         + ', '.join(f'{c.value} {n}' for c, n in causes.most_common(3))
         for second, causes in rows[:10]
     ]
 
 
-def _plot(folder: str, lost: ty.Sequence[tuple[float, str, Cause]]) -> None:
+def _plot(folder: str, losses: ty.Sequence[tuple[float, str, Cause]]) -> None:
     os.makedirs(folder, exist_ok=True)
-    began = min(at for at, _, _ in lost)
-    seconds = sorted({int((at - began) // _BUCKET_S) for at, _, _ in lost})
-    common = collections.Counter(cause for _, _, cause in lost).most_common(4)
+    began = min(at for at, _, _ in losses)
+    seconds = sorted({int((at - began) // _INTERVAL_S) for at, _, _ in losses})
+    common = collections.Counter(cause for _, _, cause in losses).most_common(
+        4
+    )
     plots.lines(
         os.path.join(folder, 'losses.png'),
-        f'Late or lost, in {_BUCKET_S} s',
+        f'Late or failed requests in {_INTERVAL_S} s',
         {
             cause.value: (
-                [second * _BUCKET_S for second in seconds],
+                [second * _INTERVAL_S for second in seconds],
                 [
                     sum(
-                        c is cause and (at - began) // _BUCKET_S == second
-                        for at, _, c in lost
+                        c is cause and (at - began) // _INTERVAL_S == second
+                        for at, _, c in losses
                     )
                     for second in seconds
                 ],
--- a/src/peridotmast/load/faults.py
+++ b/src/peridotmast/load/faults.py
@@ -1,4 +1,4 @@
-"""Faults on a timetable, brought about in an embedded fleet."""
+"""Schedules of faults, and their injection into an embedded fleet."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What can be made to go wrong."""
+    """Kinds of faults that can be injected."""
 
     RECLAIM_DOMAIN = 'reclaim_domain'
     RECLAIM_VM = 'reclaim_vm'
@@ -56,18 +56,20 @@
 
 
 PROCESS_FAULT_KINDS = tuple(FaultKind)
-"""Kinds that can be brought about where routers are processes."""
+"""Kinds that can be injected if each router is a process."""
 EMBEDDED_FAULT_KINDS = tuple(
     kind
     for kind in FaultKind
     if kind not in (FaultKind.FREEZE_ROUTER, FaultKind.KILL_ALL_ROUTERS)
 )
-"""Kinds that can be brought about where routers share one process."""
+"""Kinds that can be injected if all routers share one process."""
 
 LINK_MODES = {FaultKind(f'link_{m.value}'): m for m in link_proxy.Mode}
-"""Kinds that need proxies. A fault's target, modulo 3, is a `LinkKind`."""
-_FLAPS = 3
-"""Times that an upstream stops in one fault; two are an accident."""
+"""Kinds that need link proxies. A fault's target, modulo 3, selects the
+`LinkKind`."""
+_FLAP_RESTARTS = 3
+"""Number of times that one fault stops an upstream; two stops could be
+unrelated, three count as flapping."""
 
 CRASH_PROMPT = 'crash the engine'
 """Prompt of requests that crash every engine that runs them."""
@@ -77,21 +79,23 @@
 """Interval between these sends, and the deadline of each."""
 
 _LIMIT_RATE = 0.2
-"""Rate limit that an engine states, in requests per second."""
+"""Rate limit that an engine advertises, in requests per second."""
 _LIMIT_DURATION_MS = 8000
-"""How long it states the limit: longer than the time until all routers must
-enforce it plus the window in which the oracle counts requests."""
+"""Time for which the engine advertises the limit: longer than the time until
+all routers must enforce it plus the window in which the oracle counts
+requests."""
 
-_NEVER = 1 << 62
-"""Moment that does not come, in ms."""
+_NO_END = 1 << 62
+"""End of a stop that is still in progress, in ms."""
 
-_OPERATOR_MS = 5000
-"""Bound on one call of an operator."""
+_OPERATOR_TIMEOUT_MS = 5000
+"""Time-out of one call by an operator."""
 
 _WEIGHTS = {
     FaultKind.RECLAIM_DOMAIN: 2,
     FaultKind.RECLAIM_VM: 2,
 }
+"""Minimum number of faults of a kind in a schedule; 1 for all others."""
 
 
 def draw(
@@ -100,27 +104,28 @@
     share: float = 0.85,
     fault_kinds: ty.Sequence[FaultKind] = EMBEDDED_FAULT_KINDS,
 ) -> list[pb.Fault]:
-    """Return a timetable on which every kind of fault comes at least once.
+    """Return a random schedule with at least one fault of each kind.
 
     Parameters
     ----------
     share : float
-        Part of the time in which faults come; the rest is for recovery.
+        Part of the run, from its start, in which faults begin; the rest is
+        for recovery.
     fault_kinds : sequence of FaultKind
         Kinds to draw from.
     """
-    draws = random.Random(f'faults|{seed}')
+    rng = random.Random(f'faults|{seed}')
     kinds = [
         kind for kind in fault_kinds for _ in range(_WEIGHTS.get(kind, 1))
     ]
-    extra = draws.choices(fault_kinds, k=int(seconds // 8))
+    extra = rng.choices(fault_kinds, k=int(seconds // 8))
     schedule = [
         pb.Fault(
             name=f'f{number}',
             kind=kind.value,
-            at=round(draws.uniform(1.0, seconds * share), 3),
-            for_ms=draws.randint(600, 2000),
-            target=draws.randrange(64),
+            at=round(rng.uniform(1.0, seconds * share), 3),
+            for_ms=rng.randint(600, 2000),
+            target=rng.randrange(64),
         )
         for number, kind in enumerate([*kinds, *extra])
     ]
@@ -128,12 +133,14 @@
 
 
 class FaultDriver:
-    """Brings faults about and replaces what they take.
+    """Injects faults and replaces the VMs and routers that they stop.
+
+    All times are on the fleet's clock.
 
     Parameters
     ----------
     fleet : fleet.Fleet
-        Where.
+        The fleet to inject faults into.
     replace_ms : int
         Time from the loss of a VM or router to its replacement.
     """
@@ -144,32 +151,31 @@
         self._names = itertools.count(len(fleet.routers) + 1)
         self._tasks: list[ty.Any] = []
         self.counts: collections.Counter[str] = collections.Counter()
-        """Faults brought about, by kind."""
+        """Number of injected faults by kind."""
         self.notice_times: dict[str, int] = {}
-        """When upstreams got notice, in ms of the fleet's clock."""
+        """Time at which each upstream was given notice, in ms."""
         self.drain_spans: dict[str, oracle_.Span] = {}
-        """Stops as planned: chat address, and from when to when, in ms."""
-        self._killed: dict[str, int] = {}
+        """Period of each planned stop, by chat address of the router."""
+        self._kill_times: dict[str, int] = {}
         self.thaw_times: list[int] = []
-        """When frozen routers went on, in ms of the fleet's clock."""
+        """Times at which frozen routers resumed, in ms."""
         self._operators = rpc.RpcClient(pb_grpc.OperatorsStub)
         self.link_counts: collections.Counter[str] = collections.Counter()
-        """Faults of links, by kind of fault and of link."""
+        """Number of link faults by kind of fault and kind of link."""
         self.operator_conflicts = 0
-        """Operators who were told of a conflict."""
+        """Number of configuration changes that were rejected as conflicts."""
         self.crash_times: list[int] = []
-        """When requests crashed engines, in ms of the fleet's clock."""
+        """Times of engine crashes caused by requests, in ms."""
         self.resume_times: list[int] = []
-        """When routers were added, restarted or thawed, in ms of the fleet's
-        clock."""
+        """Times at which routers started or were thawed, in ms."""
         self.limited_engines: list[oracle_.LimitedEngine] = []
-        """Engines that stated rate limits, and when."""
+        """Engines that advertised rate limits, with the periods."""
         self.kill_all_times: list[int] = []
-        """When all routers were killed, in ms of the fleet's clock."""
+        """Times at which all routers were killed, in ms."""
         fleet.on_crash = self._replace_crashed
 
     def run(self, schedule: ty.Iterable[pb.Fault]) -> None:
-        """Bring the faults about, each at its time from now."""
+        """Inject all faults, each at its time after the call."""
         began = self._fleet.clock.now()
         for fault in schedule:
             wait = began + fault.at * 1000 - self._fleet.clock.now()
@@ -177,31 +183,33 @@
             self._tasks.append(green.spawn(self.inject, fault))
 
     def wait(self) -> None:
-        """Wait until all faults are over and all losses replaced."""
+        """Wait until all faults have ended and all losses are replaced."""
         for task in self._tasks:
             task.wait()
 
     def inject(self, fault: pb.Fault) -> None:
-        """Bring one fault about and wait until it is over."""
+        """Inject one fault and wait until it has ended."""
         kind = FaultKind(fault.kind)
         self.counts[kind.value] += 1
         if kind in LINK_MODES:
-            self._trouble(fault, LINK_MODES[kind])
+            self._inject_link_fault(fault, LINK_MODES[kind])
         else:
             getattr(self, '_' + kind.value)(fault)
 
-    def _trouble(self, fault: pb.Fault, mode: link_proxy.Mode) -> None:
+    def _inject_link_fault(
+        self, fault: pb.Fault, mode: link_proxy.Mode
+    ) -> None:
         kinds = list(links_.LinkKind)
         kind = kinds[fault.target % len(kinds)]
         self.link_counts[f'{fault.kind} {kind.value}'] += 1
-        draws = random.Random(fault.target)
+        rng = random.Random(fault.target)
         trouble = link_proxy.Trouble(
             mode,
-            hits_requests=draws.random() < 0.5,
-            share=draws.choice((0.4, 1.0)),
-            hits_new=draws.random() < 0.5,
+            hits_requests=rng.random() < 0.5,
+            share=rng.choice((0.4, 1.0)),
+            hits_new=rng.random() < 0.5,
         )
-        self._fleet.links.trouble(kind, trouble, fault.for_ms, draws)
+        self._fleet.links.trouble(kind, trouble, fault.for_ms, rng)
 
     def _reclaim_domain(self, fault: pb.Fault) -> None:
         domains = self._fleet.domains
@@ -229,7 +237,7 @@
     def _kill_vm(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
         if guest is not None:
-            # Nobody says so: the entry stays until it runs out.
+            # No notice is given: the store entry stays until it expires.
             self._fleet.lose(guest, keep_entry=True)
             self._replace([guest])
             self._fleet.drop_entry(guest)
@@ -241,10 +249,11 @@
 
     def _flap_vm(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
-        pause_ms = fault.for_ms / (2 * _FLAPS)
-        for _ in range(_FLAPS):
+        pause_ms = fault.for_ms / (2 * _FLAP_RESTARTS)
+        for _ in range(_FLAP_RESTARTS):
             if guest is None or not _is_live(guest):
-                # It was lost or got notice meanwhile, and is replaced.
+                # Another fault has stopped it or given it notice, and
+                # replaces it.
                 return
             self._fleet.lose(guest, keep_entry=True)
             green.sleep_ms(pause_ms)
@@ -252,10 +261,10 @@
             green.sleep_ms(pause_ms)
 
     def _foreign_entry(self, fault: pb.Fault) -> None:
-        """Somebody else writes where the upstreams do."""
-        draws = random.Random(fault.target)
+        """Write an entry of another system among those of the upstreams."""
+        rng = random.Random(fault.target)
         name = f'foreign-{fault.name}'
-        spec = draws.choice(upstream_codec.foreign_entries(shape_.ENGINES))
+        spec = rng.choice(upstream_codec.foreign_entries(shape_.ENGINES))
         self._fleet.store.put(names.UPSTREAM_KIND, name, spec)
         green.sleep_ms(fault.for_ms)
         self._fleet.store.drop(names.UPSTREAM_KIND, name)
@@ -275,7 +284,7 @@
             green.sleep_ms(_CRASHING_REQUEST_INTERVAL_MS)
 
     def _limit_vm(self, fault: pb.Fault) -> None:
-        """Let an engine state a rate limit in its answers."""
+        """Let an engine advertise a rate limit in its responses."""
         guest = self._pick_engine(fault.target)
         if guest is not None and not guest.upstream.app.limit:
             began = self._fleet.clock.now()
@@ -301,26 +310,26 @@
             guest.upstream.mute()
 
     def _hang_engine(self, fault: pb.Fault) -> None:
-        self._spoil(fault, hang=0.7)
+        self._set_engine_faults(fault, hang=0.7)
 
     def _cut_answers(self, fault: pb.Fault) -> None:
-        self._spoil(fault, cut=0.05)
+        self._set_engine_faults(fault, cut=0.05)
 
     def _lose_answers(self, fault: pb.Fault) -> None:
-        self._spoil(fault, lose=0.5)
+        self._set_engine_faults(fault, lose=0.5)
 
     def _health_says_up(self, fault: pb.Fault) -> None:
-        self._spoil(fault, error=0.7)
+        self._set_engine_faults(fault, error=0.7)
 
     def _health_says_down(self, fault: pb.Fault) -> None:
-        """It says that it leaves, to whoever asks it, and goes on."""
+        """Let an engine report that it is draining while it goes on."""
         guest = self._pick_engine(fault.target)
         if guest is not None:
             guest.upstream.app.draining = True
             green.sleep_ms(fault.for_ms)
             guest.upstream.app.draining = not _is_live(guest)
 
-    def _spoil(self, fault: pb.Fault, **faults: float) -> None:
+    def _set_engine_faults(self, fault: pb.Fault, **faults: float) -> None:
         guest = self._pick_engine(fault.target)
         if guest is not None:
             guest.upstream.app.faults = faults
@@ -350,13 +359,13 @@
         router = self._pick_router(fault.target)
         if router is not None:
             began = self._fleet.clock.now()
-            self.drain_spans[router.chat_address] = began, _NEVER
+            self.drain_spans[router.chat_address] = began, _NO_END
             router.drain()
             router.stop()
             ended: int = self._fleet.clock.now()
-            killed = self._killed.get(router.chat_address, 0)
+            killed = self._kill_times.get(router.chat_address, 0)
             if killed >= began:
-                # What went with the kill was not cut by the stop.
+                # Connections that the kill closed were not cut by the stop.
                 ended = killed - 1 - oracle_.DISCONNECT_WINDOW_MS
             self.drain_spans[router.chat_address] = began, ended
             self._replace_router(router.cfg.failure_domain)
@@ -374,7 +383,7 @@
         killed = self._fleet.serving()
         self.kill_all_times.append(self._fleet.clock.now())
         for router in killed:
-            self._killed[router.chat_address] = self._fleet.clock.now()
+            self._kill_times[router.chat_address] = self._fleet.clock.now()
             router.stop()
         green.sleep_ms(self._replace_ms)
         for router in killed:
@@ -397,15 +406,15 @@
         self.resume_times.append(self._fleet.clock.now())
 
     def _platform_outage(self, fault: pb.Fault) -> None:
-        self._platform(fault, outage=1.0)
+        self._set_store_faults(fault, outage=1.0)
 
     def _platform_slow(self, fault: pb.Fault) -> None:
-        self._platform(fault, slow_ms=400)
+        self._set_store_faults(fault, slow_ms=400)
 
     def _lost_replies(self, fault: pb.Fault) -> None:
-        self._platform(fault, lose_reply=0.5)
+        self._set_store_faults(fault, lose_reply=0.5)
 
-    def _platform(self, fault: pb.Fault, **faults: float) -> None:
+    def _set_store_faults(self, fault: pb.Fault, **faults: float) -> None:
         self._fleet.store.app.set_faults(fault.for_ms, **faults)
         green.sleep_ms(fault.for_ms)
 
@@ -414,19 +423,22 @@
         green.sleep_ms(fault.for_ms)
 
     def _operator_race(self, fault: pb.Fault) -> None:
-        """Two operators commit from one base; one must be told so."""
+        """Apply two configurations with the same base version at once.
+
+        One of the two operators must be told of a conflict.
+        """
         live = self._fleet.serving()
         if not live:
             return
         addresses = live[0].peer_address, live[-1].peer_address
-        status = self._operate(
+        status = self._call_operators(
             addresses[0], 'ConfigStatus', pb.ConfigStatusRequest()
         )
         if isinstance(status, failures.Failure):
             return
         tasks = [
             green.spawn(
-                self._operate,
+                self._call_operators,
                 address,
                 'ConfigApply',
                 pb.ConfigApplyRequest(
@@ -443,12 +455,16 @@
             for reply in replies
         )
 
-    def _operate(self, address: str, method: str, request: ty.Any) -> ty.Any:
-        return self._operators.call(address, method, request, _OPERATOR_MS)
+    def _call_operators(
+        self, address: str, method: str, request: ty.Any
+    ) -> ty.Any:
+        return self._operators.call(
+            address, method, request, _OPERATOR_TIMEOUT_MS
+        )
 
 
 def _is_live(guest: guest_.Guest) -> bool:
-    """Return whether it runs and has no notice."""
+    """Return whether an upstream runs and has not been given notice."""
     return not guest.ended_ms and (
         guest.record.state == pb.UPSTREAM_STATE_LIVE
     )
--- a/src/peridotmast/load/oracle.py
+++ b/src/peridotmast/load/oracle.py
@@ -1,4 +1,4 @@
-"""The judge of a run: what was promised against what the stand-ins saw."""
+"""Checks a run: compares the guarantees with the stand-ins' records."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from peridotmast.standin import answers
 
 MODEL = 'draft-7b'
+"""Model that the stand-in engines serve."""
 GUARANTEES = (
     'wrong_answers',
     'not_run_but_ran',
@@ -28,61 +29,64 @@
     'sent_over_limit',
     'invariant_violations',
 )
-"""Counts of a verdict that must be zero."""
+"""Fields of `Verdict` that must be zero."""
 
 _LEAVING_BOUND_MS = 2000
+"""Maximum time from the reclaim notice of a VM to its last new request."""
 DISCONNECT_WINDOW_MS = 500
-"""Time after a router's end in which its callers see their connections go."""
+"""Time after a router stops in which its callers notice the disconnection."""
 _BLOCK_THRESHOLD = 3
 """Number of crashes at which a request must be blocked."""
 _BLOCK_PROPAGATION_MS = 1000
-"""Time after the last of these crashes until all routers know of the block."""
+"""Time after the last of these crashes until all routers must know of the
+block."""
 _MAX_CRASHES_ONCE_BLOCKED = 3
-"""Maximum number of engines that a request may crash after that time."""
+"""Maximum number of engines that the request may crash after that time."""
 _LIMIT_WINDOW_MS = 4000
-"""Window in which requests to an upstream with a rate limit are counted."""
+"""Length of the window in which requests to a limited upstream are counted."""
 _LIMIT_TOLERANCE_FACTOR = 1.5
 _LIMIT_TOLERANCE_REQUESTS = 5
 """Maximum number of requests in the window: the number that the limit allows,
 times this factor, plus this number."""
 _LIMIT_PROPAGATION_MS = 3000
-"""Time after which all routers must enforce a limit that is new to them."""
+"""Time within which all routers must enforce a limit that is new to them."""
 _THAW_MS = 300
-"""Time after a thaw in which a call that was on its way may still arrive."""
-_Kinds = failures.FailureKind
-_NO_SPAN = (1, 0)
+"""Time after a frozen router resumes in which a call that it sent before may
+still arrive."""
+_FailureKind = failures.FailureKind
+_EMPTY_SPAN = (1, 0)
 
 Span = tuple[int, int]
-"""First and last moment of a time, in ms."""
+"""Start and end of a period, in ms."""
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What one caller saw of one request."""
+    """A request and the answer that its caller received."""
 
     arrival: arrivals_.Arrival
     answer: caller_.Answer
 
     @property
     def failure(self) -> ty.Optional[failures.Failure]:
-        """Why there is no answer, if there is none."""
+        """Reason for the missing answer; None if there is an answer."""
         return self.answer.failure
 
 
 @dataclasses.dataclass(frozen=True)
 class LimitedEngine:
-    """An engine that stated a rate limit, and when."""
+    """An engine that advertised a rate limit for a period."""
 
     guest: guest_.Guest
     rate: float
     """The limit, in requests per second."""
     span: Span
-    """When it stated the limit."""
+    """Period in which the engine advertised the limit."""
 
 
 @dataclasses.dataclass
 class Verdict:
-    """The counts that a run is judged by."""
+    """Counts of requests and guarantee violations in a run."""
 
     requests: int = 0
     answered_whole: int = 0
@@ -93,36 +97,37 @@
     cut_by_planned_stop: int = 0
     reports_that_differ: int = 0
     duties_out_of_turn: int = 0
-    """Calls of the platform with a lower fencing number than one before."""
+    """Calls to the platform with a lower fencing number than an earlier
+    one."""
     sent_though_blocked: int = 0
-    """Engines crashed by a blocked request in excess of the limit."""
+    """Crashes by a blocked request above the number that is tolerated."""
     sent_over_limit: int = 0
-    """Engines that received more requests than their limits allow."""
+    """Engines that received more requests than their rate limit allows."""
     invariant_violations: int = 0
     outcome_unknown: int = 0
-    """Requests that may have run and got no answer."""
+    """Requests that may have run and received no answer."""
     recomputed_tokens: int = 0
     moved_tokens: int = 0
     generated_tokens: int = 0
     refused: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def violated_guarantees(self) -> list[str]:
-        """Return the promises that do not hold."""
+        """Return the names of the guarantees that were violated."""
         return [name for name in GUARANTEES if getattr(self, name)]
 
 
 class Oracle:
-    """Collects outcomes and judges them once the run is over."""
+    """Collects the outcomes of a run and checks them after its end."""
 
     def __init__(self, fleet: fleet_.Fleet) -> None:
         self._fleet = fleet
         self.outcomes: list[Outcome] = []
-        """What the callers saw."""
+        """Outcomes in the order in which the requests ended."""
         self.problems: list[str] = []
-        """A line for each request that was not served as promised."""
+        """One line for each request that failed or violated a guarantee."""
 
     def add(self, outcome: Outcome) -> None:
-        """Note what one caller saw."""
+        """Record the outcome of one request."""
         self.outcomes.append(outcome)
 
     def judge(
@@ -135,34 +140,41 @@
         limited_engines: ty.Sequence[LimitedEngine] = (),
         kill_all_times: ty.Sequence[int] = (),
     ) -> Verdict:
-        """Return the verdict.
+        """Check all outcomes and the records of the stand-ins.
 
         Parameters
         ----------
         notice_times : dict
-            When each reclaimed VM got notice, in ms.
+            Time at which each reclaimed VM was given notice, in ms.
         drain_spans : dict
-            Stops as planned: chat address, and from when to when, in ms.
+            Period of each planned stop, by chat address of the router.
         thaw_times : sequence of int
-            When frozen routers went on, in ms.
+            Times at which frozen routers resumed, in ms.
         crash_times : sequence of int, optional
-            When requests crashed engines, in ms.
+            Times at which requests crashed engines, in ms.
         resume_times : sequence of int, optional
-            When routers were added, restarted or thawed, in ms.
+            Times at which routers were added, restarted or thawed, in ms.
         limited_engines : sequence of LimitedEngine, optional
-            Engines that stated rate limits, and when.
+            Engines that advertised rate limits, with the periods.
         kill_all_times : sequence of int, optional
-            When all routers were killed, in ms.
+            Times at which all routers were killed, in ms.
+
+        Returns
+        -------
+        Verdict
+            Counts of requests and of guarantee violations.
         """
         verdict = Verdict(requests=len(self.outcomes))
         refused: collections.Counter[str] = collections.Counter()
         for outcome in self.outcomes:
-            self._judge_one(outcome, verdict, drain_spans)
+            self._check_outcome(outcome, verdict, drain_spans)
             failure = outcome.failure
-            if failure is not None and failure.kind is _Kinds.NOT_RUN:
+            if failure is not None and failure.kind is _FailureKind.NOT_RUN:
                 refused[failure.reason.partition(':')[0]] += 1
         verdict.refused = dict(refused)
-        verdict.work_to_leaving_upstreams = self._late_work(notice_times)
+        verdict.work_to_leaving_upstreams = self._count_late_requests(
+            notice_times
+        )
         cloud = self._fleet.cloud
         verdict.reports_that_differ = len(cloud.conflicting_reports())
         verdict.duties_out_of_turn = sum(
@@ -189,29 +201,34 @@
             verdict.generated_tokens += totals.get('generated', 0)
         return verdict
 
-    def _judge_one(
+    def _check_outcome(
         self, outcome: Outcome, verdict: Verdict, drain_spans: dict[str, Span]
     ) -> None:
         answer = outcome.answer
-        wanted = expected(outcome.arrival)
-        if not wanted.startswith(answer.text) or (
-            answer.complete and answer.text != wanted
+        expected_text = expected_answer(outcome.arrival)
+        if not expected_text.startswith(answer.text) or (
+            answer.complete and answer.text != expected_text
         ):
             verdict.wrong_answers += 1
-            self._lose(outcome, 'wrong')
+            self._add_problem(outcome, 'wrong')
         elif answer.complete:
             verdict.answered_whole += 1
         else:
-            self._lose(outcome, 'not whole')
+            self._add_problem(outcome, 'incomplete')
         failure = answer.failure
-        if failure is not None and failure.kind is _Kinds.OUTCOME_UNKNOWN:
+        if (
+            failure is not None
+            and failure.kind is _FailureKind.OUTCOME_UNKNOWN
+        ):
             verdict.outcome_unknown += 1
             links = self._fleet.links
-            verdict.cut_by_planned_stop += _was_cut(answer, drain_spans, links)
+            verdict.cut_by_planned_stop += _was_cut_by_stop(
+                answer, drain_spans, links
+            )
         for attempt in answer.attempts:
-            self._judge_attempt(outcome, attempt, verdict)
+            self._check_attempt(outcome, attempt, verdict)
 
-    def _judge_attempt(
+    def _check_attempt(
         self, outcome: Outcome, attempt: caller_.Attempt, verdict: Verdict
     ) -> None:
         runs = sum(
@@ -220,12 +237,12 @@
         )
         if attempt.status in (408, 421, 429, 503) and runs:
             verdict.not_run_but_ran += 1
-            self._lose(outcome, f'refused, but ran {runs} times')
+            self._add_problem(outcome, f'refused, but ran {runs} times')
         if not outcome.arrival.idempotent and runs > 1:
             verdict.non_idempotent_ran_twice += 1
-            self._lose(outcome, f'ran {runs} times')
+            self._add_problem(outcome, f'ran {runs} times')
 
-    def _late_work(self, notice_times: dict[str, int]) -> int:
+    def _count_late_requests(self, notice_times: dict[str, int]) -> int:
         return sum(
             at > notice_times[guest.name] + _LEAVING_BOUND_MS
             for guest in self._fleet.guests
@@ -233,36 +250,41 @@
             for at, _ in guest.upstream.app.arrivals
         )
 
-    def _lose(self, outcome: Outcome, what: str) -> None:
+    def _add_problem(self, outcome: Outcome, description: str) -> None:
         ids = ' '.join(a.request_id for a in outcome.answer.attempts)
-        self.problems.append(f'{ids} {what} {outcome.failure}')
+        self.problems.append(f'{ids} {description} {outcome.failure}')
 
 
-def _was_cut(
+def _was_cut_by_stop(
     answer: caller_.Answer, drain_spans: dict[str, Span], links: links_.Links
 ) -> bool:
-    """Return whether a planned stop broke an answer off.
+    """Return whether a planned stop of a router cut off an answer.
 
-    A next run of a router may have the address of one that was stopped; a
-    stopping router may truly tell that an upstream broke off; and the proxy
-    before it notes each request of which it kept bytes back for good.
+    Only disconnections in the period of the stop count, as a restarted router
+    may reuse the address. An error that the router reported counts only with
+    the reason `cut_off`: a stopping router may correctly report that an
+    upstream disconnected. Without a reported error, a disconnection does not
+    count if a link proxy withheld bytes of the request.
     """
     last = answer.attempts[-1]
-    began, ended = drain_spans.get(links.target(last.address), _NO_SPAN)
+    began, ended = drain_spans.get(links.target(last.address), _EMPTY_SPAN)
     reason = answer.failure.reason if answer.failure else ''
-    silent = last.request_id not in links.broken
+    caused_by_stop = last.request_id not in links.broken
     if last.error_reported:
-        silent = reason == 'cut_off'
-    return silent and began <= last.ended_at <= ended + DISCONNECT_WINDOW_MS
+        caused_by_stop = reason == 'cut_off'
+    return (
+        caused_by_stop
+        and began <= last.ended_at <= ended + DISCONNECT_WINDOW_MS
+    )
 
 
 def count_excess_crashes(
     crash_times: ty.Sequence[int], resume_times: ty.Sequence[int]
 ) -> int:
-    """Return by how many crashes a blocked request exceeds the limit.
+    """Return the number of crashes by a blocked request above the limit.
 
     The limit rises by one for each router that starts or resumes after the
-    block: it may send the request once before it receives the update.
+    block, as it may send the request once before it learns of the block.
     """
     times = sorted(crash_times)
     if len(times) <= _BLOCK_THRESHOLD:
@@ -279,21 +301,21 @@
     span: Span,
     kill_all_times: ty.Sequence[int] = (),
 ) -> bool:
-    """Return whether an upstream received too many requests for its limit.
+    """Return whether an upstream received more requests than its limit allows.
 
     Requests are not counted while routers still learn the limit: after it is
-    first stated, and after all routers were killed and have lost it.
+    first advertised, and after all routers were killed, which loses it.
 
     Parameters
     ----------
     arrival_times : sequence of int
-        When requests arrived, in ms.
+        Times at which requests arrived, in ms.
     rate : float
-        Limit of the upstream, in requests per second.
+        Rate limit of the upstream, in requests per second.
     span : tuple of int
-        First and last moment at which it stated the limit, in ms.
+        Period in which the upstream advertised the limit, in ms.
     kill_all_times : sequence of int, optional
-        When all routers were killed, in ms.
+        Times at which all routers were killed, in ms.
     """
     first, last = span
     counted = [
@@ -315,15 +337,15 @@
     )
 
 
-def expected(arrival: arrivals_.Arrival) -> str:
-    """Return the answer that an arrival must get."""
+def expected_answer(arrival: arrivals_.Arrival) -> str:
+    """Return the text of the only correct answer to an arrival."""
     if arrival.service:
         return f'done:{arrival.prompt}'
     return chat_text(arrival.prompt, arrival.tokens)
 
 
 def chat_text(prompt: str, tokens: int, model: str = MODEL) -> str:
-    """Return the stand-in engines' answer to one message."""
+    """Return the stand-in engines' answer to a single user message."""
     content = {
         'model': model,
         'adapter': '',
--- a/src/peridotmast/load/overhead.py
+++ b/src/peridotmast/load/overhead.py
@@ -1,4 +1,4 @@
-"""What a router adds: time to the first event, processor time an event."""
+"""Overhead of a router: time to the first event, processor time per event."""
 
 from __future__ import annotations
 
@@ -18,27 +18,28 @@
 from peridotmast.wire import connection as connection_
 
 STREAMS = 100
+"""Number of concurrent streams."""
 _TOKENS = 240
-_CONNECT_MS = 1000
-_WHOLE_MS = 60_000
-"""Bound on a stream that takes 6 s on an idle machine."""
+_CONNECT_TIMEOUT_MS = 1000
+_STREAM_TIMEOUT_MS = 60_000
+"""Time-out of a stream, which takes 6 s on an idle machine."""
 _STEP_MS = 25.0
-_PAUSE_MS = 15
-_MOST_MS = 10.0
-_MOST_US = 150.0
+_START_INTERVAL_MS = 15
+_MAX_ADDED_MS = 10.0
+_MAX_ADDED_US = 150.0
 
 
 @dataclasses.dataclass
 class Figures:
-    """Figures of one path."""
+    """Measurements of one path."""
 
     first_event_ms: dict[str, float]
     us_an_event: float
-    """Processor time of the whole process, in us."""
+    """Processor time of the whole process per event, in us."""
 
 
 def run(seed: int, folder: str, progress: driver_.Progress) -> list[str]:
-    """Measure both paths, write the report, return what fell short."""
+    """Measure both paths, write the report and return the violated limits."""
     shape = shape_.FleetShape(
         routers=1,
         domains=2,
@@ -66,31 +67,35 @@
             'added_us_an_event': round(added_us, 1),
         },
     )
-    found = []
-    if added_ms > _MOST_MS:
-        found.append(f'added first event {added_ms:.1f} ms')
-    if added_us > _MOST_US:
-        found.append(f'added processor time {added_us:.0f} us an event')
-    return found
+    violations = []
+    if added_ms > _MAX_ADDED_MS:
+        violations.append(
+            f'the router adds {added_ms:.1f} ms to the first event'
+        )
+    if added_us > _MAX_ADDED_US:
+        violations.append(
+            f'the router adds {added_us:.0f} us of processor time per event'
+        )
+    return violations
 
 
 class IncompleteStreamError(Exception):
-    """A stream did not come whole, so that nothing can be said of it."""
+    """A stream ended early, so that its measurements are meaningless."""
 
 
 def measure(fleet: fleet_.Fleet, streams: int, routed: bool) -> Figures:
-    """Run `streams` streams side by side, begun a few ms apart.
+    """Run concurrent streams that start a few ms apart.
 
     Raises
     ------
     IncompleteStreamError
-        With each one that did not come whole, and what the router decided
-        on it.
+        If a stream is incomplete; the message lists all of these with the
+        router's decisions on them.
     """
-    first: list[float] = []
+    first_event_ms: list[float] = []
     tasks = []
     engines = fleet.running(shape_.ENGINES)
-    wanted = -(-_TOKENS // fleet.shape.times.stride)
+    expected_events = -(-_TOKENS // fleet.shape.times.stride)
     began = time.process_time()
     for number in range(streams):
         guest = engines[number % len(engines)]
@@ -98,28 +103,30 @@
         if routed:
             address = fleet.routers[0].address
         request_id = f'overhead-{number}-{fleet.clock.now()}'
-        task = green.spawn(_read, address, request_id, wanted, first)
+        task = green.spawn(
+            _read_stream, address, request_id, expected_events, first_event_ms
+        )
         tasks.append((request_id, task))
-        green.sleep_ms(_PAUSE_MS)
-    broken = [
-        (request_id, found)
+        green.sleep_ms(_START_INTERVAL_MS)
+    incomplete = [
+        (request_id, error)
         for request_id, task in tasks
-        if (found := task.wait())
+        if (error := task.wait())
     ]
     spent = time.process_time() - began
-    if broken:
-        raise IncompleteStreamError(_told(fleet, broken, routed))
-    us = spent / (streams * wanted) * 1e6
-    return Figures(report_.percentiles(first), round(us, 1))
+    if incomplete:
+        raise IncompleteStreamError(_describe(fleet, incomplete, routed))
+    us = spent / (streams * expected_events) * 1e6
+    return Figures(report_.percentiles(first_event_ms), round(us, 1))
 
 
-def _told(
-    fleet: fleet_.Fleet, broken: list[tuple[str, str]], routed: bool
+def _describe(
+    fleet: fleet_.Fleet, incomplete: list[tuple[str, str]], routed: bool
 ) -> str:
-    path = 'through the router' if routed else 'direct'
-    lines = [f'{len(broken)} streams, {path}, were not whole']
-    for request_id, found in broken:
-        lines.append(f'{request_id}: {found}')
+    path = 'through the router' if routed else 'direct to engines'
+    lines = [f'{len(incomplete)} streams {path} were incomplete']
+    for request_id, error in incomplete:
+        lines.append(f'{request_id}: {error}')
         if routed:
             decisions = fleet.routers[0].serving.decisions
             lines += [
@@ -128,37 +135,41 @@
     return '\n'.join(lines)
 
 
-def _read(
-    address: str, request_id: str, wanted: int, first: list[float]
+def _read_stream(
+    address: str,
+    request_id: str,
+    expected_events: int,
+    first_event_ms: list[float],
 ) -> str:
-    """Read a stream of `wanted` events as cheaply as can be.
+    """Read a stream with as little processor time as possible.
 
     Returns
     -------
     str
-        Why it did not come whole; empty where it did.
+        Reason why the stream is incomplete; empty if it is complete.
     """
     clock = clock_.SystemClock()
     conn = connection_.Connection(address, clock)
     began = clock.now()
-    count, found = _take(conn, clock, request_id, first)
+    count, error = _read_events(conn, clock, request_id, first_event_ms)
     conn.close()
-    if not found and count == wanted:
+    if not error and count == expected_events:
         return ''
     return (
-        f'{found or "it ended"} after {count} events, {clock.now() - began} ms'
+        f'{error or "stream ended"} after {count} events, '
+        f'{clock.now() - began} ms'
     )
 
 
-def _take(
+def _read_events(
     conn: connection_.Connection,
     clock: clock_.SystemClock,
     request_id: str,
-    first: list[float],
+    first_event_ms: list[float],
 ) -> tuple[int, str]:
-    """Return how many events came, and what went wrong, if anything did."""
+    """Return the number of events received and the error, if any."""
     began = clock.now()
-    deadline = began + _WHOLE_MS
+    deadline = began + _STREAM_TIMEOUT_MS
     headers = [
         ('Host', shape_.HOST),
         (names.REQUEST_ID, request_id),
@@ -166,7 +177,7 @@
         (names.TOKENS, f'24,{_TOKENS}'),
     ]
     body = json.dumps({'letter': request_id}).encode()
-    failure = conn.connect(_CONNECT_MS) or conn.send(
+    failure = conn.connect(_CONNECT_TIMEOUT_MS) or conn.send(
         'POST', '/chat/x', headers, body, deadline
     )
     if failure is not None:
@@ -176,14 +187,14 @@
         return 0, str(head)
     if head.status != 200:
         return 0, f'status {head.status}'
-    count, last, seen = 0, b'', False
+    count, last, is_started = 0, b'', False
     while data := conn.read_some(deadline):
         if isinstance(data, failures.Failure):
             return count, str(data)
-        if not seen:
-            seen = True
-            first.append(clock.now() - began)
-        # The end of an event may come in two reads.
+        if not is_started:
+            is_started = True
+            first_event_ms.append(clock.now() - began)
+        # The two newlines that end an event may arrive in separate reads.
         count += (last + data).count(b'\n\n')
         last = data[-1:] if not data.endswith(b'\n\n') else b''
     return count, ''
--- a/src/peridotmast/load/overload.py
+++ b/src/peridotmast/load/overload.py
@@ -1,4 +1,4 @@
-"""Three times the fleet's capacity: goodput, latency, true refusals."""
+"""Load of three times the fleet's capacity: goodput, latency, refusals."""
 
 from __future__ import annotations
 
@@ -20,22 +20,25 @@
 _TOKENS = 40
 _STRIDE = engine.EngineTimes().stride
 _TTFT_TARGET_MS = 1300
-_INTERACTIVE = 0.5
-_DRAFT = 2.5
-_GOODPUT = 0.9
+_INTERACTIVE_SHARE = 0.5
+_DRAFT_SHARE = 2.5
+"""Load of each kind of work as a share of the capacity."""
+_MIN_GOODPUT_SHARE = 0.9
 
 
 def capacity() -> float:
-    """Return the tokens a second that the engines can give."""
+    """Return the generated tokens per second that the engines can reach."""
     return _DOMAINS * _BATCH / _STEP_MS * 1000
 
 
 def run(seed: int, folder: str, progress: driver_.Progress) -> list[str]:
-    """Run, write the report, and return what fell short."""
-    per_second = capacity() / _TOKENS
+    """Run, write the report, and return the violations."""
+    requests_per_s = capacity() / _TOKENS
     workloads = [
-        _workload('counter', 'interactive', per_second * _INTERACTIVE, 8000),
-        _workload('drafts', 'draft', per_second * _DRAFT, 6000),
+        _workload(
+            'counter', 'interactive', requests_per_s * _INTERACTIVE_SHARE, 8000
+        ),
+        _workload('drafts', 'draft', requests_per_s * _DRAFT_SHARE, 6000),
     ]
     arrivals = arrivals_.draw(workloads, SECONDS, seed)
     shape = shape_.FleetShape(
@@ -51,7 +54,7 @@
     report['capacity_tokens_per_second'] = capacity()
     report['goodput_share'] = round(_goodput(trial) / capacity(), 3)
     report_.write(folder, report)
-    return _short(report, trial)
+    return _find_violations(report, trial)
 
 
 def _workload(
@@ -65,7 +68,10 @@
 
 
 def _goodput(trial: trial_.Trial) -> float:
-    """Return tokens a second of whole answers, past the first seconds."""
+    """Return the tokens per second of complete answers.
+
+    The first 3 s are left out.
+    """
     start = min(o.answer.started_at for o in trial.outcomes)
     first, last = start + 3000, start + SECONDS * 1000
     tokens = sum(
@@ -76,10 +82,14 @@
     return tokens / (last - first) * 1000
 
 
-def _short(report: dict[str, ty.Any], trial: trial_.Trial) -> list[str]:
-    found = trial.verdict.violated_guarantees()
-    if report['goodput_share'] < _GOODPUT:
-        found.append(f'goodput {report["goodput_share"]}')
+def _find_violations(
+    report: dict[str, ty.Any], trial: trial_.Trial
+) -> list[str]:
+    violations = trial.verdict.violated_guarantees()
+    if report['goodput_share'] < _MIN_GOODPUT_SHARE:
+        violations.append(
+            f'goodput as a share of capacity: {report["goodput_share"]}'
+        )
     if report['first_token_ms']['p95'] > _TTFT_TARGET_MS:
-        found.append(f'first_token {report["first_token_ms"]}')
-    return found
+        violations.append(f'first token in ms: {report["first_token_ms"]}')
+    return violations
--- a/src/peridotmast/load/page.py
+++ b/src/peridotmast/load/page.py
@@ -1,4 +1,4 @@
-"""A report as a page that reads well light, dark and on a phone."""
+"""A report as an HTML page for light and dark themes and small screens."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 .good { color: #2a9d6f; } .bad { color: #d0483e; }
 """
 
-_FIGURES = (
+_SUMMARY_KEYS = (
     'requests',
     'answered_whole',
     'outcome_unknown',
@@ -38,7 +38,7 @@
 
 
 def write(folder: str, report: dict[str, ty.Any]) -> None:
-    """Write ``index.html`` into `folder`, with its plots inside."""
+    """Write ``index.html`` into `folder`, with the plots embedded."""
     meets = report['meets_target']
     verdict = 'met' if meets else 'missed'
     parts = [
@@ -50,9 +50,11 @@
         f'first token {report["first_token_ms"]["p95"]} of '
         f'{report["targets"]["ttft_ms"]:g} ms, between tokens '
         f'{report["between_tokens_ms"]["p95"]} of '
-        f'{report["targets"]["tpot_ms"]:g} ms, 95 in 100.</p>',
-        _table('Figures', ((n, report[n]) for n in _FIGURES)),
-        _table('Promises broken', ((n, report[n]) for n in oracle.GUARANTEES)),
+        f'{report["targets"]["tpot_ms"]:g} ms (95th percentile).</p>',
+        _table('Summary', ((n, report[n]) for n in _SUMMARY_KEYS)),
+        _table(
+            'Violated guarantees', ((n, report[n]) for n in oracle.GUARANTEES)
+        ),
         _workloads(report['workloads']),
         _table('Refusals by reason', report['refused'].items()),
         _table('Faults', report['faults'].items()),
@@ -65,7 +67,7 @@
 
 def _table(title: str, rows: ty.Iterable[tuple[str, ty.Any]]) -> str:
     cells = ''.join(
-        f'<tr><td>{html.escape(name.replace("_", " "))}<td>{_text(value)}'
+        f'<tr><td>{html.escape(name.replace("_", " "))}<td>{_format(value)}'
         for name, value in rows
     )
     empty = '<tr><td>none<td>'
@@ -85,7 +87,7 @@
             first['p99'],
             between['p95'],
         )
-        cells = ''.join(f'<td>{_text(value)}' for value in values)
+        cells = ''.join(f'<td>{_format(value)}' for value in values)
         rows.append(f'<tr><td>{html.escape(name)}{cells}')
     head = (
         '<tr><th>workload<th>requests<th>failed<th>first p50<th>p95<th>p99'
@@ -107,7 +109,7 @@
     return parts
 
 
-def _text(value: ty.Any) -> str:
+def _format(value: ty.Any) -> str:
     if isinstance(value, float):
         return f'{value:,.6g}'
     return html.escape(f'{value:,}' if isinstance(value, int) else str(value))
--- a/src/peridotmast/load/platform_calls.py
+++ b/src/peridotmast/load/platform_calls.py
@@ -1,4 +1,4 @@
-"""Store calls and control traffic against the number of routers."""
+"""Store calls and control traffic by the number of routers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 SIZES = (4, 8, 16, 32)
 _IDLE_S = 6.0
 _LOAD_S = 4.0
-_MOST_CALLS = 0.6
-"""Calls a second and router that are allowed without news."""
+_MAX_IDLE_CALLS_PER_S = 0.6
+"""Maximum number of store calls per second of an idle router."""
 
 LOAD = (
     pb.Workload(
@@ -37,18 +37,22 @@
 
 
 def measure(routers: int, seed: int) -> dict[str, float]:
-    """Return calls, control bytes and processor time at one size."""
+    """Return store calls, beacons and processor time for one fleet size."""
     fleet = fleet_.Fleet(shape_.FleetShape(routers=routers), seed)
     fleet.start()
     green.sleep_ms(1500)
-    before, began, spent = _counts(fleet), time.time(), time.process_time()
+    before, began, spent = (
+        _read_counters(fleet),
+        time.time(),
+        time.process_time(),
+    )
     green.sleep_ms(_IDLE_S * 1000)
     wall, cpu = time.time() - began, time.process_time() - spent
-    after = _counts(fleet)
+    after = _read_counters(fleet)
     idle = {name: (after[name] - before[name]) / wall for name in after}
     arrivals = arrivals_.draw(LOAD, _LOAD_S, seed)
     driver_.LoadDriver(fleet, oracle_.Oracle(fleet), seed).run(arrivals)
-    loaded = _counts(fleet)
+    loaded = _read_counters(fleet)
     figures = {
         'routers': routers,
         'idle_store_calls_per_s': idle['calls'],
@@ -65,19 +69,25 @@
 def slope(
     sizes: ty.Sequence[float], values: ty.Sequence[float]
 ) -> dict[str, float]:
-    """Return slope, value at 0 and spread of a straight line's fit."""
-    rise, start = numpy.polyfit(sizes, values, 1)
-    fitted = numpy.polyval((rise, start), sizes)
+    """Fit a straight line.
+
+    Returns
+    -------
+    dict
+        Its slope, its value at 0 and the standard deviation of the residuals.
+    """
+    gradient, intercept = numpy.polyfit(sizes, values, 1)
+    fitted = numpy.polyval((gradient, intercept), sizes)
     spread = float(numpy.std(numpy.asarray(values) - fitted))
     return {
-        'slope': round(float(rise), 6),
-        'at_zero': round(float(start), 6),
+        'slope': round(float(gradient), 6),
+        'at_zero': round(float(intercept), 6),
         'spread': round(spread, 6),
     }
 
 
 def run(seed: int, folder: str, progress: driver_.Progress) -> list[str]:
-    """Measure all sizes and write the table with its slopes."""
+    """Measure all fleet sizes, write the report and return the violations."""
     rows = []
     for size in SIZES:
         progress(f'{size} routers')
@@ -87,13 +97,13 @@
         name: slope(SIZES, [row[name] for row in rows]) for name in figures
     }
     report_.write(folder, {'rows': rows, 'slopes': slopes})
-    most = max(row['idle_store_calls_per_s'] / row['routers'] for row in rows)
-    if most > _MOST_CALLS:
-        return [f'{most:.2f} store calls a second and router without news']
+    worst = max(row['idle_store_calls_per_s'] / row['routers'] for row in rows)
+    if worst > _MAX_IDLE_CALLS_PER_S:
+        return [f'{worst:.2f} store calls per second and idle router']
     return []
 
 
-def _counts(fleet: fleet_.Fleet) -> dict[str, int]:
+def _read_counters(fleet: fleet_.Fleet) -> dict[str, int]:
     return {
         'calls': sum(router.store.calls for router in fleet.routers),
         'bytes': sum(r.beacons.sent_bytes for r in fleet.routers),
--- a/src/peridotmast/load/plots.py
+++ b/src/peridotmast/load/plots.py
@@ -1,4 +1,4 @@
-"""Plots that read well on a light and on a dark page, and on a phone."""
+"""Plots for light and dark pages and small screens."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from matplotlib import pyplot  # noqa: E402
 
-_INK = '#7a7a7a'
+_TEXT_COLOR = '#7a7a7a'
 _COLORS = ('#2a7f62', '#c0792a', '#5b6fb5', '#a5485f')
 _SIZE = (4.6, 2.8)
 
@@ -20,14 +20,14 @@
     names: ty.Sequence[str],
     groups: dict[str, ty.Sequence[float]],
 ) -> None:
-    """Write one panel of bars for each of `groups`, a bar for each name."""
+    """Write a bar chart for each of `groups`, with a bar for each name."""
     figure, axes = pyplot.subplots(
         len(groups), 1, figsize=(_SIZE[0], _SIZE[1] * len(groups))
     )
     panels = [axes] if len(groups) == 1 else list(axes)
     for panel, (title, values) in zip(panels, groups.items()):
         drawn = panel.bar(names, values, color=_COLORS[: len(names)])
-        panel.bar_label(drawn, color=_INK, fmt='{:,.4g}')
+        panel.bar_label(drawn, color=_TEXT_COLOR, fmt='{:,.4g}')
         _style(panel, title)
     _save(figure, path)
 
@@ -39,24 +39,24 @@
     x_label: str,
     y_label: str,
 ) -> None:
-    """Write one panel with a line for each of `series` (x and y values)."""
+    """Write a line chart with a line for each of `series` (x and y values)."""
     figure, panel = pyplot.subplots(figsize=_SIZE)
     for color, (name, (xs, ys)) in zip(_COLORS * 3, series.items()):
         panel.plot(xs, ys, label=name, color=color, linewidth=1.6)
-    panel.set_xlabel(x_label, color=_INK)
-    panel.set_ylabel(y_label, color=_INK)
-    panel.legend(frameon=False, labelcolor=_INK, fontsize=8)
+    panel.set_xlabel(x_label, color=_TEXT_COLOR)
+    panel.set_ylabel(y_label, color=_TEXT_COLOR)
+    panel.legend(frameon=False, labelcolor=_TEXT_COLOR, fontsize=8)
     _style(panel, title)
     _save(figure, path)
 
 
 def _style(panel: ty.Any, title: str) -> None:
-    panel.set_title(title, color=_INK, fontsize=10)
-    panel.tick_params(colors=_INK)
+    panel.set_title(title, color=_TEXT_COLOR, fontsize=10)
+    panel.tick_params(colors=_TEXT_COLOR)
     panel.margins(y=0.15)
     for name, spine in panel.spines.items():
         spine.set_visible(name in ('left', 'bottom'))
-        spine.set_color(_INK)
+        spine.set_color(_TEXT_COLOR)
 
 
 def _save(figure: ty.Any, path: str) -> None:
--- a/src/peridotmast/load/profiling.py
+++ b/src/peridotmast/load/profiling.py
@@ -1,4 +1,4 @@
-"""What one call costs, and what is held of its result."""
+"""Processor time of a call, and memory that its result occupies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def measure_cpu_us(func: ty.Callable[[], ty.Any], times: int = 1) -> float:
-    """Return the processor time of one call, in us."""
+    """Return the mean processor time of one call of `func`, in us."""
     began = time.process_time()
     for _ in range(times):
         func()
@@ -16,9 +16,9 @@
 
 
 def measure_allocation(make: ty.Callable[[], ty.Any]) -> tuple[float, ty.Any]:
-    """Return the bytes that what `make` returns holds, and that."""
+    """Return the size of the result of `make` in bytes, and the result."""
     tracemalloc.start()
-    made = make()
+    result = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return float(size), made
+    return float(size), result
--- a/src/peridotmast/load/report.py
+++ b/src/peridotmast/load/report.py
@@ -1,4 +1,4 @@
-"""Figures of a run: percentiles, JSON, and lines for the terminal."""
+"""Percentiles and latencies of a run, and its JSON report."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def percentiles(values: ty.Sequence[float]) -> dict[str, float]:
-    """Return p50, p95 and p99 of `values`; zeros where there are none."""
+    """Return p50, p95, p99 and the count; all are zero without values."""
     if not values:
         return {'p50': 0.0, 'p95': 0.0, 'p99': 0.0, 'count': 0}
     p50, p95, p99 = numpy.percentile(values, (50, 95, 99))
@@ -27,9 +27,10 @@
 def latencies(
     outcomes: ty.Iterable[oracle_.Outcome], work: str = 'interactive'
 ) -> dict[str, dict[str, float]]:
-    """Return first-token and between-token percentiles, in ms.
+    """Return percentiles of the times to and between tokens, in ms.
 
-    Between tokens is each answer's mean, as a reader feels it.
+    The time between tokens is the mean of each answer, as this is the reading
+    speed that a user perceives.
     """
     answers = [
         outcome.answer
--- a/src/peridotmast/load/slopes.py
+++ b/src/peridotmast/load/slopes.py
@@ -1,4 +1,4 @@
-"""Every slope that docs/CAPACITY.md is worked out from."""
+"""Measurements of the cost per unit of load, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -34,39 +34,39 @@
 _NODES = (4, 8, 16, 24)
 _ROUTES = (16, 128, 512)
 _STREAMS = (25, 50, 100)
-_WATCH_S = 5.0
-_PROCESS_S = 15.0
+_IDLE_S = 5.0
+_PROCESS_WATCH_S = 15.0
 
 
 def run(
     seed: int, folder: str, progress: driver_.Progress, router: str = ''
 ) -> list[str]:
-    """Measure everything and write rows and straight-line fits.
+    """Measure everything and write the measurements with straight-line fits.
 
     Parameters
     ----------
     router : str
-        HTTP address of a router that runs as a process of its own, whose
-        idle processor time and memory are read from its metrics.
+        HTTP address of an idle router in another process; its processor
+        time and memory are read from its metrics.
     """
-    measured: dict[str, ty.Any] = {}
+    report: dict[str, ty.Any] = {}
     if router:
         progress('process')
-        measured['process'] = _process(router)
-    for name, func, size in _MEASURES:
+        report['process'] = _measure_process(router)
+    for name, func, size in _MEASUREMENTS:
         progress(name)
         gc.collect()
         rows = func(seed)
-        measured[name] = {'rows': rows, 'fits': _fits(rows, size)}
-    report_.write(folder, measured)
-    _plot(folder, measured['routers']['rows'])
+        report[name] = {'rows': rows, 'fits': _fits(rows, size)}
+    report_.write(folder, report)
+    _plot(folder, report['routers']['rows'])
     return []
 
 
 def _plot(folder: str, nodes: Rows) -> None:
     plots.lines(
         os.path.join(folder, 'slopes.png'),
-        'One process with N routers and the stand-ins, idle',
+        'One idle process with N routers and the stand-ins',
         {
             'processor, % of a core': (
                 [row['routers'] for row in nodes],
@@ -78,21 +78,21 @@
     )
 
 
-def _process(address: str) -> dict[str, float]:
-    """Return an idle router's share of a core, and its memory in MB."""
-    first = _process_metrics(address)
-    green.sleep_ms(_PROCESS_S * 1000)
-    last = _process_metrics(address)
+def _measure_process(address: str) -> dict[str, float]:
+    """Return the share of a core and the memory in MB of an idle router."""
+    first = _read_process_metrics(address)
+    green.sleep_ms(_PROCESS_WATCH_S * 1000)
+    last = _read_process_metrics(address)
     spent = (
         last['process_cpu_seconds_total'] - first['process_cpu_seconds_total']
     )
     return {
-        'cpu_share': round(spent / _PROCESS_S, 5),
+        'cpu_share': round(spent / _PROCESS_WATCH_S, 5),
         'resident_mb': round(last['process_resident_memory_bytes'] / 2**20, 1),
     }
 
 
-def _process_metrics(address: str) -> dict[str, float]:
+def _read_process_metrics(address: str) -> dict[str, float]:
     reply = calls.HttpCalls().call('GET', address, '/metrics')
     if isinstance(reply, failures.Failure):
         raise OSError(f'{address}: {reply.reason}')
@@ -113,12 +113,12 @@
     }
 
 
-def _routers(seed: int) -> Rows:
-    """Idle routers in one process: processor, beacons, memory."""
-    return [_idle_routers(count, seed) for count in _NODES]
+def _measure_routers(seed: int) -> Rows:
+    """Measure processor time, beacons and memory of idle routers."""
+    return [_measure_idle_routers(count, seed) for count in _NODES]
 
 
-def _idle_routers(count: int, seed: int) -> dict[str, float]:
+def _measure_idle_routers(count: int, seed: int) -> dict[str, float]:
     fleet = fleet_.Fleet(shape_.FleetShape(routers=count), seed)
     fleet.start()
     green.sleep_ms(1500)
@@ -127,7 +127,7 @@
     payload = sum(router.beacons.sent_bytes for router in fleet.routers)
     sent = sum(router.beacons.sent for router in fleet.routers)
     store_calls = sum(router.store.calls for router in fleet.routers)
-    green.sleep_ms(_WATCH_S * 1000)
+    green.sleep_ms(_IDLE_S * 1000)
     wall = time.time() - began
     row = {
         'routers': float(count),
@@ -155,8 +155,8 @@
     return pages * resource.getpagesize() / 2**20
 
 
-def _streams(seed: int) -> Rows:
-    """Streams through one router: processor time an event, memory."""
+def _measure_streams(seed: int) -> Rows:
+    """Measure processor time per event and memory of streams."""
     rows = []
     for count in _STREAMS:
         shape = shape_.FleetShape(
@@ -170,20 +170,20 @@
         fleet.start()
         before = _resident_mb()
         routed = overhead.measure(fleet, count, routed=True)
-        held = _resident_mb() - before
+        growth = _resident_mb() - before
         direct = overhead.measure(fleet, count, routed=False)
         fleet.stop()
         rows.append(
             {
                 'streams': float(count),
                 'router_us_an_event': routed.us_an_event - direct.us_an_event,
-                'memory_growth_mb': round(held, 2),
+                'memory_growth_mb': round(growth, 2),
             }
         )
     return rows
 
 
-def _configurations(seed: int) -> Rows:
+def _measure_configurations(seed: int) -> Rows:
     rows = []
     for count in _ROUTES:
         config = pb.Config(
@@ -222,7 +222,7 @@
     return rows
 
 
-def _plans(seed: int) -> Rows:
+def _measure_plans(seed: int) -> Rows:
     rows = []
     for count in (8, 64, 512):
         market = capacity_plan.Market(
@@ -239,8 +239,8 @@
     return rows
 
 
-def _metrics(seed: int) -> Rows:
-    """A scrape of the metrics, against the number of series."""
+def _measure_metrics(seed: int) -> Rows:
+    """Measure a scrape of metrics by the number of series."""
     rows = []
     for count in (5, 50, 200):
         registry = prometheus_client.CollectorRegistry()
@@ -260,15 +260,16 @@
     return rows
 
 
-_Measure = tuple[str, ty.Callable[[int], Rows], str]
+_Measurement = tuple[str, ty.Callable[[int], Rows], str]
 
-_MEASURES: tuple[_Measure, ...] = (
+_MEASUREMENTS: tuple[_Measurement, ...] = (
     ('upstream_records', state_slopes.upstream_records, 'upstreams'),
     ('memberships', state_slopes.memberships, 'members'),
     ('beacons', state_slopes.beacons, 'upstreams'),
-    ('configurations', _configurations, 'routes'),
-    ('plans', _plans, 'engines'),
-    ('metrics', _metrics, 'series'),
-    ('routers', _routers, 'routers'),
-    ('streams', _streams, 'streams'),
+    ('configurations', _measure_configurations, 'routes'),
+    ('plans', _measure_plans, 'engines'),
+    ('metrics', _measure_metrics, 'series'),
+    ('routers', _measure_routers, 'routers'),
+    ('streams', _measure_streams, 'streams'),
 )
+"""Name of each measurement, its function, and the column with the size."""
--- a/src/peridotmast/load/soak.py
+++ b/src/peridotmast/load/soak.py
@@ -1,4 +1,4 @@
-"""A long randomised run with faults of every kind."""
+"""A long randomized run with all kinds of faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.standin import engine
 
-_SHARE_OF_DRAFTS_MS = 25_000
+_DRAFT_DEADLINE_MS = 25_000
 
 WORKLOADS = (
     pb.Workload(
@@ -29,7 +29,7 @@
     pb.Workload(
         name='schedules', team='noor', work='draft', rate=2.5,
         tokens_min=100, tokens_max=260, prompt_words=60, shared_words=64,
-        groups=4, idempotent=True, deadline_ms=_SHARE_OF_DRAFTS_MS,
+        groups=4, idempotent=True, deadline_ms=_DRAFT_DEADLINE_MS,
         closes_at=3600,
     ),
     pb.Workload(
@@ -48,7 +48,7 @@
 
 
 def shape(policy: str = 'scored') -> shape_.FleetShape:
-    """Return the fleet that soaks and comparisons run on."""
+    """Return the fleet of soaks and of policy comparisons."""
     return shape_.FleetShape(
         routers=4,
         domains=4,
@@ -61,7 +61,7 @@
 
 
 def process_shape() -> shape_.FleetShape:
-    """Return the fleet of a soak with processes, its engines scaled."""
+    """Return the fleet of a soak with processes, which scales its engines."""
     document = shape_.DOCUMENT.replace('fixed', 'planner')
     return dataclasses.replace(shape(), document=document)
 
@@ -73,13 +73,13 @@
     progress: driver_.Progress,
     processes: bool = False,
 ) -> list[str]:
-    """Run, write the report, and return the promises that broke.
+    """Run, write the report, and return the violated guarantees.
 
     Parameters
     ----------
     processes : bool
-        Whether each router is a process, which can be frozen and of which
-        all can be killed at once. Their logs stay in the folder.
+        Whether each router is a process, so that routers can be frozen and
+        all be killed at once. Their logs are kept in the folder.
     """
     make_fleet: ty.Callable[..., fleet_.Fleet] = fleet_.Fleet
     if processes:
@@ -105,6 +105,6 @@
 def reproduction_command(
     seconds: float, seed: int, processes: bool = False
 ) -> str:
-    """Return the command of a run."""
+    """Return the command line that repeats a run."""
     line = f'peridotmast-load soak --seconds {seconds:g} --seed {seed}'
     return f'{line} --out OUT{" --processes" * processes}'
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of what one router holds: upstreams, members, beacons."""
+"""Measurements of a router's tables: upstreams, members and beacons."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 Rows = list[dict[str, float]]
 
-_RECORDS = (1000, 2000, 4000, 5700)
-_MEMBERS = (80, 160, 330)
-_ENGINES = (8, 32, 128)
-_BEACONS = 200
-_PLACEMENTS = 30
-_WORKED_AT = 20
+_RECORD_COUNTS = (1000, 2000, 4000, 5700)
+_MEMBER_COUNTS = (80, 160, 330)
+_ENGINE_COUNTS = (8, 32, 128)
+_BEACON_REPEATS = 200
+_PLACEMENT_REPEATS = 30
+_LOADED_UPSTREAMS = 20
+"""Number of upstreams at which the simulated peer has running requests."""
 
 
-def record_of(number: int) -> pb.UpstreamRecord:
-    """Return an upstream's record as large as a real one."""
+def make_record(number: int) -> pb.UpstreamRecord:
+    """Return an upstream record of realistic size."""
     return pb.UpstreamRecord(
         upstream=pb.Upstream(
             name=f'i-{number:010x}',
@@ -40,39 +41,42 @@
 
 
 def upstream_records(seed: int) -> Rows:
+    """Measure the upstream table by the number of records."""
     service = pb.Service(
         name='draft-pool', engine=True, slots=32, memory_tokens=600_000
     )
     rows = []
-    for count in _RECORDS:
-        records = [record_of(number) for number in range(count)]
-        held, table = profiling.measure_allocation(lambda: _table_of(records))
-        news = record_of(0)
-        news.revision = count + 1
-        news.state = pb.UPSTREAM_STATE_LEAVING
-        places = placement.Placement(
+    for count in _RECORD_COUNTS:
+        records = [make_record(number) for number in range(count)]
+        allocated, table = profiling.measure_allocation(
+            lambda: _make_table(records)
+        )
+        update = make_record(0)
+        update.revision = count + 1
+        update.state = pb.UPSTREAM_STATE_LEAVING
+        placements = placement.Placement(
             table,
             placement.ScoredPolicy('region-1-fd-1'),
             'edge-1',
             upstream_limits.UpstreamLimits(clock_.SystemClock(), 'edge-1'),
         )
-        _place(places, service)
+        _choose_place(placements, service)
         steady_us = profiling.measure_cpu_us(
-            lambda: _place(places, service), _PLACEMENTS
+            lambda: _choose_place(placements, service), _PLACEMENT_REPEATS
         )
-        merge_us = profiling.measure_cpu_us(lambda: table.merge(news))
+        merge_us = profiling.measure_cpu_us(lambda: table.merge(update))
         rows.append(
             {
                 'upstreams': float(count),
                 'merge_us': merge_us,
                 'first_after_change_us': profiling.measure_cpu_us(
-                    lambda: _place(places, service)
+                    lambda: _choose_place(placements, service)
                 ),
                 'placement_us': steady_us,
                 'beacon_us': profiling.measure_cpu_us(
-                    lambda: _take_loads(table), 50
+                    lambda: _apply_loads(table), 50
                 ),
-                'held_bytes': held,
+                'held_bytes': allocated,
                 'reply_bytes': float(
                     pb.UpstreamsReply(upstreams=records).ByteSize()
                 ),
@@ -81,16 +85,16 @@
     return rows
 
 
-def _take_loads(table: upstreams_.UpstreamTable) -> None:
-    """Take in what a peer with work at some upstreams tells."""
+def _apply_loads(table: upstreams_.UpstreamTable) -> None:
+    """Apply the loads that a peer reports."""
     loads = [
         pb.UpstreamLoad(upstream=f'i-{number:010x}', running=3)
-        for number in range(_WORKED_AT)
+        for number in range(_LOADED_UPSTREAMS)
     ]
     table.set_peer_loads('edge-2', loads)
 
 
-def _table_of(
+def _make_table(
     records: ty.Sequence[pb.UpstreamRecord],
 ) -> upstreams_.UpstreamTable:
     table = upstreams_.UpstreamTable(clock_.SystemClock())
@@ -98,7 +102,9 @@
     return table
 
 
-def _place(places: placement.Placement, service: pb.Service) -> None:
+def _choose_place(
+    placements: placement.Placement, service: pb.Service
+) -> None:
     parts = (
         exchange_.PromptPart('a1', 500),
         exchange_.PromptPart('b2', 4000),
@@ -119,12 +125,12 @@
         caller=ty.cast(ty.Any, None),
         prompt=exchange_.Prompt('m', 10_500, 300, parts),
     )
-    place = places.choose(exchange, service)
+    place = placements.choose(exchange, service)
     if place is not None:
         place.release()
 
 
-def _member(number: int) -> pb.Member:
+def _make_member(number: int) -> pb.Member:
     host = f'10.0.{number // 250}.{number % 250}'
     return pb.Member(
         name=f'edge-region-1-{number}',
@@ -140,39 +146,40 @@
     )
 
 
-def _members_of(count: int) -> members_.Members:
-    members = members_.Members(_member(0), clock_.SystemClock(), 1250)
+def _make_members(count: int) -> members_.Members:
+    members = members_.Members(_make_member(0), clock_.SystemClock(), 1250)
     for number in range(1, count):
-        members.receive(_member(number))
+        members.receive(_make_member(number))
     return members
 
 
 def memberships(seed: int) -> Rows:
+    """Measure the member list by the number of members."""
     rows = []
-    for count in _MEMBERS:
-        held, members = profiling.measure_allocation(
-            lambda: _members_of(count)
+    for count in _MEMBER_COUNTS:
+        allocated, members = profiling.measure_allocation(
+            lambda: _make_members(count)
         )
         rows.append(
             {
                 'members': float(count),
                 'hear_us': profiling.measure_cpu_us(
-                    lambda: members.receive(_member(1)), 50
+                    lambda: members.receive(_make_member(1)), 50
                 ),
                 'tick_us': profiling.measure_cpu_us(members.tick, 20),
                 'resolve_us': profiling.measure_cpu_us(members.serving, 50),
-                'held_bytes': held,
+                'held_bytes': allocated,
             }
         )
     return rows
 
 
 def beacons(seed: int) -> Rows:
-    """One beacon by the upstreams that its router has work at."""
+    """Measure a beacon by the number of upstreams with running requests."""
     rows = []
-    for count in _ENGINES:
+    for count in _ENGINE_COUNTS:
         beacon = pb.Beacon(
-            member=_member(1),
+            member=_make_member(1),
             config_version=1000,
             upstreams_revision=100_000,
             wall_ms=1_796_000_000_000,
@@ -198,10 +205,10 @@
                 'upstreams': float(count),
                 'bytes': float(len(data)),
                 'pack_us': profiling.measure_cpu_us(
-                    beacon.SerializeToString, _BEACONS
+                    beacon.SerializeToString, _BEACON_REPEATS
                 ),
                 'unpack_us': profiling.measure_cpu_us(
-                    lambda: pb.Beacon.FromString(data), _BEACONS
+                    lambda: pb.Beacon.FromString(data), _BEACON_REPEATS
                 ),
             }
         )
--- a/src/peridotmast/load/trial.py
+++ b/src/peridotmast/load/trial.py
@@ -1,4 +1,4 @@
-"""One run of a fleet under arrivals and faults, and its figures."""
+"""One run of a fleet under load and faults, and its results."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def discard_progress(line: str) -> None:
-    """Drop a line of progress."""
+    """Ignore a progress message."""
 
 
 @dataclasses.dataclass
 class Trial:
-    """What is run, and afterwards what came of it."""
+    """The parameters of a run, and after the run its results."""
 
     shape: shape_.FleetShape
     arrivals: list[arrivals_.Arrival]
@@ -31,18 +31,18 @@
     seed: int
     replace_ms: int = 1200
     make_fleet: ty.Callable[..., fleet_.Fleet] = fleet_.Fleet
-    """Makes the fleet of a shape and a seed."""
+    """Creates the fleet from a shape and a seed."""
     verdict: oracle_.Verdict = dataclasses.field(
         default_factory=oracle_.Verdict
     )
-    """The judgement, once it has run."""
+    """Guarantee violations and other counts; empty before the run."""
     outcomes: list[oracle_.Outcome] = dataclasses.field(default_factory=list)
-    """What the callers saw, once it has run."""
+    """Outcomes of all requests; empty before the run."""
 
     def run(
         self, progress: driver_.Progress = discard_progress
     ) -> dict[str, ty.Any]:
-        """Run it and return its figures."""
+        """Run the fleet under load and faults, and return the report."""
         kinds = {
             faults_.FaultKind(fault.kind) for fault in self.fault_schedule
         }
@@ -68,11 +68,11 @@
                 faults.kill_all_times,
             )
             self.outcomes = oracle.outcomes
-            return self._figures(fleet, oracle, faults, driver)
+            return self._report(fleet, oracle, faults, driver)
         finally:
             fleet.stop()
 
-    def _figures(
+    def _report(
         self,
         fleet: fleet_.Fleet,
         oracle: oracle_.Oracle,
