--- a/tools/days_table.py
+++ b/tools/days_table.py
@@ -1,10 +1,10 @@
-"""Prints a table of the days in entries of the journal.
+"""Prints a table of the simulated days in journal entries.
 
 Usage: python tools/days_table.py ID...
 
-Each row is a day: its worth, what was served in time, the worst windows and
-the worst kind, each price over 0.005 and the rules that were broken, as the
-entry has them.
+Each row is a day with its worth, the part served in time, the parts for the
+worst windows and the worst class, each price over 0.005, and the violated
+rules; all values are those of the entry.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import typing as ty
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-LEAST = 0.005
-"""Smallest price that is named, as a part of what was owed."""
+MIN_PRICE = 0.005
+"""Price above which it is listed, as a share of the amount owed."""
 
 HEAD = (
     '| day | worth | served | worst windows | worst kind | prices | rules |\n'
@@ -24,38 +24,38 @@
 )
 
 
-def entry(name: str) -> dict[str, ty.Any]:
-    """Return the entry of the journal whose name ends in `name`."""
+def load_entry(name: str) -> dict[str, ty.Any]:
+    """Load the journal entry whose file name ends in `name`."""
     (path,) = (ROOT / 'journal').glob(f'*-{name}.json')
     return json.loads(path.read_text())
 
 
-def row(day: dict[str, ty.Any]) -> str:
-    """Return the table's row of one day."""
-    parts = {name: share for name, _, share in day['parts']}
+def format_row(day: dict[str, ty.Any]) -> str:
+    """Return the table row of one day."""
+    shares = {name: share for name, _, share in day['parts']}
     prices = ', '.join(
         f'{name} {price:.3f}'
         for name, _, price in sorted(day['prices'], key=lambda p: -p[2])
-        if price > LEAST
+        if price > MIN_PRICE
     )
-    broken = ', '.join(day['rules']) or 'none'
+    violations = ', '.join(day['rules']) or 'none'
     return (
         f'| {day["name"]} | {day["G"]:.3f} | {day["served"]:.3f}'
-        f' | {parts["worst windows"]:.2f} | {parts["worst class"]:.2f}'
-        f' | {prices} | {broken} |'
+        f' | {shares["worst windows"]:.2f} | {shares["worst class"]:.2f}'
+        f' | {prices} | {violations} |'
     )
 
 
 def main() -> None:
-    """Print a table for each entry that is named."""
+    """Print a table for each journal entry on the command line."""
     for name in sys.argv[1:]:
-        found = entry(name)
-        score = found['score']
-        line = f'{found["site"]}, `{name}`'
+        journal_entry = load_entry(name)
+        score = journal_entry['score']
+        line = f'{journal_entry["site"]}, `{name}`'
         if score is not None:
             line += f': score {score:.3f}'
         print(f'\n{line}.\n\n{HEAD}')
-        print('\n'.join(row(day) for day in found['days']))
+        print('\n'.join(format_row(day) for day in journal_entry['days']))
 
 
 if __name__ == '__main__':
--- a/tools/layers.py
+++ b/tools/layers.py
@@ -1,9 +1,8 @@
-"""Looks for imports that run against the order of the packages.
+"""Checks that no package imports a package of the same or a higher layer.
 
 Usage: python tools/layers.py
 
-Ends with 1 where a package imports one that stands above it. What stands on
-one line below does not import its neighbours either.
+The exit code is 1 if there is such an import.
 """
 
 from __future__ import annotations
@@ -26,8 +25,9 @@
     ('load',),
     ('cli',),
 )
-"""From the lowest to the highest; modules beside the packages are the
-lowest, and may use a codec or a connection."""
+"""Packages by layer, from the lowest to the highest. Modules outside the
+packages count as the lowest layer, but may import the packages of that layer,
+for example for a codec or a connection."""
 
 LEVELS = {
     package: level
@@ -36,8 +36,8 @@
 }
 
 
-def imported(path: pathlib.Path) -> ty.Iterator[tuple[int, str]]:
-    """Yield line and package of each import of a package of ours."""
+def find_imports(path: pathlib.Path) -> ty.Iterator[tuple[int, str]]:
+    """Yield line number and package of each import from the project."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module is None:
             continue
@@ -50,27 +50,31 @@
                 yield node.lineno, name
 
 
-def wrong_way(path: pathlib.Path) -> ty.Iterator[str]:
-    """Yield a line for each import that runs against the order."""
+def find_violations(path: pathlib.Path) -> ty.Iterator[str]:
+    """Yield a message for each import that violates the order of layers."""
     parts = path.relative_to(SOURCE).parts
     package = parts[0] if len(parts) > 1 else ''
     level = LEVELS.get(package, 0)
-    for number, name in imported(path):
-        above = name != package and LEVELS[name] >= max(level, 1)
-        if above:
+    for number, name in find_imports(path):
+        is_violation = name != package and LEVELS[name] >= max(level, 1)
+        if is_violation:
             yield f'{path.relative_to(ROOT)}:{number}: imports {name}'
 
 
 def main() -> int:
-    """Print each import that runs against the order."""
-    places = [
+    """Print each import that violates the order of layers."""
+    violations = [
         line
         for path in sorted(SOURCE.rglob('*.py'))
         if 'schema' not in path.parts
-        for line in wrong_way(path)
+        for line in find_violations(path)
     ]
-    print('\n'.join([*places, f'{len(places)} imports against the layers']))
-    return 1 if places else 0
+    print(
+        '\n'.join(
+            [*violations, f'{len(violations)} imports violate the layers']
+        )
+    )
+    return 1 if violations else 0
 
 
 if __name__ == '__main__':
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -1,9 +1,10 @@
-"""Takes safety checks out one by one and sees whether a test turns red.
+"""Mutation tests: removes safety checks and verifies that a test fails.
 
 Usage: python tools/mutate.py [NAME ...]
 
-Each mutation is made in a copy of src/ that goes before the installed
-package; the tests named with it are run, and one of them must fail.
+Each mutation is applied to a copy of src/ that takes precedence over the
+installed package. The feature named in the mutation is run, and one of its
+scenarios must fail.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Mutation:
-    """One safety check taken out."""
+    """The removal of one safety check from a source file."""
 
     name: str
     file: str
@@ -80,7 +81,7 @@
         'fleet',
     ),
     Mutation(
-        'keep an own entry that has another location',
+        'keep an own entry with an outdated location',
         COORDINATION + 'registry.py',
         'if own is not None and _is_location_current(own, me):',
         'if own is not None:',
@@ -101,7 +102,7 @@
         'groups',
     ),
     Mutation(
-        'trust a new head that routers are missing',
+        'treat the member list of a new head as complete',
         ROUTER + 'beacon_rounds.py',
         'base.others_alive = head_ms < _HEAD_WARMUP_MS',
         'base.others_alive = False',
@@ -241,84 +242,84 @@
         'limits',
     ),
     Mutation(
-        'forward a not-run status that the upstream did not vouch for',
+        'forward a not-run status without confirmation',
         SERVING + 'dispatcher.py',
         'if sent.head.status not in NOT_RUN_STATUSES:',
         'if True:',
         'odd_upstreams',
     ),
     Mutation(
-        "take another request's answer",
+        'accept the response to another request',
         PLATFORM + 'dialect.py',
         'if exchange.id and echoed and echoed != exchange.id:',
         'if False:',
         'odd_upstreams',
     ),
     Mutation(
-        'take a success without a seal',
+        'accept a successful response without a seal',
         PLATFORM + 'dialect.py',
         'return Verdict.ANSWER if whole else Verdict.GARBLED',
         'return Verdict.ANSWER',
         'odd_upstreams',
     ),
     Mutation(
-        'keep a connection that has bytes left',
+        'reuse a connection with unread bytes',
         WIRE + 'connection.py',
         'if self._sock is None or self._reader.pending:',
         'if self._sock is None:',
         'odd_upstreams',
     ),
     Mutation(
-        'keep a connection whose body was not all sent',
+        'reuse a connection whose body was not fully sent',
         WIRE + 'connection.py',
         '            and self._body_sent\n',
         '',
         'odd_upstreams',
     ),
     Mutation(
-        'take an answer that is cut short',
+        'accept a truncated response',
         WIRE + 'connection.py',
         'if not data and resp.length:',
         'if False:',
         'odd_upstreams',
     ),
     Mutation(
-        'take an answer with two lengths',
+        'accept a response with two lengths',
         WIRE + 'connection.py',
         'if len(lengths) > 1 or codings and lengths:',
         'if False:',
         'odd_upstreams',
     ),
     Mutation(
-        'do not name the upstream that is meant',
+        'send a request without the expected upstream',
         PLATFORM + 'dialect.py',
         '            (names.EXPECT_UPSTREAM, view.name),\n',
         '',
         'odd_upstreams',
     ),
     Mutation(
-        "believe a caller's own team",
+        "forward a caller's own team header",
         PLATFORM + 'callers.py',
         '        names.TEAM,\n',
         '',
         'callers',
     ),
     Mutation(
-        'pass the key on',
+        "forward the caller's key",
         PLATFORM + 'callers.py',
         'left_out = _HOP | _OURS | named | {names.AUTHORIZATION.lower()}',
         'left_out = _HOP | _OURS | named',
         'callers',
     ),
     Mutation(
-        'read a head with two lengths',
+        'accept a request with two lengths',
         WIRE + 'strict_protocol.py',
         'if lengths and (codings or len(lengths) > 1):',
         'if False:',
         'strict',
     ),
     Mutation(
-        'let a body break off',
+        'accept a truncated request body',
         WIRE + 'request_body.py',
         '    if len(body) < length:\n'
         "        raise BadBody(400, 'body_broken')\n",
@@ -326,21 +327,21 @@
         'strict',
     ),
     Mutation(
-        'do not watch for callers that leave',
+        'do not detect callers that disconnect',
         PLATFORM + 'callers.py',
         '        conn.watch()\n',
         '',
         'streams',
     ),
     Mutation(
-        'end a broken stream as if it were whole',
+        'end a broken stream as if it were complete',
         PLATFORM + 'callers.py',
         '            self._conn.break_off()\n',
         '            raise StopIteration from None\n',
         'streams',
     ),
     Mutation(
-        'pass on half an event',
+        'forward an incomplete event',
         WIRE + 'event_reader.py',
         '        self._rest = self._rest[start:]\n        return',
         '        whole.append(self._rest[start:])\n'
@@ -411,14 +412,14 @@
         'upstreams',
     ),
     Mutation(
-        'put an older configuration into force',
+        'apply an older configuration',
         COORDINATION + 'config_feed.py',
         'if version <= self.routes.version:',
         'if False:',
         'config',
     ),
     Mutation(
-        'commit over another change',
+        'overwrite a concurrent configuration change',
         COORDINATION + 'config_feed.py',
         'result = self._store.write(KIND, NAME, spec, base_version)',
         'result = self._store.write(\n            KIND, NAME, spec,'
@@ -426,14 +427,14 @@
         'config',
     ),
     Mutation(
-        'keep watching after the history is gone',
+        'keep watching without the history in the store',
         COORDINATION + 'kind_watch.py',
         '            self._listed = False\n            return',
         '            return',
         'config',
     ),
     Mutation(
-        'start orders in the last part of a lease',
+        'start orders shortly before a lease expires',
         COORDINATION + 'lease.py',
         'return self.remaining_ms > self._guard_ms',
         'return self.remaining_ms > 0',
@@ -518,7 +519,7 @@
         'lease',
     ),
     Mutation(
-        'bind the lease to no place',
+        'acquire the lease without an endpoint',
         ROUTER + 'router.py',
         'self.lease.set_endpoint(\n            endpoint_identity.of_address('
         'self.beacons.address)\n        )',
@@ -631,14 +632,14 @@
         'incarnation',
     ),
     Mutation(
-        'take a cancelled answer for complete',
+        'treat a cancelled response as complete',
         WIRE + 'connection.py',
         'if not self._cancelled:\n            return found',
         'if True:\n            return found',
         'incarnation',
     ),
     Mutation(
-        'believe an entry that can not be read',
+        'accept an entry with malformed fields',
         PLATFORM + 'upstream_codec.py',
         '    fields.close()\n    return record',
         '    return record',
@@ -659,7 +660,7 @@
         'entries',
     ),
     Mutation(
-        'lose the objects beside a broken one',
+        'drop all objects because of a malformed one',
         PLATFORM + 'documents.py',
         'whole = _salvaged(text, key)',
         'raise ValueError(text[:9])',
@@ -751,7 +752,7 @@
         'groups',
     ),
     Mutation(
-        'pace by a request that did not run',
+        'keep the debt of a request that did not run',
         SERVING + 'quota.py',
         'bucket.debt = 0',
         'pass',
@@ -772,21 +773,21 @@
         'duties',
     ),
     Mutation(
-        'let what a call has sent arrive after it was given up',
+        'deliver unsent data of an abandoned call',
         WIRE + 'calls.py',
         'conn.drops_unsent = True',
         'conn.drops_unsent = False',
         'duties',
     ),
     Mutation(
-        'close a connection on which a request has come',
+        'close a connection that has received a request',
         WIRE + 'server.py',
         'if not _has_come(sock):',
         'if True:',
         'router_stop',
     ),
     Mutation(
-        'serve what comes on a connection that was shut',
+        'serve a request on a connection that was shut',
         WIRE + 'strict_protocol.py',
         'if was_shut or not first:',
         'if not first:',
@@ -800,7 +801,7 @@
         'limits',
     ),
     Mutation(
-        'count only routers that were heard as limit sharers',
+        'share limits only with routers that were heard',
         COORDINATION + 'members.py',
         'and (peer.was_seen or self.is_newly_discovered(peer))',
         'and peer.was_seen',
@@ -821,7 +822,7 @@
         'store_reads',
     ),
     Mutation(
-        'date a failure by the end of its call',
+        'use the end of a call as the time of its failure',
         COORDINATION + 'outage.py',
         'if self._clock.now() - age_ms < self._answered_at:',
         'if False:',
@@ -835,14 +836,14 @@
         'upstreams',
     ),
     Mutation(
-        'never probe a store that is out',
+        'never probe an unavailable store',
         COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if False:',
         'store_reads',
     ),
     Mutation(
-        'probe a store that is called anyway',
+        'probe a store while other calls use it',
         COORDINATION + 'store_prober.py',
         'if self._outage.is_out and is_quiet:',
         'if self._outage.is_out:',
@@ -889,7 +890,7 @@
         'limits',
     ),
     Mutation(
-        'keep no firm upstreams for a loss',
+        'hold no firm upstreams in reserve for a loss',
         DUTIES + 'service_reconciler.py',
         'return max(1, self._needed - max(0, max_reclaimable - 1))',
         'return 1',
@@ -910,7 +911,7 @@
         'spread',
     ),
     Mutation(
-        'name no holders of a configuration copy',
+        'report no holders of a configuration copy',
         ROUTER + 'config_copies.py',
         'self._holders.append(req.peer_address)',
         'pass',
@@ -994,14 +995,14 @@
         'spread',
     ),
     Mutation(
-        'refuse large bodies for good by bounds that are old',
+        'refuse large bodies permanently by old limits',
         PLATFORM + 'callers.py',
         'retry_ms = self._gateway.retry_ms() if is_bound else 0',
         'retry_ms = 0',
         'spread',
     ),
     Mutation(
-        'refuse large heads for good by bounds that are old',
+        'refuse large heads permanently by old limits',
         WIRE + 'strict_protocol.py',
         'retry_ms = self.owner.retry_ms() if status == _TOO_LARGE else 0',
         'retry_ms = 0',
@@ -1036,7 +1037,7 @@
         'store_reads',
     ),
     Mutation(
-        'bound large answers as a whole',
+        'apply one time-out to a whole large response',
         WIRE + 'calls.py',
         'deadline = self._clock.now() + answer_ms',
         'pass',
@@ -1242,17 +1243,19 @@
 
 
 def run(mutation: Mutation) -> str:
-    """Return how the tests took the mutation."""
+    """Run the feature with the mutation and return the result."""
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder) / 'src'
         shutil.copytree(ROOT / 'src', copy)
         path = copy / mutation.file
         text = path.read_text()
         if text.count(mutation.old) != 1:
-            return f'stale: its text stands {text.count(mutation.old)} times'
+            return (
+                f'stale: the old text occurs {text.count(mutation.old)} times'
+            )
         path.write_text(text.replace(mutation.old, mutation.new))
         feature = f'features/{mutation.feature}.feature'
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-W', 'ignore', '-m', 'behave', '--format',
              'progress',
              '--stop', '--no-capture', feature],
@@ -1262,27 +1265,27 @@
             text=True,
             timeout=600,
         )  # fmt: skip
-    if not done.returncode:
+    if not completed.returncode:
         return 'SURVIVED'
-    marks = ('features/', '  features/')
-    red = [
+    prefixes = ('features/', '  features/')
+    failures = [
         line.strip()
-        for line in done.stdout.splitlines()
-        if line.startswith(marks) and '  ' in line.strip() and ':' in line
+        for line in completed.stdout.splitlines()
+        if line.startswith(prefixes) and '  ' in line.strip() and ':' in line
     ]
-    return f'caught by {red[0] if red else "an error"}'
+    return f'caught by {failures[0] if failures else "an error"}'
 
 
 def main() -> int:
-    """Run the mutations named, or all; return 1 where one survived."""
+    """Run the named mutations, or all; return 1 if one was not caught."""
     names = sys.argv[1:]
-    chosen = [m for m in MUTATIONS if not names or m.name in names]
-    bad = 0
-    for mutation in chosen:
-        verdict = run(mutation)
-        bad += not verdict.startswith('caught')
-        print(f'{mutation.name:<52} {verdict}', flush=True)
-    return 1 if bad else 0
+    mutations = [m for m in MUTATIONS if not names or m.name in names]
+    not_caught = 0
+    for mutation in mutations:
+        result = run(mutation)
+        not_caught += not result.startswith('caught')
+        print(f'{mutation.name:<52} {result}', flush=True)
+    return 1 if not_caught else 0
 
 
 if __name__ == '__main__':
--- a/tools/pages.py
+++ b/tools/pages.py
@@ -1,8 +1,8 @@
-"""Writes the pages that are made from the schema and from docstrings.
+"""Generates documentation pages from the schema and from docstrings.
 
 Usage: python tools/pages.py [--check]
 
-With --check nothing is written; it ends with 1 where a page differs.
+With --check nothing is written, and the exit code is 1 if a page is outdated.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 
 INSTALL = """# Install and settings
 
-Python 3.11 or newer; `pip install .` in a checkout gives the programs. Each
-entry VM runs `peridotmast-router --config router.ini`; on the users' platform
-`deploy/system.toml` says how, and `deploy/router.ini` is filled in with what
-the platform knows. Nothing is written to a disk but the trace file, if one is
-set. `--check` only checks: all findings come together with file, line and key,
-and the exit code is 2. The file may change while the program runs, with SIGHUP
-or without: what is good is taken in, what is malformed is logged and changes
-nothing. Addresses that are listened on stay until the next start.
-
-The sections and keys below are made from the schema.
+Python 3.11 or newer is required; `pip install .` in a checkout installs the
+programs. Each entry VM runs `peridotmast-router --config router.ini`. On the
+users' platform, `deploy/system.toml` describes how to start it, and the
+platform fills in the values that it knows in `deploy/router.ini`. The only
+file that is written to disk is the trace file, if one is set. `--check` only
+checks the settings: all findings are reported at once with file, line and key,
+and the exit code is then 2. The file may be changed while the program runs,
+with or without SIGHUP: valid settings are applied, malformed ones are logged
+and ignored. Listen addresses change only at the next start.
+
+The sections and keys below are generated from the schema.
 """
 
 FILES = (
@@ -89,20 +90,20 @@
 
 
 def settings_page() -> str:
-    """Return the settings reference."""
+    """Return the page on installation and settings."""
     parts = [INSTALL]
-    seen: set[str] = set()
-    for title, kind in FILES:
+    documented: set[str] = set()
+    for title, message_class in FILES:
         parts.append(f'## {title}\n')
-        for field in kind.DESCRIPTOR.fields:
+        for field in message_class.DESCRIPTOR.fields:
             rule = field.GetOptions().Extensions[pb.rule]
             name = f'{rule.section} NAME' if field.is_repeated else field.name
             parts.append(f'### `[{name}]`\n')
             message = field.message_type.name
-            if message in seen:
+            if message in documented:
                 parts.append('As above.\n')
                 continue
-            seen.add(message)
+            documented.add(message)
             parts.append(_table(field.message_type))
     return '\n'.join(parts)
 
@@ -124,21 +125,21 @@
 
 
 def reference_page() -> str:
-    """Return the library reference."""
-    parts = ['# Library reference\n\nMade from the docstrings.\n']
+    """Return the reference of the library modules."""
+    parts = ['# Library reference\n\nGenerated from the docstrings.\n']
     for name in LIBRARY:
         tree = ast.parse((SOURCE / f'{name}.py').read_text())
         module = name.replace('/', '.')
         parts.append(f'## peridotmast.{module}\n')
         parts.append(f'{ast.get_docstring(tree)}\n')
         for node in tree.body:
-            parts += _entry(node, '###')
+            parts += _document(node, '###')
     return '\n'.join(parts)
 
 
-def _entry(node: ast.AST, level: str) -> list[str]:
-    kinds = (ast.ClassDef, ast.FunctionDef)
-    if not isinstance(node, kinds) or node.name.startswith('_'):
+def _document(node: ast.AST, level: str) -> list[str]:
+    node_types = (ast.ClassDef, ast.FunctionDef)
+    if not isinstance(node, node_types) or node.name.startswith('_'):
         return []
     text = ast.get_docstring(node)
     if not text:
@@ -149,23 +150,23 @@
     parts = [f'{level} `{title}`\n', f'```text\n{text}\n```\n']
     if isinstance(node, ast.ClassDef):
         for item in node.body:
-            parts += _entry(item, level + '#')
+            parts += _document(item, level + '#')
     return parts
 
 
 def main() -> int:
-    """Write the pages, or compare them."""
+    """Write the pages, or check that they are up to date."""
     pages = {SETTINGS: settings_page(), REFERENCE: reference_page()}
-    stale = [
+    outdated = [
         path
         for path, text in pages.items()
         if not path.exists() or path.read_text() != text
     ]
     if '--check' in sys.argv:
-        for path in stale:
+        for path in outdated:
             print(f'{path.relative_to(ROOT)} is out of date: tools/pages.py')
-        return 1 if stale else 0
-    for path in stale:
+        return 1 if outdated else 0
+    for path in outdated:
         path.write_text(pages[path])
     return 0
 
--- a/tools/played.py
+++ b/tools/played.py
@@ -1,9 +1,9 @@
-"""Writes the table of which kinds of trouble were played together.
+"""Writes the table of fault kinds that occurred on the same simulated day.
 
 Usage: python tools/played.py
 
-Reads the entries in journal/ and puts the table into docs/PROVED.md, below
-its marker.
+The table is made from the entries in journal/ and replaces the text below the
+marker in docs/PROVED.md.
 """
 
 from __future__ import annotations
@@ -17,38 +17,46 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = ROOT / 'docs' / 'PROVED.md'
 MARKER = '<!-- made by tools/played.py -->\n'
-MOST = 99
+MAX_COUNT = 99
 
 
-def days() -> ty.Iterator[list[str]]:
-    """Yield the kinds of trouble of each day that was played whole."""
+def read_days() -> ty.Iterator[list[str]]:
+    """Yield the kinds of faults of each simulated day in the journal."""
     for path in sorted((ROOT / 'journal').glob('*.json')):
         entry = json.loads(path.read_text())
         for day in entry['days']:
             yield sorted(set(day.get('troubles') or ()))
 
 
-def table(played: ty.Sequence[ty.Sequence[str]]) -> list[str]:
-    """Return the lines of the table: a row and a column for each kind."""
-    alone = collections.Counter(itertools.chain.from_iterable(played))
-    pairs = collections.Counter(
+def make_table(days: ty.Sequence[ty.Sequence[str]]) -> list[str]:
+    """Return the lines of a table with a row and a column for each kind."""
+    counts = collections.Counter(itertools.chain.from_iterable(days))
+    pair_counts = collections.Counter(
         itertools.chain.from_iterable(
-            itertools.combinations(kinds, 2) for kinds in played
+            itertools.combinations(kinds, 2) for kinds in days
         )
     )
-    names = sorted(alone)
-    never = sum(pairs[pair] == 0 for pair in itertools.combinations(names, 2))
+    names = sorted(counts)
+    missing = sum(
+        pair_counts[pair] == 0 for pair in itertools.combinations(names, 2)
+    )
     lines = [
-        f'{len(played)} days with {len(names)} kinds; of '
-        f'{len(names) * (len(names) - 1) // 2} pairs {never} were not '
-        f'played on one day. More than {MOST} days stand as {MOST}.',
+        f'{len(days)} days with {len(names)} kinds; of '
+        f'{len(names) * (len(names) - 1) // 2} pairs {missing} did not '
+        f'occur on the same day. Counts above {MAX_COUNT} are shown as '
+        f'{MAX_COUNT}.',
         '',
         '```',
         ' ' * 21 + ''.join(f'{n:3}' for n in range(1, len(names) + 1)),
     ]
     for row, name in enumerate(names):
         cells = [
-            min(MOST, alone[name] if row == column else pairs[_pair(name, to)])
+            min(
+                MAX_COUNT,
+                counts[name]
+                if row == column
+                else pair_counts[_pair(name, to)],
+            )
             for column, to in enumerate(names[: row + 1])
         ]
         text = ''.join(f'{cell or ".":>3}' for cell in cells)
@@ -56,14 +64,14 @@
     return [*lines, '```']
 
 
-def _pair(one: str, other: str) -> tuple[str, str]:
-    return (one, other) if one < other else (other, one)
+def _pair(first: str, second: str) -> tuple[str, str]:
+    return (first, second) if first < second else (second, first)
 
 
 def main() -> None:
-    """Put the table into the page."""
+    """Replace the table in the page."""
     head, marker, _ = PAGE.read_text().partition(MARKER)
-    lines = table([kinds for kinds in days() if kinds])
+    lines = make_table([kinds for kinds in read_days() if kinds])
     PAGE.write_text(head + MARKER + '\n'.join(lines) + '\n')
 
 
