--- a/src/peridotmast/load/faults.py
+++ b/src/peridotmast/load/faults.py
@@ -155,7 +155,7 @@
         self.notice_times: dict[str, int] = {}
         """Time at which each upstream was given notice, in ms."""
         self.drain_spans: dict[str, oracle_.Span] = {}
-        """Period of each planned stop, by chat address of the router."""
+        """Planned stop of each router by its chat address, in ms."""
         self._kill_times: dict[str, int] = {}
         self.thaw_times: list[int] = []
         """Times at which frozen routers resumed, in ms."""
@@ -425,7 +425,7 @@
     def _operator_race(self, fault: pb.Fault) -> None:
         """Apply two configurations with the same base version at once.
 
-        One of the two operators must be told of a conflict.
+        One of the two calls must return a conflict.
         """
         live = self._fleet.serving()
         if not live:
--- a/src/peridotmast/load/oracle.py
+++ b/src/peridotmast/load/oracle.py
@@ -147,7 +147,8 @@
         notice_times : dict
             Time at which each reclaimed VM was given notice, in ms.
         drain_spans : dict
-            Period of each planned stop, by chat address of the router.
+            Period of each planned stop of a router by its chat address, in
+            ms.
         thaw_times : sequence of int
             Times at which frozen routers resumed, in ms.
         crash_times : sequence of int, optional
--- a/src/peridotmast/load/slopes.py
+++ b/src/peridotmast/load/slopes.py
@@ -30,6 +30,7 @@
 from peridotmast.wire import calls
 
 Rows = list[dict[str, float]]
+"""One row for each size, with the size and the measured values."""
 
 _NODES = (4, 8, 16, 24)
 _ROUTES = (16, 128, 512)
@@ -57,7 +58,7 @@
         progress(name)
         gc.collect()
         rows = func(seed)
-        report[name] = {'rows': rows, 'fits': _fits(rows, size)}
+        report[name] = {'rows': rows, 'fits': _fit_lines(rows, size)}
     report_.write(folder, report)
     _plot(folder, report['routers']['rows'])
     return []
@@ -104,7 +105,7 @@
     }
 
 
-def _fits(rows: Rows, size: str) -> dict[str, dict[str, float]]:
+def _fit_lines(rows: Rows, size: str) -> dict[str, dict[str, float]]:
     sizes = [row[size] for row in rows]
     return {
         name: platform_calls.slope(sizes, [row[name] for row in rows])
--- a/src/peridotmast/load/state_slopes.py
+++ b/src/peridotmast/load/state_slopes.py
@@ -14,6 +14,7 @@
 from peridotmast.serving import upstreams as upstreams_
 
 Rows = list[dict[str, float]]
+"""One row for each size, with the size and the measured values."""
 
 _RECORD_COUNTS = (1000, 2000, 4000, 5700)
 _MEMBER_COUNTS = (80, 160, 330)
