--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -11,7 +11,7 @@
 from peridotmast.embedded import shape as shape_
 from peridotmast import green
 from peridotmast.load import oracle
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 PROMPT = 'Draft a reply about the late cake'
 
@@ -38,7 +38,7 @@
 
 
 def post(context, path, body):
-    return calls.HttpCalls(8000).call(
+    return http_client.HttpClient(8000).request(
         'POST',
         context.fleet.routers[0].chat_address,
         path,
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -207,7 +207,7 @@
         response = answer(environ, conn)
         if environ['REQUEST_METHOD'] == 'PUT':
             store.app._answer = answer
-            conn.break_off()
+            conn.reset()
             raise ConnectionResetError('the reply is lost')
         return response
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -27,7 +27,7 @@
 from peridotmast.platform import upstream_codec
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 SCALARS = strategies.one_of(
     strategies.none(),
@@ -94,7 +94,7 @@
     for spec in (None, [], 'a', 7, {}):
         item = {names.META: {'name': name, names.REVISION: 50}}
         item[names.SPEC] = spec
-        stored = store_.documents.stored(item)
+        stored = store_.object_codec.parse_object(item)
         store_outage_steps.apply_change(context, name, stored.spec)
         assert name not in store_outage_steps.live_names(context.upstreams), (
             spec
@@ -142,8 +142,8 @@
             record = upstream_codec.read_upstream(
                 'a', 1, altered(whole, path, value)
             )
-        except fields_.Malformed as exc:
-            assert all(found.place and found.text for found in exc.found)
+        except fields_.MalformedDocumentError as exc:
+            assert all(found.place and found.text for found in exc.findings)
             return
         table.merge(record)
         for view in table.all():
@@ -202,8 +202,8 @@
         assert config_codec.read_version(document) >= 0
         try:
             config_codec.read_config(document)
-        except fields_.Malformed as exc:
-            assert all(found.place and found.text for found in exc.found)
+        except fields_.MalformedDocumentError as exc:
+            assert all(found.place and found.text for found in exc.findings)
 
     config_codec.read_config(whole)
     draw(count, everywhere, JSON, test=one)
@@ -227,7 +227,7 @@
     assert context.config_feed.routes.version == 7
     try:
         config_codec.read_config(context.document)
-    except fields_.Malformed as exc:
+    except fields_.MalformedDocumentError as exc:
         assert 'config routes[0] timeout-ms' in str(exc), exc
     else:
         raise AssertionError('it was read')
@@ -250,8 +250,8 @@
     def __init__(self, body):
         self.body = body
 
-    def call(self, *args, **kwargs):
-        return calls.Reply(200, [], self.body)
+    def request(self, *args, **kwargs):
+        return http_client.Response(200, [], self.body)
 
 
 def answering(body):
@@ -286,7 +286,10 @@
 @then('"a" and "c" are read as they are, and "b" as one without a value')
 def read_listing(context):
     text = ','.join(context.raw)
-    body = f'{{"{names.ITEMS}":[{text}],"{names.MORE}":false,"{names.AT}":9}}'
+    body = (
+        f'{{"{names.ITEMS}":[{text}],"{names.HAS_MORE}":false,'
+        f'"{names.AT_REVISION}":9}}'
+    )
     listing = answering(body.encode()).list('k')
     assert listing == objects.Listing(context.wanted, 9), listing
 
@@ -297,7 +300,7 @@
         f'{{"{names.DELETED}":false,"{names.OBJECT}":{item}}}'
         for item in context.raw
     )
-    body = f'{{"{names.EVENTS}":[{text}],"{names.AT}":9}}'
+    body = f'{{"{names.EVENTS}":[{text}],"{names.AT_REVISION}":9}}'
     changes = answering(body.encode()).watch('k', 1, 0)
     assert changes == objects.Changes(context.wanted, 9), changes
 
@@ -305,7 +308,7 @@
 @then('no answer of {count:d} drawn ones raises anything')
 def drawn_answers(context, count):
     item = raw('a', 1, '{"x":1}')
-    listing = f'{{"{names.ITEMS}":[{item}],"{names.AT}":1}}'.encode()
+    listing = f'{{"{names.ITEMS}":[{item}],"{names.AT_REVISION}":1}}'.encode()
 
     def one(at, bytes_):
         body = listing[:at] + bytes_ + listing[at + len(bytes_) :]
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -303,7 +303,7 @@
 
 
 def stream(address, path, tokens, body=b'letter', **options):
-    headers = [(names.TOKENS, f'64,{tokens}')]
+    headers = [(names.TOKEN_COUNTS, f'64,{tokens}')]
     return helpers.send_request(
         address, path, body=body, headers=headers, **options
     )
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -28,20 +28,22 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.schema import peridotmast_pb2_grpc as pb_grpc
 from peridotmast.serving import upstreams as upstreams_
-from peridotmast.wire import calls
 from peridotmast.wire import connection as connection_
+from peridotmast.wire import http_client
 from peridotmast.wire import server as server_
 
 
 def resolve(router, domain='fd-1'):
     """Return the addresses that a router's directory gives."""
     path = f'{names.RESOLVE_PATH}?name=a&{names.FAILURE_DOMAIN}={domain}'
-    reply = calls.HttpCalls().call('GET', router.address_of('directory'), path)
+    reply = http_client.HttpClient().request(
+        'GET', router.address_of('directory'), path
+    )
     return reply.json().get(names.ADDRESSES, []) if reply else []
 
 
 def readiness(router):
-    reply = calls.HttpCalls().call(
+    reply = http_client.HttpClient().request(
         'GET', router.address_of('ready'), names.READY_PATH
     )
     return reply.status
@@ -639,13 +641,19 @@
 
 def metrics(context):
     address = context.fleet.routers[0].chat_address
-    return calls.HttpCalls().call('GET', address, '/metrics').body.decode()
+    return (
+        http_client.HttpClient()
+        .request('GET', address, '/metrics')
+        .body.decode()
+    )
 
 
 @then('its health says which versions are in force')
 def health_says(context):
     router = context.fleet.routers[0]
-    reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
+    reply = http_client.HttpClient().request(
+        'GET', router.chat_address, '/healthz'
+    )
     assert reply.status == 200
     assert reply.json()['config'] == router.config.routes.version > 0
     assert reply.json()['document'] == router.config.product.version > 0
@@ -658,7 +666,7 @@
 def with_trace(context):
     router = context.fleet.routers[0]
     body = json.dumps({'payload': 'seat 1', 'idempotent': False}).encode()
-    reply = calls.HttpCalls().call(
+    reply = http_client.HttpClient().request(
         'POST',
         router.chat_address,
         f'/v1/services/{shape_.SERVICE}/hold',
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -31,7 +31,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
 from peridotmast.standin import store as store_standin
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 KIND = 'things'
 KINDS = {
@@ -47,10 +47,10 @@
     names.SPEC: {'text': 'some words'},
 }
 STORED = objects.StoredObject('x', 2, OBJECT[names.SPEC])
-LISTING = {names.ITEMS: [OBJECT], names.MORE: False, names.AT: 2}
+LISTING = {names.ITEMS: [OBJECT], names.HAS_MORE: False, names.AT_REVISION: 2}
 CHANGES = {
     names.EVENTS: [{names.OBJECT: OBJECT, names.DELETED: False}],
-    names.AT: 2,
+    names.AT_REVISION: 2,
 }
 
 ASKED = {
@@ -152,7 +152,7 @@
     outage = outage_.OutageTracker(slow.clock, 1000)
     store = store_.PlatformStore(slow.raw.address, ms, outage)
     cloud = cloud_api.PlatformCloud(slow.raw.address, ms, 'router-1')
-    store._http = cloud._http = calls.HttpCalls(ms, slow.clock)
+    store._http = cloud._http = http_client.HttpClient(ms, slow.clock)
     context.closing.append(store.close)
     slow.body, call, context.wanted = ASKED[what]
     asking = green.spawn(call, store, cloud)
@@ -343,7 +343,9 @@
 
 @then('it has asked the store once whether it answers')
 def has_asked(context):
-    assert asked_for(context, store_.PROBED) == 1, context.standin.app.calls
+    assert asked_for(context, store_.PROBE_KIND) == 1, (
+        context.standin.app.calls
+    )
 
 
 @when('a peer has news on upstreams')
@@ -403,7 +405,11 @@
 
     def _answer(self, sock, request_id, number):
         if not self.watches:
-            listing = {names.ITEMS: [], names.MORE: False, names.AT: 1}
+            listing = {
+                names.ITEMS: [],
+                names.HAS_MORE: False,
+                names.AT_REVISION: 1,
+            }
             sock.sendall(wire_answer(listing))
             return True
         data = wire_answer(CHANGES)
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -164,7 +164,7 @@
             f'POST {path} HTTP/1.1\r\nHost: {shape_.HOST}\r\n'
             f'{names.REQUEST_ID}: leaver\r\n'
             f'{names.AUTHORIZATION}: {helpers.KEY}\r\n'
-            f'{names.TOKENS}: 10,{tokens}\r\nContent-Length: 0\r\n\r\n'
+            f'{names.TOKEN_COUNTS}: 10,{tokens}\r\nContent-Length: 0\r\n\r\n'
         ).encode()
     )
     return sock
@@ -295,7 +295,7 @@
     context.left_at = context.fleet.clock.now()
     context.fleet.store.app.set_faults(0)
     for address in list(context.cut.store._http._pool._idle):
-        context.cut.store._http._pool.forget(address)
+        context.cut.store._http._pool.close_idle(address)
     context.fleet.announce_leaving(context.leaver)
 
 
@@ -359,7 +359,7 @@
     headers = [
         ('Host', 'engine'),
         (names.REQUEST_ID, request_id),
-        (names.TOKENS, '4,200'),
+        (names.TOKEN_COUNTS, '4,200'),
         *extra,
     ]
     deadline = clock.now() + helpers.LONG_MS
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -18,7 +18,7 @@
 from peridotmast.platform import names
 from peridotmast.serving import upstream_limits
 
-TOKENS = [(names.TOKENS, '20,4')]
+TOKENS = [(names.TOKEN_COUNTS, '20,4')]
 WINDOW_MS = 4000
 PROPAGATION_MS = 1000
 """Time within which every router knows a limit."""
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -306,7 +306,7 @@
 def there_not_kept(context):
     assert (context.head.status, context.body) == (200, b'early')
     assert context.conn.is_clean()
-    assert not context.conn.may_be_kept()
+    assert not context.conn.is_reusable()
 
 
 @then('each came on a connection of its own')
--- a/src/peridotmast/client/caller.py
+++ b/src/peridotmast/client/caller.py
@@ -11,8 +11,8 @@
 from peridotmast import clock as clock_
 from peridotmast import failures
 from peridotmast import green
-from peridotmast.wire import calls
 from peridotmast.wire import connection as connection_
+from peridotmast.wire import http_client
 
 _KEEP_MS = 1000
 _CONNECT_MS = 500
@@ -85,7 +85,7 @@
         self._key = key
         self._domain = failure_domain
         self._clock = clock_.SystemClock()
-        self._calls = calls.HttpCalls(1000, self._clock)
+        self._calls = http_client.HttpClient(1000, self._clock)
         self._choice = random.Random(seed)
         self._resolved_at = -_KEEP_MS
 
@@ -100,7 +100,7 @@
             return self._addresses
         known = self._choice.sample(self._addresses, len(self._addresses))
         for address in dict.fromkeys([*known, *self._first]):
-            reply = self._calls.call(
+            reply = self._calls.request(
                 'GET', address, f'/resolve?failure_domain={self._domain}'
             )
             if isinstance(reply, failures.Failure) or reply.status != 200:
--- a/src/peridotmast/load/overhead.py
+++ b/src/peridotmast/load/overhead.py
@@ -163,7 +163,7 @@
         ('Host', shape_.HOST),
         (names.REQUEST_ID, request_id),
         (names.AUTHORIZATION, f'{names.KEY_SCHEME}key-kalnins'),
-        (names.TOKENS, f'24,{_TOKENS}'),
+        (names.TOKEN_COUNTS, f'24,{_TOKENS}'),
     ]
     body = json.dumps({'letter': request_id}).encode()
     failure = conn.connect(_CONNECT_MS) or conn.send(
--- a/src/peridotmast/load/slopes.py
+++ b/src/peridotmast/load/slopes.py
@@ -27,7 +27,7 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import route_table
 from peridotmast.standin import engine
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 Rows = list[dict[str, float]]
 
@@ -93,7 +93,7 @@
 
 
 def _process_metrics(address: str) -> dict[str, float]:
-    reply = calls.HttpCalls().call('GET', address, '/metrics')
+    reply = http_client.HttpClient().request('GET', address, '/metrics')
     if isinstance(reply, failures.Failure):
         raise OSError(f'{address}: {reply.reason}')
     pairs = (line.split(' ') for line in reply.body.decode().splitlines())
--- a/src/peridotmast/platform/callers.py
+++ b/src/peridotmast/platform/caller_app.py
@@ -59,7 +59,7 @@
 _TOO_LARGE = 413
 
 
-class PlatformCallers:
+class PlatformCallerApp:
     """A WSGI application over the one way of a request.
 
     Parameters
@@ -95,9 +95,9 @@
         request_id = _get(headers, names.REQUEST_ID)
         try:
             body = conn.read_body(
-                self._limits.max_body_bytes, self._limits.idle_ms
+                self._limits.max_body_bytes, self._limits.idle_timeout_ms
             )
-        except request_body.BadBody as exc:
+        except request_body.InvalidBodyError as exc:
             return self._refuse_body(start, exc, request_id)
         asked = gateway_.IncomingRequest(
             id=request_id,
@@ -112,22 +112,22 @@
             prompt=_prompt(headers),
             caller=conn,
         )
-        conn.watch()
+        conn.watch_for_close()
         try:
             result = self._gateway.handle(asked)
-        except caller_connection.CallerLeft:
+        except caller_connection.CallerDisconnected:
             self._decisions.note(request_id, 'caller_left')
-            conn.unwatch()
+            conn.stop_watching()
             raise
         if isinstance(result, failures.Failure):
-            conn.unwatch()
+            conn.stop_watching()
             return self._refuse(start, result, request_id)
         return _Answer(result, conn, start, self._decisions, request_id)
 
     def _refuse_body(
         self,
         start: ty.Callable[..., ty.Any],
-        bad: request_body.BadBody,
+        bad: request_body.InvalidBodyError,
         request_id: str,
     ) -> ty.Iterable[bytes]:
         # A newer configuration may take larger ones.
@@ -194,7 +194,7 @@
             self._done = True
             raise
         except reply_.BrokenAnswer as exc:
-            self._conn.break_off()
+            self._conn.reset()
             self._decisions.note(
                 self._request_id, 'answer_broken', reason=str(exc)
             )
@@ -202,7 +202,7 @@
 
     def close(self) -> None:
         """Give back what the answer holds; the server calls this."""
-        self._conn.unwatch()
+        self._conn.stop_watching()
         self._reply.close()
 
 
@@ -263,7 +263,7 @@
 
 
 def _prompt(headers: ty.Iterable[tuple[str, str]]) -> exchange_.Prompt:
-    counts = _get(headers, names.TOKENS).split(',')
+    counts = _get(headers, names.TOKEN_COUNTS).split(',')
     tokens = [_number(count.strip()) for count in counts] + [0]
     parts = (
         part.strip().partition(':')
--- a/src/peridotmast/platform/cloud_api.py
+++ b/src/peridotmast/platform/cloud_api.py
@@ -6,12 +6,12 @@
 
 from peridotmast import failures
 from peridotmast.platform import names
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
-NONE_TO_HAVE = 'none_to_have'
+NO_CAPACITY = 'none_to_have'
 """Reason of a failure that says: no such upstream is to be had there now."""
 
-NOT_HELD = 'not_held'
+DUTIES_NOT_HELD = 'not_held'
 """Reason of a failure that says: the duties are another router's, or soon."""
 
 _REFUSED = 409
@@ -46,7 +46,7 @@
         self.address = address
         """Where the API is."""
         self._timeout_ms = timeout_ms
-        self._http = calls.HttpCalls(timeout_ms)
+        self._http = http_client.HttpClient(timeout_ms)
         self._router = router
         self._order_ms = order_ms or (lambda fencing: timeout_ms)
 
@@ -54,7 +54,7 @@
         self, window: int, counts: dict[str, int], fencing: int
     ) -> ty.Optional[failures.Failure]:
         """Send one window's counts; the same ones again do no harm."""
-        body = {names.WINDOW: window, names.COUNTS: counts}
+        body = {names.WINDOW_ID: window, names.REQUEST_COUNTS: counts}
         return self._call(names.USAGE_PATH, body, fencing)
 
     def order(
@@ -69,7 +69,7 @@
         body = {
             names.SERVICE: service,
             names.FAILURE_DOMAIN: failure_domain,
-            names.WANTED: count,
+            names.DESIRED_COUNT: count,
         }
         if reclaimable:
             body[names.RECLAIMABLE] = True
@@ -81,8 +81,8 @@
         headers = {names.HOLDER: self._router, names.FENCING: str(fencing)}
         left = self._order_ms(fencing)
         if not left:
-            return failures.not_run(NOT_HELD)
-        reply = self._http.call(
+            return failures.not_run(DUTIES_NOT_HELD)
+        reply = self._http.request(
             'POST',
             self.address,
             path,
@@ -94,7 +94,7 @@
         if isinstance(reply, failures.Failure):
             return reply
         if reply.status == _REFUSED:
-            return failures.conflict(NONE_TO_HAVE, reply.body[:200].decode())
+            return failures.conflict(NO_CAPACITY, reply.body[:200].decode())
         if reply.status not in (200, 201, 204):
             detail = reply.body[:200].decode('latin-1')
             return failures.unavailable(
--- a/src/peridotmast/platform/config_codec.py
+++ b/src/peridotmast/platform/config_codec.py
@@ -21,8 +21,8 @@
 def read_version(spec: ty.Any) -> int:
     """Return the version of a document; 0 where it tells none."""
     fields = fields_.Fields(spec, 'config')
-    version = fields.whole('version', 0)
-    return 0 if fields.found else version
+    version = fields.integer('version', 0)
+    return 0 if fields.findings else version
 
 
 def read_config(spec: ty.Any) -> pb.Config:
@@ -33,18 +33,18 @@
 
     Raises
     ------
-    fields.Malformed
+    fields.MalformedDocumentError
         If the document is not as the platform's pages say, with all that
         is wrong with it.
     """
     fields = fields_.Fields(spec, 'config')
     config = pb.Config(
-        routes=[_route(item) for item in fields.parts('routes')],
-        services=[_service(item) for item in fields.parts('services')],
-        teams=[_team(item) for item in fields.parts('tenants')],
-        limits=_limits(fields.part('limits') or _nothing(fields)),
+        routes=[_route(item) for item in fields.children('routes')],
+        services=[_service(item) for item in fields.children('services')],
+        teams=[_team(item) for item in fields.children('tenants')],
+        limits=_limits(fields.child('limits') or _nothing(fields)),
     )
-    fields.close()
+    fields.raise_if_malformed()
     return config
 
 
@@ -66,23 +66,23 @@
 
 def _nothing(fields: fields_.Fields) -> fields_.Fields:
     """Return an object that has no fields."""
-    return fields_.Fields({}, 'nothing', fields.found)
+    return fields_.Fields({}, 'nothing', fields.findings)
 
 
 def _route(item: fields_.Fields) -> pb.Route:
     services, weights = _split(item)
     return pb.Route(
-        name=item.text('name'),
-        host=item.text('host'),
-        prefix=item.text('prefix'),
-        kind=item.one_of('kind', names.REQUEST_KINDS),
-        timeout_ms=item.whole('timeout-ms', least=1),
-        target_ms=item.whole('target-latency-ms', 1000) or 1000,
-        priority=item.whole('priority', 0, most=_MOST_RANKS),
-        attempts=item.whole('attempts', 1) or 1,
-        public=item.flag('public'),
-        resumable=item.flag('resumable'),
-        target_gap_ms=item.whole('target-gap-ms', 1000) or 1000,
+        name=item.string('name'),
+        host=item.string('host'),
+        prefix=item.string('prefix'),
+        kind=item.choice('kind', names.REQUEST_KINDS),
+        timeout_ms=item.integer('timeout-ms', minimum=1),
+        target_ms=item.integer('target-latency-ms', 1000) or 1000,
+        priority=item.integer('priority', 0, maximum=_MOST_RANKS),
+        attempts=item.integer('attempts', 1) or 1,
+        public=item.boolean('public'),
+        resumable=item.boolean('resumable'),
+        target_gap_ms=item.integer('target-gap-ms', 1000) or 1000,
         services=services,
         weights=weights,
     )
@@ -90,12 +90,12 @@
 
 def _split(item: fields_.Fields) -> tuple[list[str], list[int]]:
     """Return the services of a route, and the share of each."""
-    parts = item.parts('traffic-split')
+    parts = item.children('traffic-split')
     if not parts:
-        return [item.text('service')], [1]
+        return [item.string('service')], [1]
     return (
-        [part.text('service') for part in parts],
-        [part.whole('weight') for part in parts],
+        [part.string('service') for part in parts],
+        [part.integer('weight') for part in parts],
     )
 
 
@@ -122,30 +122,30 @@
 
 def _service(item: fields_.Fields) -> pb.Service:
     service = pb.Service(
-        name=item.text('name'),
-        max_connections=item.whole('max-conns', 256) or 256,
-        slots=item.whole('capacity-slots', 1) or 1,
+        name=item.string('name'),
+        max_connections=item.integer('max-conns', 256) or 256,
+        slots=item.integer('capacity-slots', 1) or 1,
     )
-    engine = item.part('engine')
+    engine = item.child('engine')
     if engine is not None:
         service.engine = True
-        service.slots = engine.whole('capacity-slots', least=1)
-        service.memory_tokens = engine.whole('kv-tokens', least=1)
+        service.slots = engine.integer('capacity-slots', minimum=1)
+        service.memory_tokens = engine.integer('kv-tokens', minimum=1)
         service.token_bytes = engine.number('kv-bytes', 0)
-        service.moves = engine.flag('moves')
+        service.moves = engine.boolean('moves')
         service.handle_ms = int(1000 * engine.number('handle-s', 0))
-        service.event_tokens = engine.whole('stride', 1) or 1
-    scale = item.part('scale')
+        service.event_tokens = engine.integer('stride', 1) or 1
+    scale = item.child('scale')
     if scale is not None:
         _read_scale(service, scale)
     return service
 
 
 def _read_scale(service: pb.Service, scale: fields_.Fields) -> None:
-    prices = scale.prices('zone-prices')
+    prices = scale.numbers('zone-prices')
     service.scaled = True
-    service.scale_min = scale.whole('min', 0)
-    service.scale_max = scale.whole('max')
+    service.scale_min = scale.integer('min', 0)
+    service.scale_max = scale.integer('max')
     service.boot_ms = int(1000 * scale.number('boot-s'))
     service.reclaimable_price = scale.number('spot-price', 1) or 1
     service.domains.extend(prices)
@@ -180,13 +180,15 @@
 
 def _team(item: fields_.Fields) -> pb.Team:
     return pb.Team(
-        name=item.text('name'),
-        keys=item.texts('api-keys'),
-        priority=item.whole('priority', _ROUTE_PRIORITY, most=_MOST_RANKS),
+        name=item.string('name'),
+        keys=item.strings('api-keys'),
+        priority=item.integer(
+            'priority', _ROUTE_PRIORITY, maximum=_MOST_RANKS
+        ),
         rate=item.number('rate-per-s', 0),
         burst=item.number('burst', 0),
-        by_tokens=item.has('unit') and item.text('unit') == _BY_TOKENS,
-        default_tokens=item.whole('uncached-tokens', 1) or 1,
+        by_tokens=item.has('unit') and item.string('unit') == _BY_TOKENS,
+        default_tokens=item.integer('uncached-tokens', 1) or 1,
         weight=1,
     )
 
@@ -208,8 +210,8 @@
 
 def _limits(item: fields_.Fields) -> pb.CallerLimits:
     return pb.CallerLimits(
-        max_header_bytes=item.whole('max-header-bytes', 16384) or 16384,
-        max_body_bytes=item.whole('max-body-bytes', 1 << 22) or 1 << 22,
-        header_timeout_ms=item.whole('header-timeout-ms', 3000) or 3000,
-        idle_timeout_ms=item.whole('idle-timeout-ms', 15000) or 15000,
+        max_header_bytes=item.integer('max-header-bytes', 16384) or 16384,
+        max_body_bytes=item.integer('max-body-bytes', 1 << 22) or 1 << 22,
+        header_timeout_ms=item.integer('header-timeout-ms', 3000) or 3000,
+        idle_timeout_ms=item.integer('idle-timeout-ms', 15000) or 15000,
     )
--- a/src/peridotmast/platform/dialect.py
+++ b/src/peridotmast/platform/dialect.py
@@ -104,6 +104,6 @@
     return [
         (names.REQUEST_ID, exchange.id),
         (names.MODEL, prompt.model),
-        (names.TOKENS, counts if prompt.tokens_in else ''),
+        (names.TOKEN_COUNTS, counts if prompt.tokens_in else ''),
         (names.PROMPT_PARTS, parts),
     ]
--- a/src/peridotmast/platform/directory.py
+++ b/src/peridotmast/platform/directory.py
@@ -26,12 +26,12 @@
         self._members = members
         self._nearest = router_selector.RouterSelector(members, _ADDRESSES)
         self._ttl_s = ttl_s
-        self.resolve = web.WebApp('directory')
+        self.resolve_app = web.WebApp('directory')
         """Tells where to connect."""
-        self.resolve.route('GET', names.RESOLVE_PATH, self._on_resolve)
-        self.ready = web.WebApp('readiness')
+        self.resolve_app.route('GET', names.RESOLVE_PATH, self._on_resolve)
+        self.readiness_app = web.WebApp('readiness')
         """Tells whether this router takes callers."""
-        self.ready.route('GET', names.READY_PATH, self._on_readiness)
+        self.readiness_app.route('GET', names.READY_PATH, self._on_readiness)
 
     def _on_resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get(names.FAILURE_DOMAIN, '')
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -8,7 +8,7 @@
 from peridotmast.platform import fields as fields_
 from peridotmast.platform import names
 from peridotmast.serving import stream_migrator
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 _REFUSED = 503
 _MISSING = 404
@@ -25,13 +25,13 @@
     """
 
     def __init__(self, timeout_ms: int) -> None:
-        self._http = calls.HttpCalls(timeout_ms)
+        self._http = http_client.HttpClient(timeout_ms)
 
     def leaves_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
         """Return how long an engine will be there; 0 where it can't say."""
-        reply = self._http.call('GET', address, names.REPORT_PATH)
+        reply = self._http.request('GET', address, names.REPORT_PATH)
         if isinstance(reply, failures.Failure):
             return reply
         if reply.status != 200:
@@ -39,8 +39,8 @@
         try:
             fields = fields_.Fields(reply.json(), 'report')
             left = fields.number(names.LEAVES_MS, 0)
-            since = fields.whole(names.BORN, 0) or born
-            fields.close()
+            since = fields.integer(names.BORN, 0) or born
+            fields.raise_if_malformed()
         except ValueError as exc:
             return failures.unavailable('report_garbled', str(exc)[:200])
         if born and since != born:
@@ -59,7 +59,7 @@
             did not take it, the copy lies at the source.
         """
         body = {'id': request_id, names.TARGET: target, names.LAST: True}
-        reply = self._http.call('POST', address, names.MOVE_PATH, body)
+        reply = self._http.request('POST', address, names.MOVE_PATH, body)
         if isinstance(reply, failures.Failure):
             return failures.unknown(reply.reason, reply.detail)
         if reply.status == _MISSING:
@@ -70,8 +70,8 @@
             return failures.unknown('move_failed', str(reply.status))
         try:
             fields = fields_.Fields(reply.json(), 'move')
-            handle = fields.label(names.HANDLE)
-            fields.close()
+            handle = fields.string_or_integer(names.HANDLE)
+            fields.raise_if_malformed()
         except ValueError as exc:
             return failures.unknown('move_garbled', str(exc)[:200])
         return stream_migrator.KvCopy(
--- a/src/peridotmast/platform/fields.py
+++ b/src/peridotmast/platform/fields.py
@@ -19,7 +19,7 @@
 T = ty.TypeVar('T')
 
 
-class Malformed(ValueError):
+class MalformedDocumentError(ValueError):
     """A document that can't be read, with all that is wrong with it.
 
     Parameters
@@ -30,7 +30,7 @@
 
     def __init__(self, found: findings_.Findings) -> None:
         super().__init__('; '.join(map(str, found)))
-        self.found = found
+        self.findings = found
 
 
 class Fields:
@@ -56,30 +56,30 @@
         found: ty.Optional[findings_.Findings] = None,
     ) -> None:
         self._place = place
-        self.found = findings_.Findings() if found is None else found
+        self.findings = findings_.Findings() if found is None else found
         """What is wrong so far."""
         self._values: dict[str, Json] = {}
         if isinstance(value, dict):
             self._values = value
         else:
-            self.found.add(place, f'must be an object, not {_shown(value)}')
+            self.findings.add(place, f'must be an object, not {_shown(value)}')
 
-    def close(self) -> None:
+    def raise_if_malformed(self) -> None:
         """Say that all was read.
 
         Raises
         ------
-        Malformed
+        MalformedDocumentError
             If anything was wrong.
         """
-        if self.found:
-            raise Malformed(self.found)
+        if self.findings:
+            raise MalformedDocumentError(self.findings)
 
     def has(self, name: str) -> bool:
         """Return whether the field is there."""
         return self._values.get(name) is not None
 
-    def text(self, name: str, default: ty.Optional[str] = None) -> str:
+    def string(self, name: str, default: ty.Optional[str] = None) -> str:
         """Return a text that is not empty."""
         value = self._given(name, default)
         if value is None or not self.has(name):
@@ -88,93 +88,95 @@
             return self._wrong(name, 'a text', value, '')
         return value or self._wrong(name, 'a text', value, '')
 
-    def label(self, name: str) -> str:
+    def string_or_integer(self, name: str) -> str:
         """Return a text or a whole number, as a text."""
         if type(self._values.get(name)) is int:
             return str(self._values[name])
-        return self.text(name)
+        return self.string(name)
 
     def address(self, name: str) -> str:
         """Return an ``IP:port`` that something can be sent to."""
-        value = self.text(name)
+        value = self.string(name)
         if value and not addresses.is_usable(value):
             return self._wrong(name, 'IP:port', value, '')
         return value
 
-    def whole(
+    def integer(
         self,
         name: str,
         default: ty.Optional[int] = None,
-        least: int = 0,
-        most: int = _LARGEST,
+        minimum: int = 0,
+        maximum: int = _LARGEST,
     ) -> int:
-        """Return a whole number from `least` to `most`."""
-        value = self.number(name, default, least, most)
+        """Return a whole number from `minimum` to `maximum`."""
+        value = self.number(name, default, minimum, maximum)
         if value != int(value):
-            return self._wrong(name, 'a whole number', value, least)
+            return self._wrong(name, 'a whole number', value, minimum)
         return int(value)
 
     def number(
         self,
         name: str,
         default: ty.Optional[float] = None,
-        least: float = 0,
-        most: float = _LARGEST,
+        minimum: float = 0,
+        maximum: float = _LARGEST,
     ) -> float:
-        """Return a number from `least` to `most`."""
+        """Return a number from `minimum` to `maximum`."""
         value = self._given(name, default)
         if value is None or not self.has(name):
             return value or 0
         is_number = isinstance(value, (int, float))
         if isinstance(value, bool) or not is_number or math.isnan(value):
-            return self._wrong(name, 'a number', value, least)
-        if not least <= value <= most:
-            wanted = f'from {least:g} to {most:g}'
-            return self._wrong(name, wanted, value, least)
+            return self._wrong(name, 'a number', value, minimum)
+        if not minimum <= value <= maximum:
+            wanted = f'from {minimum:g} to {maximum:g}'
+            return self._wrong(name, wanted, value, minimum)
         return value
 
-    def flag(self, name: str) -> bool:
+    def boolean(self, name: str) -> bool:
         """Return whether it is true; not being there is false."""
         value = self._values.get(name)
         if value is None or isinstance(value, bool):
             return bool(value)
         return self._wrong(name, 'true or false', value, False)
 
-    def one_of(self, name: str, known: ty.Mapping[str, T]) -> ty.Any:
+    def choice(self, name: str, known: ty.Mapping[str, T]) -> ty.Any:
         """Return what the name in the field stands for."""
-        value = self.text(name)
+        value = self.string(name)
         if value not in known:
             if value:
                 self._wrong(name, f'one of {", ".join(known)}', value, '')
             return next(iter(known.values()))
         return known[value]
 
-    def part(self, name: str) -> ty.Optional[Fields]:
+    def child(self, name: str) -> ty.Optional[Fields]:
         """Return an object in a field, or None where there is none."""
         if not self.has(name):
             return None
-        return Fields(self._values[name], self._at(name), self.found)
+        return Fields(self._values[name], self._at(name), self.findings)
 
-    def parts(self, name: str) -> list[Fields]:
+    def children(self, name: str) -> list[Fields]:
         """Return the objects in a list; not being there is none."""
         return [
-            Fields(value, place, self.found)
+            Fields(value, place, self.findings)
             for place, value in self._items(name)
         ]
 
-    def texts(self, name: str) -> list[str]:
+    def strings(self, name: str) -> list[str]:
         """Return the texts in a list; not being there is none."""
         found = []
         for place, value in self._items(name):
             if isinstance(value, str) and _is_text(value):
                 found.append(value)
             else:
-                self.found.add(place, f'must be a text, not {_shown(value)}')
+                self.findings.add(
+                    place, f'must be a text, not {_shown(value)}'
+                )
         return found
 
-    def prices(self, name: str) -> dict[str, float]:
+    def numbers(self, name: str) -> dict[str, float]:
         """Return the numbers in an object by name, in their order."""
-        part = self.part(name)
+        part = self.child(name)
         if part is None:
             return {}
         return {key: part.number(key) for key in part._values}
@@ -195,12 +197,12 @@
         if value is not None:
             return value
         if default is None:
-            self.found.add(self._at(name), 'is missing')
+            self.findings.add(self._at(name), 'is missing')
         return default
 
     def _wrong(self, name: str, wanted: str, value: Json, instead: T) -> T:
         text = f'must be {wanted}, not {_shown(value)}'
-        self.found.add(self._at(name), text)
+        self.findings.add(self._at(name), text)
         return instead
 
     def _at(self, name: str) -> str:
--- a/src/peridotmast/platform/documents.py
+++ b/src/peridotmast/platform/object_codec.py
@@ -13,10 +13,12 @@
 _NAME = re.compile(r'"name"\s*:\s*"([^"\\]+)"')
 _REVISION = re.compile(rf'"{names.REVISION}"\s*:\s*([0-9]+)')
 _DELETED = re.compile(rf'"{names.DELETED}"\s*:\s*true')
-_REST = re.compile(rf'"({names.MORE}|{names.AT})"\s*:\s*(true|false|[0-9]+)')
+_REST = re.compile(
+    rf'"({names.HAS_MORE}|{names.AT_REVISION})"\s*:\s*(true|false|[0-9]+)'
+)
 
 
-def read(body: bytes, key: str) -> dict[str, ty.Any]:
+def parse_list(body: bytes, key: str) -> dict[str, ty.Any]:
     """Return an answer that has a list of objects or events under `key`.
 
     Where the whole is no JSON, each part of the list that is some is kept,
@@ -38,7 +40,7 @@
     return whole
 
 
-def stored(
+def parse_object(
     item: ty.Any, removed: bool = False
 ) -> ty.Optional[objects.StoredObject]:
     """Return one object, or None where not even its name can be read.
@@ -46,11 +48,11 @@
     The value of an object that is there but has none is an empty object:
     no value stands for no object.
     """
-    meta = fields_.Fields(item, 'object').part(names.META)
+    meta = fields_.Fields(item, 'object').child(names.META)
     if meta is None:
         return None
-    name, revision = meta.text('name'), meta.whole(names.REVISION)
-    if meta.found:
+    name, revision = meta.string('name'), meta.integer(names.REVISION)
+    if meta.findings:
         return None
     spec = item.get(names.SPEC)
     if spec is None:
--- a/src/peridotmast/platform/store.py
+++ b/src/peridotmast/platform/store.py
@@ -11,10 +11,10 @@
 from peridotmast.coordination import outage as outage_
 from peridotmast import failures
 from peridotmast import logs
-from peridotmast.platform import documents
 from peridotmast.platform import fields as fields_
 from peridotmast.platform import names
-from peridotmast.wire import calls
+from peridotmast.platform import object_codec
+from peridotmast.wire import http_client
 
 _PAGE_LIMIT = 1000
 """Pages of one listing; the store gives about 500 objects a page."""
@@ -31,7 +31,7 @@
 """A watch that fails later than this was cut off while it waited, which says
 nothing about the store."""
 
-PROBED = 'peridotmast-probes'
+PROBE_KIND = 'peridotmast-probes'
 """Kind that has no objects: an answer about it is the shortest there is."""
 
 _REFUSALS = frozenset((429, 500, 503))
@@ -57,7 +57,7 @@
     ) -> None:
         self.address = address
         """Where the store is."""
-        self._http = calls.HttpCalls(timeout_ms)
+        self._http = http_client.HttpClient(timeout_ms)
         self._timeout_ms = timeout_ms
         self._outage = outage
         self._clock = clock_.SystemClock()
@@ -92,7 +92,7 @@
             # the first one's revision, and missed from the last one's.
             revision = revision or page.revision
             found += self._readable(
-                kind, (documents.stored(item) for item in page.parts)
+                kind, (object_codec.parse_object(item) for item in page.parts)
             )
             if not page.more:
                 return objects.Listing(found, revision)
@@ -158,7 +158,7 @@
         By a read that may be old: it costs a tenth of another one and does
         not count toward the rate at which the store refuses.
         """
-        self._call('GET', f'{_path(PROBED)}?{names.STALE}=1')
+        self._call('GET', f'{_path(PROBE_KIND)}?{names.ALLOW_STALE}=1')
 
     def close(self) -> None:
         """Close the kept connections."""
@@ -181,7 +181,7 @@
         path: str,
         timeout_ms: int = 0,
         on_bytes: ty.Callable[[], None] = lambda: None,
-    ) -> ty.Union[calls.Reply, failures.Failure]:
+    ) -> ty.Union[http_client.Response, failures.Failure]:
         """Ask for what may be large: only silence ends it.
 
         Writes are bounded as a whole: what they are about may be over by
@@ -191,7 +191,7 @@
             'GET',
             path,
             timeout_ms=timeout_ms,
-            answer_ms=_ANSWER_MS,
+            body_timeout_ms=_ANSWER_MS,
             on_bytes=on_bytes,
         )
 
@@ -201,18 +201,18 @@
         path: str,
         body: ty.Any = None,
         timeout_ms: int = 0,
-        answer_ms: int = 0,
+        body_timeout_ms: int = 0,
         on_bytes: ty.Callable[[], None] = lambda: None,
-    ) -> ty.Union[calls.Reply, failures.Failure]:
+    ) -> ty.Union[http_client.Response, failures.Failure]:
         self.calls += 1
         began = self._clock.now()
-        reply = self._http.call(
+        reply = self._http.request(
             method,
             self.address,
             path,
             body,
             timeout_ms=timeout_ms or self._timeout_ms,
-            answer_ms=answer_ms,
+            body_timeout_ms=body_timeout_ms,
             on_bytes=on_bytes,
         )
         ms = self._clock.now() - began
@@ -228,7 +228,7 @@
 
 
 def _written(
-    reply: ty.Union[calls.Reply, failures.Failure], name: str
+    reply: ty.Union[http_client.Response, failures.Failure], name: str
 ) -> ty.Union[objects.StoredObject, failures.Failure]:
     """Return the object as it is after a write, or what is known of it."""
     if isinstance(reply, failures.Failure):
@@ -248,12 +248,12 @@
 
 
 def _stored_reply(
-    reply: calls.Reply,
+    reply: http_client.Response,
 ) -> ty.Union[objects.StoredObject, failures.Failure]:
     if reply.status not in (200, 201):
         return failures.unavailable('store_refused', str(reply.status))
     try:
-        stored = documents.stored(reply.json())
+        stored = object_codec.parse_object(reply.json())
     except ValueError as exc:
         return failures.unavailable('store_garbled', str(exc)[:200])
     return stored or failures.unavailable('store_garbled', 'no object')
@@ -268,24 +268,26 @@
     more: bool
 
 
-def _page(reply: calls.Reply, key: str) -> ty.Union[_Page, failures.Failure]:
+def _page(
+    reply: http_client.Response, key: str
+) -> ty.Union[_Page, failures.Failure]:
     if reply.status not in (200, 201):
         return failures.unavailable('store_refused', str(reply.status))
     try:
-        body = documents.read(reply.body, key)
+        body = object_codec.parse_list(reply.body, key)
         fields = fields_.Fields(body, 'answer')
-        revision = fields.whole(names.AT)
-        fields.close()
+        revision = fields.integer(names.AT_REVISION)
+        fields.raise_if_malformed()
     except ValueError as exc:
         return failures.unavailable('store_garbled', str(exc)[:200])
-    return _Page(body[key], revision, bool(body.get(names.MORE)))
+    return _Page(body[key], revision, bool(body.get(names.HAS_MORE)))
 
 
 def _changed(event: ty.Any) -> ty.Optional[objects.StoredObject]:
     if not isinstance(event, dict):
         return None
     deleted = bool(event.get(names.DELETED))
-    return documents.stored(event.get(names.OBJECT), deleted)
+    return object_codec.parse_object(event.get(names.OBJECT), deleted)
 
 
 def _path(kind: str, name: str = '') -> str:
--- a/src/peridotmast/platform/upstream_codec.py
+++ b/src/peridotmast/platform/upstream_codec.py
@@ -22,7 +22,7 @@
 
     Raises
     ------
-    fields.Malformed
+    fields.MalformedDocumentError
         If the entry is not as the platform's pages say, with all that is
         wrong with it.
     """
@@ -31,19 +31,19 @@
         upstream=pb.Upstream(
             name=name,
             address=fields.address('addr'),
-            failure_domain=fields.text('zone'),
-            service=fields.text('service'),
-            slots=fields.whole('capacity-slots', least=1),
-            born=fields.whole(names.BORN, 0),
+            failure_domain=fields.string('zone'),
+            service=fields.string('service'),
+            slots=fields.integer('capacity-slots', minimum=1),
+            born=fields.integer(names.BORN, 0),
         ),
-        state=fields.one_of('state', names.UPSTREAM_STATES),
+        state=fields.choice('state', names.UPSTREAM_STATES),
         revision=revision,
-        reclaimable=fields.flag(names.RECLAIMABLE),
+        reclaimable=fields.boolean(names.RECLAIMABLE),
     )
-    fields.text('version')
+    fields.string('version')
     fields.number('cold-left-ms')
-    fields.whole('seq')
-    fields.close()
+    fields.integer('seq')
+    fields.raise_if_malformed()
     return record
 
 
--- a/src/peridotmast/router/http_servers.py
+++ b/src/peridotmast/router/http_servers.py
@@ -8,7 +8,7 @@
 
 from peridotmast import clock as clock_
 from peridotmast.coordination import members as members_
-from peridotmast.platform import callers
+from peridotmast.platform import caller_app
 from peridotmast.platform import directory as directory_
 from peridotmast.router import chat_api
 from peridotmast.router import fleet_state as fleet_state_
@@ -50,13 +50,13 @@
         cfg = file.router
         self._fleet_state = fleet_state
         self._registry = registry
-        self._limits = server_.ServerLimits(write_ms=cfg.write_ms)
-        face = callers.PlatformCallers(
+        self._limits = server_.ServerLimits(write_timeout_ms=cfg.write_ms)
+        face = caller_app.PlatformCallerApp(
             clock, serving.gateway, self._limits, serving.decisions
         )
         self.platform = server_.HttpServer(cfg.listen, face, self._limits)
         """Where the platform's callers connect."""
-        self.platform.retry_ms = serving.gateway.retry_ms
+        self.platform.retry_after_ms = serving.gateway.retry_ms
         self.chat: ty.Optional[server_.HttpServer] = None
         """Where the chat API is served, if anywhere."""
         if cfg.chat_listen:
@@ -75,8 +75,8 @@
         self.auxiliary = {
             name: server_.HttpServer(address, application)
             for name, address, application in (
-                ('ready', cfg.ready_listen, directory.ready),
-                ('directory', cfg.directory_listen, directory.resolve),
+                ('ready', cfg.ready_listen, directory.readiness_app),
+                ('directory', cfg.directory_listen, directory.resolve_app),
                 ('metrics', file.telemetry.metrics_listen, self._own_app()),
             )
             if address
@@ -104,8 +104,8 @@
         if limits.max_header_bytes:
             self._limits.max_header_bytes = limits.max_header_bytes
             self._limits.max_body_bytes = limits.max_body_bytes
-            self._limits.header_ms = limits.header_timeout_ms
-            self._limits.idle_ms = limits.idle_timeout_ms
+            self._limits.header_timeout_ms = limits.header_timeout_ms
+            self._limits.idle_timeout_ms = limits.idle_timeout_ms
 
     def _servers(self) -> list[server_.HttpServer]:
         chat = [self.chat] if self.chat else []
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -141,7 +141,7 @@
 
     def tick(self) -> None:
         """Take rates from here on; close connections that are too old."""
-        self.pool.drop_old()
+        self.pool.close_expired()
         self.demand.tick()
         self.crashes.tick()
         self.limits.tick()
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -105,7 +105,7 @@
             The kind of a failure tells whether the request may have run.
         """
         view = place.view
-        conn = self._pool.take(view.address)
+        conn = self._pool.acquire(view.address)
         if isinstance(conn, failures.Failure):
             view.health.record_failure()
             return conn
@@ -152,7 +152,7 @@
         in_use = self._in_use.get(sent.place.view)
         if in_use is not None:
             in_use.pop(sent.conn, None)
-        self._pool.give_back(sent.place.view.address, sent.conn)
+        self._pool.release(sent.place.view.address, sent.conn)
 
     def abort_run(self, view: upstream_view.UpstreamView) -> None:
         """Break off what an upstream's run has left unanswered.
@@ -160,7 +160,7 @@
         Another run has begun at its address: what was sent to the one
         before is lost, also where its connections have not noticed.
         """
-        self._pool.forget(view.address)
+        self._pool.close_idle(view.address)
         for conn in list(self._in_use.pop(view, ())):
             conn.cancel('upstream_restarted')
 
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -302,7 +302,7 @@
                 self._first = self._clock.now(), self.reader.last_id
             return
         self.ended = True
-        self.held += self.reader.rest
+        self.held += self.reader.buffered
 
     def release_held(self) -> bytes:
         """Return what was held, to be passed on."""
--- a/src/peridotmast/standin/cloud.py
+++ b/src/peridotmast/standin/cloud.py
@@ -86,8 +86,8 @@
         body = req.json()
         self.reports.append(
             Report(
-                body[names.WINDOW],
-                body[names.COUNTS],
+                body[names.WINDOW_ID],
+                body[names.REQUEST_COUNTS],
                 *self._duty(req, names.USAGE_PATH),
             )
         )
@@ -96,7 +96,7 @@
     def _scale(self, req: web.Request) -> web.Response:
         body = req.json()
         service, domain = body[names.SERVICE], body[names.FAILURE_DOMAIN]
-        count = int(body[names.WANTED])
+        count = int(body[names.DESIRED_COUNT])
         reclaimable = bool(body.get(names.RECLAIMABLE))
         duty = self._duty(req, f'{names.SCALE_PATH} {service} {domain}')
         if not self._on_order(service, domain, count, reclaimable):
--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -16,7 +16,7 @@
 from peridotmast.standin import listening
 from peridotmast.standin import upstream_app
 from peridotmast import web
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 from peridotmast.wire import strict_protocol
 
 _COPY_KEPT_MS = 5000
@@ -187,7 +187,7 @@
                         left = self._mute_until - self._clock.now()
                         green.sleep_ms(max(0, left))
                     if self.hits('cut'):
-                        conn.break_off()
+                        conn.reset()
                         yield data[: len(data) // 2]
                         raise ConnectionResetError('cut in an event')
                     yield data
@@ -195,7 +195,7 @@
                 if ended:
                     return
                 if run.stopped:
-                    conn.break_off()
+                    conn.reset()
                     raise ConnectionResetError('moved away')
                 if not run.ended:
                     run.changed.wait()
@@ -244,7 +244,7 @@
     def _read_request(
         self, request_id: str, environ: dict[str, ty.Any], body: bytes
     ) -> Run:
-        counts = upstream_app.header(environ, names.TOKENS).split(',')
+        counts = upstream_app.header(environ, names.TOKEN_COUNTS).split(',')
         size = int(counts[0] or 1)
         wanted = int(counts[1]) if len(counts) > 1 else _DEFAULT_OUT
         last = upstream_app.header(environ, names.LAST_EVENT)
@@ -343,7 +343,7 @@
         # Two engines may give copies the same handle: the address that they
         # are asked at is part of what names one.
         name = f'{req.header("Host")}/{handle}'
-        moved = calls.HttpCalls(2000).call(
+        moved = http_client.HttpClient(2000).request(
             'POST',
             body[names.TARGET],
             '/standin/copy',
--- a/src/peridotmast/standin/faulty_app.py
+++ b/src/peridotmast/standin/faulty_app.py
@@ -67,7 +67,7 @@
         lost = self._hits('lose_reply')
         response = super()._answer(environ, conn)
         if lost:
-            conn.break_off()
+            conn.reset()
             raise ConnectionResetError('the reply is lost')
         return response
 
--- a/src/peridotmast/standin/plain_service.py
+++ b/src/peridotmast/standin/plain_service.py
@@ -64,7 +64,7 @@
         ]
         start('200 OK', headers)
         if self.hits('cut'):
-            environ[strict_protocol.CONNECTION].break_off()
+            environ[strict_protocol.CONNECTION].reset()
             yield whole[: len(whole) // 2]
             raise ConnectionResetError('cut short')
         if self.hits('extra'):
--- a/src/peridotmast/standin/store.py
+++ b/src/peridotmast/standin/store.py
@@ -92,8 +92,8 @@
         return web.json_response(
             {
                 names.ITEMS: found[:_PAGE],
-                names.MORE: len(found) > _PAGE,
-                names.AT: self._revision,
+                names.HAS_MORE: len(found) > _PAGE,
+                names.AT_REVISION: self._revision,
             }
         )
 
@@ -112,7 +112,10 @@
                 if change.revision > since and change.kind == kind
             ]
             if events or self._clock.now() >= deadline:
-                body = {names.EVENTS: events, names.AT: self._revision}
+                body = {
+                    names.EVENTS: events,
+                    names.AT_REVISION: self._revision,
+                }
                 return web.json_response(body)
             green.sleep_ms(_LOOK_MS)
 
--- a/src/peridotmast/standin/upstream_app.py
+++ b/src/peridotmast/standin/upstream_app.py
@@ -133,10 +133,10 @@
         if self.hits('hang'):
             green.sleep_ms(_HANG_MS)
         if self.hits('lose'):
-            conn.break_off()
+            conn.reset()
             raise ConnectionResetError('the answer is lost')
         if self.hits('garble'):
-            conn.break_off()
+            conn.reset()
             environ['eventlet.input'].get_socket().sendall(b'\x00no answer')
             raise ConnectionResetError('garbled')
         if self.hits('error'):
@@ -167,7 +167,7 @@
         self._conn = environ[strict_protocol.CONNECTION]
         self._ended = False
         app.in_work += 1
-        self._conn.watch()
+        self._conn.watch_for_close()
         try:
             self._parts = iter(app.answer(request_id, environ, body, start))
         except BaseException:
@@ -186,7 +186,7 @@
 
     def close(self) -> None:
         """Count it out; the server calls this."""
-        self._conn.unwatch()
+        self._conn.stop_watching()
         self._app.in_work -= 1
         if not self._ended:
             self._app.left_early.append(self._id)
--- a/src/peridotmast/web.py
+++ b/src/peridotmast/web.py
@@ -143,13 +143,13 @@
         try:
             response = self._answer(environ, conn)
         except BaseException:
-            conn.unwatch()
+            conn.stop_watching()
             raise
         status = f'{response.status} {_STATUS.get(response.status, "Status")}'
         headers = [('Content-Type', response.content_type), *response.headers]
         start(status, headers)
         if isinstance(response.body, bytes):
-            conn.unwatch()
+            conn.stop_watching()
             response.close()
             return [response.body]
         environ['eventlet.minimum_write_chunk_size'] = 1
@@ -162,9 +162,9 @@
     ) -> Response:
         try:
             body = conn.read_body(self._max_body, self._body_ms)
-        except request_body.BadBody as exc:
+        except request_body.InvalidBodyError as exc:
             return error_response(exc.status, exc.reason, 'body not taken')
-        conn.watch()
+        conn.watch_for_close()
         req = Request(
             environ['REQUEST_METHOD'],
             environ['PATH_INFO'],
@@ -175,7 +175,7 @@
         )
         try:
             return self._dispatch(req)
-        except (caller_connection.CallerLeft, ConnectionError):
+        except (caller_connection.CallerDisconnected, ConnectionError):
             raise
         except (Exception, green.Timeout) as exc:
             trace = ''.join(traceback.format_exception(exc)[-3:])
@@ -214,7 +214,7 @@
 
     def close(self) -> None:
         """Give back what the answer holds; the server calls this."""
-        self._conn.unwatch()
+        self._conn.stop_watching()
         self._response.close()
         if hasattr(self._parts, 'close'):
             self._parts.close()
--- a/src/peridotmast/wire/caller_connection.py
+++ b/src/peridotmast/wire/caller_connection.py
@@ -11,7 +11,7 @@
 from peridotmast.wire import request_body
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """Raised in the task of a request whose caller has closed."""
 
 
@@ -55,7 +55,7 @@
 
         Raises
         ------
-        BadBody
+        InvalidBodyError
             If it is too large, too late, not framed right or broken off.
         """
         reader = self._protocol.environ['eventlet.input']
@@ -71,13 +71,13 @@
             raise self._refuse(408, 'body_late') from None
         except OSError:
             raise self._refuse(400, 'body_broken') from None
-        except request_body.BadBody as exc:
+        except request_body.InvalidBodyError as exc:
             raise self._refuse(exc.status, exc.reason) from None
         finally:
             self._sock.settimeout(self._protocol.server.socket_timeout)
 
-    def watch(self) -> None:
-        """Raise `CallerLeft` in this task once the caller closes.
+    def watch_for_close(self) -> None:
+        """Raise `CallerDisconnected` in this task once the caller closes.
 
         Bytes of a next request, sent before this one's answer, end the
         watch: then a close is found out when the answer is written.
@@ -87,11 +87,11 @@
         def on_readable() -> None:
             self._watch = None
             if self.has_left():
-                green.throw_into(task, CallerLeft())
+                green.throw_into(task, CallerDisconnected())
 
         self._watch = green.ReadWatch(self.fileno(), on_readable)
 
-    def unwatch(self) -> None:
+    def stop_watching(self) -> None:
         """Watch no more."""
         if self._watch is not None:
             self._watch.cancel()
@@ -101,27 +101,29 @@
         """Close the connection once the current answer is out."""
         self._protocol.close_connection = 1
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """End the connection so that no answer on it can look whole.
 
         It is reset: without a length or chunks a plain end would look like
         the answer's.
         """
-        self._protocol.broken = True
+        self._protocol.was_reset = True
         self._protocol.close_connection = 1
         if self._sock.fileno() < 0:
             return
-        self.unwatch()
+        self.stop_watching()
         self._sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
         )
         os.close(self._sock.fd.detach())
 
-    def _refuse(self, status: int, reason: str) -> request_body.BadBody:
+    def _refuse(
+        self, status: int, reason: str
+    ) -> request_body.InvalidBodyError:
         self._protocol.lingers = True
         self._protocol.close_connection = 1
         # The rest is not to be read as another request.
         reader = self._protocol.environ['eventlet.input']
         reader.chunked_input = False
         reader.position = reader.content_length or 0
-        return request_body.BadBody(status, reason)
+        return request_body.InvalidBodyError(status, reason)
--- a/src/peridotmast/wire/connection.py
+++ b/src/peridotmast/wire/connection.py
@@ -11,7 +11,7 @@
 from peridotmast import clock as clock_
 from peridotmast import failures
 from peridotmast import green
-from peridotmast.wire import reader as reader_
+from peridotmast.wire import socket_reader
 
 Headers = list[tuple[str, str]]
 """Header lines in their order, names as they were written."""
@@ -69,11 +69,11 @@
         self._cancelled = ''
         self.idle_since = 0
         """Moment on the clock of its last answer's end, in ms."""
-        self.keep_ms = 0
+        self.keep_alive_ms = 0
         """How long the upstream said it keeps it idle, in ms; 0 if unsaid."""
         self.requests = 0
         """Requests sent over it so far."""
-        self.drops_unsent = False
+        self.reset_on_close = False
         """Whether closing it drops what the other side has not taken yet.
         Otherwise the kernel goes on sending, for seconds where there is a
         cut."""
@@ -98,7 +98,7 @@
             self.close()
             detail = f'error {error}' if ready else 'timed out'
             return failures.not_run('no_connection', detail)
-        self._reader = reader_.WireReader(sock, self._clock)
+        self._reader = socket_reader.SocketReader(sock, self._clock)
         self._side = _SendingSide(sock, self._reader, self._clock)
         return None
 
@@ -133,7 +133,7 @@
         """Close it; doing so twice is the same as once."""
         if self._sock is not None:
             green.poller.unregister(self._sock.fileno())
-            if self.drops_unsent:
+            if self.reset_on_close:
                 self._sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER
                 )
@@ -239,7 +239,7 @@
                 self.close()
                 return failures.unknown('too_long', f'over {limit} bytes')
 
-    def may_be_kept(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether another request may go over it now."""
         return (
             self._sock is not None
@@ -283,7 +283,7 @@
         for part in text.split(','):
             name, _, value = part.partition('=')
             if name.lower() == 'timeout' and value.isdigit():
-                self.keep_ms = int(value) * 1000
+                self.keep_alive_ms = int(value) * 1000
 
 
 class _EarlyAnswer(Exception):
@@ -296,14 +296,14 @@
     def __init__(
         self,
         sock: socket.socket,
-        reader: reader_.WireReader,
+        reader: socket_reader.SocketReader,
         clock: clock_.Clock,
     ) -> None:
         self._sock = sock
         self._reader = reader
         self._clock = clock
 
-    def makefile(self, mode: str) -> reader_.WireReader:
+    def makefile(self, mode: str) -> socket_reader.SocketReader:
         """Return the connection's one reader."""
         return self._reader
 
--- a/src/peridotmast/wire/event_reader.py
+++ b/src/peridotmast/wire/event_reader.py
@@ -22,7 +22,7 @@
         """Id of the last event that was passed on; -1 before the first."""
 
     @property
-    def rest(self) -> bytes:
+    def buffered(self) -> bytes:
         """Bytes of an event that is not complete yet."""
         return self._rest
 
--- a/src/peridotmast/wire/calls.py
+++ b/src/peridotmast/wire/http_client.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
+class Response:
     """A whole answer."""
 
     status: int
@@ -31,7 +31,7 @@
             raise ValueError('nested too deeply') from exc
 
 
-class HttpCalls:
+class HttpClient:
     """Calls over kept connections.
 
     Parameters
@@ -51,7 +51,7 @@
         self._clock = clock or clock_.SystemClock()
         self._pool = pool_.ConnectionPool(self._clock, timeout_ms)
 
-    def call(
+    def request(
         self,
         method: str,
         address: str,
@@ -59,10 +59,10 @@
         body: ty.Any = None,
         headers: ty.Optional[dict[str, str]] = None,
         timeout_ms: int = 0,
-        answer_ms: int = 0,
+        body_timeout_ms: int = 0,
         on_bytes: ty.Callable[[], None] = lambda: None,
         may_send: ty.Callable[[], bool] = lambda: True,
-    ) -> ty.Union[Reply, failures.Failure]:
+    ) -> ty.Union[Response, failures.Failure]:
         """Make one call.
 
         What is on its way when it is given up is dropped with its connection:
@@ -73,9 +73,9 @@
         body : optional
             Bytes, or a value that is sent as JSON.
         timeout_ms : int, optional
-            Bound on this call, in ms; with `answer_ms`, only until its
+            Bound on this call, in ms; with `body_timeout_ms`, only until its
             answer begins.
-        answer_ms : int, optional
+        body_timeout_ms : int, optional
             Bound on the rest of an answer that may be large, in ms, which
             then may not be silent for longer than any call may take. 0 where
             the answer is short.
@@ -87,24 +87,24 @@
 
         Returns
         -------
-        Reply or Failure
+        Response or Failure
             NOT_RUN where nothing was sent; else no answer came.
         """
         deadline = self._clock.now() + (timeout_ms or self._timeout_ms)
-        conn = self._pool.take(address)
+        conn = self._pool.acquire(address)
         if isinstance(conn, failures.Failure):
             return conn
         if not may_send():
             conn.close()
             return failures.not_run('too_late')
-        conn.drops_unsent = True
+        conn.reset_on_close = True
         try:
-            reply: ty.Union[Reply, failures.Failure, None] = _send(
+            reply: ty.Union[Response, failures.Failure, None] = _send(
                 conn, method, address, path, body, headers or {}, deadline
             )
             if reply is None:
                 reply = self._receive(
-                    conn, method, deadline, answer_ms, on_bytes
+                    conn, method, deadline, body_timeout_ms, on_bytes
                 )
         except BaseException:
             conn.close()
@@ -112,10 +112,10 @@
         if isinstance(reply, failures.Failure):
             conn.close()
             # What made one connection silent may have hit the others.
-            self._pool.forget(address)
+            self._pool.close_idle(address)
         else:
-            conn.drops_unsent = False
-            self._pool.give_back(address, conn)
+            conn.reset_on_close = False
+            self._pool.release(address, conn)
         return reply
 
     def close(self) -> None:
@@ -127,23 +127,23 @@
         conn: connection_.Connection,
         method: str,
         deadline: int,
-        answer_ms: int,
+        body_timeout_ms: int,
         on_bytes: ty.Callable[[], None],
-    ) -> ty.Union[Reply, failures.Failure]:
+    ) -> ty.Union[Response, failures.Failure]:
         head = conn.read_head(method, deadline)
         if isinstance(head, failures.Failure):
             return head
         on_bytes()
         silence_ms = 0
-        if answer_ms:
+        if body_timeout_ms:
             # How long it takes grows with its size and with what else is on
             # the link; given up, it would have to come again as a whole.
-            deadline = self._clock.now() + answer_ms
+            deadline = self._clock.now() + body_timeout_ms
             silence_ms = self._timeout_ms
         body = conn.read_all(deadline, _ANSWER_BYTES, silence_ms, on_bytes)
         if isinstance(body, failures.Failure):
             return body
-        return Reply(head.status, head.headers, body)
+        return Response(head.status, head.headers, body)
 
 
 def _send(
--- a/src/peridotmast/wire/pool.py
+++ b/src/peridotmast/wire/pool.py
@@ -9,16 +9,16 @@
 from peridotmast import failures
 from peridotmast.wire import connection as connection_
 
-KEEP_SHARE = 0.6
+KEEP_ALIVE_SHARE = 0.6
 """Part of the time that an upstream states in which a connection is used
 again; the rest covers the way there, late timers and rounding."""
 
-KEEP_UNSAID_MS = 2000
+DEFAULT_KEEP_ALIVE_MS = 2000
 """Longest idleness of a connection whose upstream states no time. A request
 that may run only once and meets a closing connection is lost, so this is
 shorter than any time-out that servers commonly have."""
 
-IDLE_LIMIT = 64
+MAX_IDLE_PER_ADDRESS = 64
 """Kept connections to one upstream; more are closed as they fall idle."""
 
 
@@ -41,7 +41,7 @@
         self.opened = 0
         """Connections opened so far."""
 
-    def take(
+    def acquire(
         self, address: str
     ) -> ty.Union[connection_.Connection, failures.Failure]:
         """Return a clean connection; a failure means nothing was sent."""
@@ -57,16 +57,16 @@
         failure = conn.connect(self.connect_ms)
         return conn if failure is None else failure
 
-    def give_back(self, address: str, conn: connection_.Connection) -> None:
+    def release(self, address: str, conn: connection_.Connection) -> None:
         """Keep a connection whose answer has ended, if it is still good."""
         idle = self._idle.setdefault(address, collections.deque())
-        if not conn.may_be_kept() or len(idle) >= IDLE_LIMIT:
+        if not conn.is_reusable() or len(idle) >= MAX_IDLE_PER_ADDRESS:
             conn.close()
             return
         conn.idle_since = self._clock.now()
         idle.append(conn)
 
-    def drop_old(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle for too long."""
         for address, idle in list(self._idle.items()):
             while idle and not self._is_fresh(idle[0]):
@@ -74,7 +74,7 @@
             if not idle:
                 del self._idle[address]
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close every idle connection to `address`."""
         for conn in self._idle.pop(address, ()):
             conn.close()
@@ -82,8 +82,8 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
     def _is_fresh(self, conn: connection_.Connection) -> bool:
-        keep = conn.keep_ms * KEEP_SHARE or KEEP_UNSAID_MS
+        keep = conn.keep_alive_ms * KEEP_ALIVE_SHARE or DEFAULT_KEEP_ALIVE_MS
         return self._clock.now() - conn.idle_since <= keep
--- a/src/peridotmast/wire/request_body.py
+++ b/src/peridotmast/wire/request_body.py
@@ -19,7 +19,7 @@
 _CHUNK_SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})(?:;[^\r\n]*)?\r\n')
 
 
-class BadBody(Exception):
+class InvalidBodyError(Exception):
     """A body that can't be taken.
 
     Parameters
@@ -40,10 +40,10 @@
     """Read a body of the length that its head tells."""
     length = reader.content_length or 0
     if length > max_bytes:
-        raise BadBody(413, 'body_too_large')
+        raise InvalidBodyError(413, 'body_too_large')
     body = reader.read(length)
     if len(body) < length:
-        raise BadBody(400, 'body_broken')
+        raise InvalidBodyError(400, 'body_broken')
     return body
 
 
@@ -58,18 +58,18 @@
     while True:
         head = _CHUNK_SIZE.fullmatch(file.readline(256))
         if head is None:
-            raise BadBody(400, 'bad_chunk')
+            raise InvalidBodyError(400, 'bad_chunk')
         size = int(head[1], 16)
         if not size:
             break
         room -= size
         if room < 0:
-            raise BadBody(413, 'body_too_large')
+            raise InvalidBodyError(413, 'body_too_large')
         data = file.read(size + 2)
         if len(data) < size + 2 or data[-2:] != b'\r\n':
-            raise BadBody(400, 'bad_chunk')
+            raise InvalidBodyError(400, 'bad_chunk')
         parts.append(data[:-2])
     while (line := file.readline(MAX_LINE_BYTES)) != b'\r\n':
         if HEADER.fullmatch(line) is None:
-            raise BadBody(400, 'bad_trailer')
+            raise InvalidBodyError(400, 'bad_trailer')
     return b''.join(parts)
--- a/src/peridotmast/wire/server.py
+++ b/src/peridotmast/wire/server.py
@@ -31,11 +31,11 @@
     """Largest head of a request."""
     max_body_bytes: int = 1 << 20
     """Largest body."""
-    header_ms: int = 10_000
+    header_timeout_ms: int = 10_000
     """Time for the head of a request from its first byte on."""
-    idle_ms: int = 60_000
+    idle_timeout_ms: int = 60_000
     """Time that a kept connection may be idle, and that a body may pause."""
-    write_ms: int = 10_000
+    write_timeout_ms: int = 10_000
     """Longest time that a caller may take nothing."""
 
 
@@ -88,11 +88,11 @@
         self.address = ids.Address(f'{host}:{bound[1]}')
         """Address that is listened on, with the real port."""
         self._pool = green.GreenPool(MAX_CONNECTIONS)
-        self.idle: set[ty.Any] = set()
+        self.idle_sockets: set[ty.Any] = set()
         """Kept connections on which nothing is in work."""
         self.is_closing = False
         """Whether each connection is closed after its answer."""
-        self.retry_ms: ty.Callable[[], int] = lambda: 0
+        self.retry_after_ms: ty.Callable[[], int] = lambda: 0
         """Says when callers may come back whose heads are larger than the
         limits, in ms; 0 where these are final."""
         self._task: ty.Any = None
@@ -108,10 +108,10 @@
         callers that have not heard of the stop yet.
         """
         self.is_closing = True
-        for sock in list(self.idle):
+        for sock in list(self.idle_sockets):
             # A request that has come is served, though nobody has looked yet.
             if not _has_come(sock):
-                self.idle.discard(sock)
+                self.idle_sockets.discard(sock)
                 _shut(sock)
 
     def stop(self) -> None:
@@ -124,7 +124,9 @@
 
     def _serve(self) -> None:
         protocol = type(
-            '_Protocol', (strict_protocol.StrictProtocol,), {'owner': self}
+            '_Protocol',
+            (strict_protocol.StrictProtocol,),
+            {'http_server': self},
         )
         try:
             wsgi.server(
@@ -135,7 +137,7 @@
                 custom_pool=self._pool,
                 log_output=False,
                 debug=False,
-                socket_timeout=self.limits.write_ms / 1000,
+                socket_timeout=self.limits.write_timeout_ms / 1000,
                 url_length_limit=request_body.MAX_LINE_BYTES,
             )
         except green.GreenletExit:
--- a/src/peridotmast/wire/reader.py
+++ b/src/peridotmast/wire/socket_reader.py
@@ -11,7 +11,7 @@
 _READ_BYTES = 65536
 
 
-class WireReader:
+class SocketReader:
     """A file for `http.client`, over a socket that does not block.
 
     It outlives each response on its connection, so that bytes which came
--- a/src/peridotmast/wire/strict_protocol.py
+++ b/src/peridotmast/wire/strict_protocol.py
@@ -40,35 +40,35 @@
     lets one request hide in another. What has two readings is refused here.
     """
 
-    owner: ty.Any
+    http_server: ty.Any
     """The `HttpServer` that has the connection: its limits, its idle ones."""
     minimum_chunk_size = 1
     close_connection: int = 0
-    broken = False
+    was_reset = False
     lingers = False
     _header_timer: ty.Any = None
 
     def _read_request_line(self) -> bytes:
-        limits = self.owner.limits
+        limits = self.http_server.limits
         sock = self.connection
         is_kept = self.close_connection == 0
-        if self.owner.is_closing and is_kept:
+        if self.http_server.is_closing and is_kept:
             return b''
         if is_kept:
             # One without a first request is not idle: it is on its way.
-            self.owner.idle.add(sock)
+            self.http_server.idle_sockets.add(sock)
         try:
-            sock.settimeout(limits.idle_ms / 1000)
+            sock.settimeout(limits.idle_timeout_ms / 1000)
             first = self.rfile.peek(1)
         except OSError:
             return b''
         finally:
-            was_shut = is_kept and sock not in self.owner.idle
-            self.owner.idle.discard(sock)
+            was_shut = is_kept and sock not in self.http_server.idle_sockets
+            self.http_server.idle_sockets.discard(sock)
         if was_shut or not first:
             # What came after it was shut can't be answered: it is not read.
             return b''
-        self._header_timer = green.Timeout(limits.header_ms / 1000)
+        self._header_timer = green.Timeout(limits.header_timeout_ms / 1000)
         return self.rfile.readline(request_body.MAX_LINE_BYTES)
 
     def handle_one_request(self) -> None:
@@ -83,7 +83,7 @@
             self.close_connection = 1
         except OSError:
             # Writing to a connection that was broken off on purpose.
-            if not self.broken:
+            if not self.was_reset:
                 raise
         finally:
             self._cancel_timer()
@@ -94,7 +94,11 @@
         if status:
             self._cancel_timer()
             # A newer configuration may take larger ones.
-            retry_ms = self.owner.retry_ms() if status == _TOO_LARGE else 0
+            retry_ms = (
+                self.http_server.retry_after_ms()
+                if status == _TOO_LARGE
+                else 0
+            )
             status = 503 if retry_ms else status
             self._answer_badly(status, http.client.responses[status], retry_ms)
             return False
@@ -103,7 +107,7 @@
 
     def get_environ(self) -> dict[str, ty.Any]:
         self._cancel_timer()
-        if self.owner.is_closing:
+        if self.http_server.is_closing:
             self.close_connection = 1
         env = super().get_environ()
         env[TARGET] = self.path
@@ -111,7 +115,7 @@
         return env
 
     def finish(self) -> None:
-        if self.broken:
+        if self.was_reset:
             return
         if self.lingers:
             self._linger()
@@ -127,7 +131,7 @@
         self.request_version = line[3].decode('ascii')
         self.requestline = line[0].decode('ascii').rstrip()
         self.headers = http.client.HTTPMessage()
-        room = self.owner.limits.max_header_bytes - len(line[0])
+        room = self.http_server.limits.max_header_bytes - len(line[0])
         # The wrapper's own bounds would hide which one was passed.
         file: ty.Any = getattr(self.rfile, 'fp', self.rfile)
         while (raw := file.readline(max(2, room + 1))) != b'\r\n':
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -298,14 +298,14 @@
     ),
     Mutation(
         "believe a caller's own team",
-        PLATFORM + 'callers.py',
+        PLATFORM + 'caller_app.py',
         '        names.TEAM,\n',
         '',
         'callers',
     ),
     Mutation(
         'pass the key on',
-        PLATFORM + 'callers.py',
+        PLATFORM + 'caller_app.py',
         'left_out = _HOP | _OURS | named | {names.AUTHORIZATION.lower()}',
         'left_out = _HOP | _OURS | named',
         'callers',
@@ -321,21 +321,21 @@
         'let a body break off',
         WIRE + 'request_body.py',
         '    if len(body) < length:\n'
-        "        raise BadBody(400, 'body_broken')\n",
+        "        raise InvalidBodyError(400, 'body_broken')\n",
         '',
         'strict',
     ),
     Mutation(
         'do not watch for callers that leave',
-        PLATFORM + 'callers.py',
-        '        conn.watch()\n',
+        PLATFORM + 'caller_app.py',
+        '        conn.watch_for_close()\n',
         '',
         'streams',
     ),
     Mutation(
         'end a broken stream as if it were whole',
-        PLATFORM + 'callers.py',
-        '            self._conn.break_off()\n',
+        PLATFORM + 'caller_app.py',
+        '            self._conn.reset()\n',
         '            raise StopIteration from None\n',
         'streams',
     ),
@@ -640,7 +640,7 @@
     Mutation(
         'believe an entry that can not be read',
         PLATFORM + 'upstream_codec.py',
-        '    fields.close()\n    return record',
+        '    fields.raise_if_malformed()\n    return record',
         '    return record',
         'entries',
     ),
@@ -660,7 +660,7 @@
     ),
     Mutation(
         'lose the objects beside a broken one',
-        PLATFORM + 'documents.py',
+        PLATFORM + 'object_codec.py',
         'whole = _salvaged(text, key)',
         'raise ValueError(text[:9])',
         'entries',
@@ -773,9 +773,9 @@
     ),
     Mutation(
         'let what a call has sent arrive after it was given up',
-        WIRE + 'calls.py',
-        'conn.drops_unsent = True',
-        'conn.drops_unsent = False',
+        WIRE + 'http_client.py',
+        'conn.reset_on_close = True',
+        'conn.reset_on_close = False',
         'duties',
     ),
     Mutation(
@@ -995,7 +995,7 @@
     ),
     Mutation(
         'refuse large bodies for good by bounds that are old',
-        PLATFORM + 'callers.py',
+        PLATFORM + 'caller_app.py',
         'retry_ms = self._gateway.retry_ms() if is_bound else 0',
         'retry_ms = 0',
         'spread',
@@ -1003,8 +1003,8 @@
     Mutation(
         'refuse large heads for good by bounds that are old',
         WIRE + 'strict_protocol.py',
-        'retry_ms = self.owner.retry_ms() if status == _TOO_LARGE else 0',
-        'retry_ms = 0',
+        'self.http_server.retry_after_ms()',
+        '0',
         'spread',
     ),
     Mutation(
@@ -1037,8 +1037,8 @@
     ),
     Mutation(
         'bound large answers as a whole',
-        WIRE + 'calls.py',
-        'deadline = self._clock.now() + answer_ms',
+        WIRE + 'http_client.py',
+        'deadline = self._clock.now() + body_timeout_ms',
         'pass',
         'store_reads',
     ),
--- a/tools/pages.py
+++ b/tools/pages.py
@@ -71,7 +71,7 @@
     'serving/upstreams',
     'serving/usage',
     'wire/caller_connection',
-    'wire/calls',
+    'wire/http_client',
     'wire/connection',
     'wire/pool',
     'wire/request_body',
