--- a/src/peridotmast/platform/__init__.py
+++ b/src/peridotmast/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what the platform gives."""
+"""Clients and codecs for the platform's services and protocol."""
--- a/src/peridotmast/platform/caller_app.py
+++ b/src/peridotmast/platform/caller_app.py
@@ -1,4 +1,4 @@
-"""The platform's callers: their requests read, their answers written."""
+"""WSGI application for callers that use the platform's protocol."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from peridotmast.wire import server as server_
 from peridotmast.wire import strict_protocol
 
-_HOP = frozenset((
+_HOP_BY_HOP = frozenset((
     'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate',
     'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade',
     'content-length', 'expect',
 ))  # fmt: skip
-"""Headers that concern one connection only."""
+"""Headers that apply to one connection only and are not forwarded."""
 
-_OURS = frozenset(
+_ROUTER_HEADERS = frozenset(
     name.lower()
     for name in (
         names.DEADLINE_MS,
@@ -42,9 +42,9 @@
         names.FENCING,
     )
 )
-"""Headers that the system sets itself: a caller's are not believed."""
+"""Headers that only routers may set; those of a caller are not trusted."""
 
-_STATUS = {
+_STATUS_BY_KIND = {
     failures.FailureKind.NOT_RUN: 503,
     failures.FailureKind.OUTCOME_UNKNOWN: 502,
     failures.FailureKind.UNAVAILABLE: 503,
@@ -60,18 +60,18 @@
 
 
 class PlatformCallerApp:
-    """A WSGI application over the one way of a request.
+    """WSGI application that passes requests to the gateway.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times requests.
+        Provides the arrival time of requests.
     gateway : gateway.Gateway
-        The way of a request.
+        Handles the requests.
     limits : server.ServerLimits
-        What callers may send.
+        Limits on the size and the duration of requests.
     decisions : decisions.Decisions
-        Notes who leaves and which answers break.
+        Records refusals, disconnected callers and broken responses.
     """
 
     def __init__(
@@ -90,31 +90,33 @@
         self, environ: dict[str, ty.Any], start: ty.Callable[..., ty.Any]
     ) -> ty.Iterable[bytes]:
         conn = environ[strict_protocol.CONNECTION]
-        entered = self._clock.now()
+        arrived_at = self._clock.now()
         headers = environ['headers_raw']
-        request_id = _get(headers, names.REQUEST_ID)
+        request_id = _get_header(headers, names.REQUEST_ID)
         try:
             body = conn.read_body(
                 self._limits.max_body_bytes, self._limits.idle_timeout_ms
             )
         except request_body.InvalidBodyError as exc:
             return self._refuse_body(start, exc, request_id)
-        asked = gateway_.IncomingRequest(
+        incoming = gateway_.IncomingRequest(
             id=request_id,
             method=environ['REQUEST_METHOD'],
             target=environ[strict_protocol.TARGET],
-            host=_get(headers, 'Host'),
-            key=_key(_get(headers, names.AUTHORIZATION)),
-            headers=_end_to_end(headers),
+            host=_get_header(headers, 'Host'),
+            key=_api_key(_get_header(headers, names.AUTHORIZATION)),
+            headers=_forwarded_headers(headers),
             body=body,
-            arrived_at=entered,
-            caller_timeout_ms=_number(_get(headers, names.DEADLINE_MS)),
-            prompt=_prompt(headers),
+            arrived_at=arrived_at,
+            caller_timeout_ms=_parse_integer(
+                _get_header(headers, names.DEADLINE_MS)
+            ),
+            prompt=_parse_prompt(headers),
             caller=conn,
         )
         conn.watch_for_close()
         try:
-            result = self._gateway.handle(asked)
+            result = self._gateway.handle(incoming)
         except caller_connection.CallerDisconnected:
             self._decisions.note(request_id, 'caller_left')
             conn.stop_watching()
@@ -122,22 +124,23 @@
         if isinstance(result, failures.Failure):
             conn.stop_watching()
             return self._refuse(start, result, request_id)
-        return _Answer(result, conn, start, self._decisions, request_id)
+        return _ResponseBody(result, conn, start, self._decisions, request_id)
 
     def _refuse_body(
         self,
         start: ty.Callable[..., ty.Any],
-        bad: request_body.InvalidBodyError,
+        error: request_body.InvalidBodyError,
         request_id: str,
     ) -> ty.Iterable[bytes]:
-        # A newer configuration may take larger ones.
-        is_bound = bad.status == _TOO_LARGE
-        retry_ms = self._gateway.retry_ms() if is_bound else 0
-        status = 503 if retry_ms else bad.status
+        # A newer configuration may allow larger bodies, so the caller may
+        # retry once this router has it.
+        is_too_large = error.status == _TOO_LARGE
+        retry_ms = self._gateway.retry_ms() if is_too_large else 0
+        status = 503 if retry_ms else error.status
         self._decisions.note(
-            request_id, 'refused', reason=bad.reason, status=status
+            request_id, 'refused', reason=error.reason, status=status
         )
-        return _refuse(start, status, bad.reason, request_id, retry_ms)
+        return _send_refusal(start, status, error.reason, request_id, retry_ms)
 
     def _refuse(
         self,
@@ -147,8 +150,8 @@
     ) -> ty.Iterable[bytes]:
         status = _STATUS_BY_REASON.get(failure.reason)
         if status is None:
-            status = _STATUS.get(failure.kind, 502)
-        return _refuse(
+            status = _STATUS_BY_KIND.get(failure.kind, 502)
+        return _send_refusal(
             start,
             status,
             failure.reason,
@@ -157,8 +160,12 @@
         )
 
 
-class _Answer:
-    """An answer as the server's iterable; ends visibly where it breaks."""
+class _ResponseBody:
+    """Response body for the WSGI server.
+
+    If the body breaks off, the connection is reset, so that the caller can't
+    take the response for complete.
+    """
 
     def __init__(
         self,
@@ -178,7 +185,7 @@
         headers = [
             (name, value)
             for name, value in reply.head.headers
-            if name.lower() not in _HOP
+            if name.lower() not in _HOP_BY_HOP
         ]
         if isinstance(body, bytes):
             headers.append(('Content-Length', str(len(body))))
@@ -201,12 +208,12 @@
             raise
 
     def close(self) -> None:
-        """Give back what the answer holds; the server calls this."""
+        """Release the resources of the response; called by the server."""
         self._conn.stop_watching()
         self._reply.close()
 
 
-def _refuse(
+def _send_refusal(
     start: ty.Callable[..., ty.Any],
     status: int,
     reason: str,
@@ -230,52 +237,58 @@
     return f'{status} {http.client.responses.get(status, "Status")}'
 
 
-def _get(headers: ty.Iterable[tuple[str, str]], name: str) -> str:
+def _get_header(headers: ty.Iterable[tuple[str, str]], name: str) -> str:
     wanted = name.lower()
     return next((v for n, v in headers if n.lower() == wanted), '')
 
 
-def _key(authorization: str) -> str:
+def _api_key(authorization: str) -> str:
     if authorization.lower().startswith(names.KEY_SCHEME.lower()):
         return authorization[len(names.KEY_SCHEME) :].strip()
     return ''
 
 
-def _end_to_end(
+def _forwarded_headers(
     headers: ty.Iterable[tuple[str, str]],
 ) -> connection.Headers:
-    """Return what goes on to an upstream of a caller's headers."""
+    """Return the headers of a caller that are forwarded to an upstream."""
     headers = list(headers)
-    named = {
+    connection_headers = {
         word.strip().lower()
         for name, value in headers
         if name.lower() == 'connection'
         for word in value.split(',')
     }
-    left_out = _HOP | _OURS | named | {names.AUTHORIZATION.lower()}
-    # A header that the system goes by must not be lost that way.
-    left_out -= {names.REQUEST_ID.lower(), 'host'}
-    return [(n, v) for n, v in headers if n.lower() not in left_out]
+    excluded = (
+        _HOP_BY_HOP
+        | _ROUTER_HEADERS
+        | connection_headers
+        | {names.AUTHORIZATION.lower()}
+    )
+    # A caller must not be able to remove headers that routers depend on by
+    # naming them in its Connection header.
+    excluded -= {names.REQUEST_ID.lower(), 'host'}
+    return [(n, v) for n, v in headers if n.lower() not in excluded]
 
 
-def _number(text: str) -> int:
+def _parse_integer(text: str) -> int:
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-def _prompt(headers: ty.Iterable[tuple[str, str]]) -> exchange_.Prompt:
-    counts = _get(headers, names.TOKEN_COUNTS).split(',')
-    tokens = [_number(count.strip()) for count in counts] + [0]
+def _parse_prompt(headers: ty.Iterable[tuple[str, str]]) -> exchange_.Prompt:
+    counts = _get_header(headers, names.TOKEN_COUNTS).split(',')
+    tokens = [_parse_integer(count.strip()) for count in counts] + [0]
     parts = (
         part.strip().partition(':')
-        for part in _get(headers, names.PROMPT_PARTS).split(',')
+        for part in _get_header(headers, names.PROMPT_PARTS).split(',')
         if part.strip()
     )
     return exchange_.Prompt(
-        model=_get(headers, names.MODEL),
+        model=_get_header(headers, names.MODEL),
         tokens_in=tokens[0],
         tokens_out=tokens[1],
         parts=tuple(
-            exchange_.PromptPart(name, _number(size))
+            exchange_.PromptPart(name, _parse_integer(size))
             for name, _, size in parts
         ),
     )
--- a/src/peridotmast/platform/cloud_api.py
+++ b/src/peridotmast/platform/cloud_api.py
@@ -1,4 +1,4 @@
-"""Client of the platform's API for usage reports and orders of upstreams."""
+"""Client of the platform's API for usage reports and scaling orders."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from peridotmast.wire import http_client
 
 NO_CAPACITY = 'none_to_have'
-"""Reason of a failure that says: no such upstream is to be had there now."""
+"""Failure reason: the failure domain has no capacity for the order."""
 
 DUTIES_NOT_HELD = 'not_held'
-"""Reason of a failure that says: the duties are another router's, or soon."""
+"""Failure reason: this router does not hold the duties, or not for long."""
 
-_REFUSED = 409
+_CONFLICT = 409
 
 
 class PlatformCloud:
-    """Calls that are one router's duty at a time.
+    """Makes the calls that only the current holder of the duties may make.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the API.
     timeout_ms : int
-        Bound on one call.
+        Time-out of one call, in ms.
     router : str
-        Name of this router, which goes with each call.
-    order_ms : callable, optional
-        Returns in which time a call with a fencing number must arrive, in
-        ms; 0 where none may be begun. It is asked as the call is sent:
-        whoever decided on it may have waited for the store, or for a
-        connection, until the duties were another router's. Without it, any
-        call may be made.
+        Name of this router, which is sent with each call.
+    remaining_ms : callable, optional
+        Returns the time in which a call with a given fencing token must
+        arrive, in ms; 0 if no call may be started. It is evaluated when the
+        call is sent, because waiting for the store or for a connection may
+        have taken until another router held the duties. By default, calls
+        are not restricted.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
         address: str,
         timeout_ms: int,
         router: str,
-        order_ms: ty.Optional[ty.Callable[[int], int]] = None,
+        remaining_ms: ty.Optional[ty.Callable[[int], int]] = None,
     ) -> None:
         self.address = address
-        """Where the API is."""
+        """``IP:port`` of the API."""
         self._timeout_ms = timeout_ms
         self._http = http_client.HttpClient(timeout_ms)
         self._router = router
-        self._order_ms = order_ms or (lambda fencing: timeout_ms)
+        self._remaining_ms = remaining_ms or (lambda _: timeout_ms)
 
     def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> ty.Optional[failures.Failure]:
-        """Send one window's counts; the same ones again do no harm."""
+        """Report the request counts of one window; repeats are harmless."""
         body = {names.WINDOW_ID: window, names.REQUEST_COUNTS: counts}
         return self._call(names.USAGE_PATH, body, fencing)
 
@@ -65,7 +65,7 @@
         reclaimable: bool,
         fencing: int,
     ) -> ty.Optional[failures.Failure]:
-        """Order so many upstreams of a service in a failure domain."""
+        """Order `count` upstreams of a service in a failure domain."""
         body = {
             names.SERVICE: service,
             names.FAILURE_DOMAIN: failure_domain,
@@ -79,8 +79,8 @@
         self, path: str, body: dict[str, ty.Any], fencing: int
     ) -> ty.Optional[failures.Failure]:
         headers = {names.HOLDER: self._router, names.FENCING: str(fencing)}
-        left = self._order_ms(fencing)
-        if not left:
+        left_ms = self._remaining_ms(fencing)
+        if not left_ms:
             return failures.not_run(DUTIES_NOT_HELD)
         reply = self._http.request(
             'POST',
@@ -88,12 +88,12 @@
             path,
             body,
             headers,
-            timeout_ms=min(self._timeout_ms, left),
-            may_send=lambda: self._order_ms(fencing) > 0,
+            timeout_ms=min(self._timeout_ms, left_ms),
+            may_send=lambda: self._remaining_ms(fencing) > 0,
         )
         if isinstance(reply, failures.Failure):
             return reply
-        if reply.status == _REFUSED:
+        if reply.status == _CONFLICT:
             return failures.conflict(NO_CAPACITY, reply.body[:200].decode())
         if reply.status not in (200, 201, 204):
             detail = reply.body[:200].decode('latin-1')
--- a/src/peridotmast/platform/config_codec.py
+++ b/src/peridotmast/platform/config_codec.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as it lies in the platform's store."""
+"""Codec for the operator's configuration in the platform's store."""
 
 from __future__ import annotations
 
@@ -11,45 +11,50 @@
 Json = dict[str, ty.Any]
 
 _ROUTE_PRIORITY = -1
-"""Priority of a team that leaves it to the route."""
-_MOST_RANKS = 1000
-"""Ranks of requests that are told apart."""
-_BY_TOKENS = 'token_stream'
-_KIND_NAMES = {kind: name for name, kind in names.REQUEST_KINDS.items()}
+"""Priority value of a team whose requests use the priority of the route."""
+_MAX_PRIORITY = 1000
+"""Largest request priority in a configuration."""
+_TOKEN_UNIT = 'token_stream'
+_REQUEST_KIND_NAMES = {
+    kind: name for name, kind in names.REQUEST_KINDS.items()
+}
 
 
 def read_version(spec: ty.Any) -> int:
-    """Return the version of a document; 0 where it tells none."""
+    """Return the version of a document; 0 if missing or malformed."""
     fields = fields_.Fields(spec, 'config')
     version = fields.integer('version', 0)
     return 0 if fields.findings else version
 
 
 def read_config(spec: ty.Any) -> pb.Config:
-    """Return the product's configuration for the platform's document.
+    """Convert a document of the platform to a configuration.
 
-    Fields that are not known are left out: the platform adds some from
-    time to time.
+    Unknown fields are ignored, because the platform adds fields from time to
+    time.
 
     Raises
     ------
     fields.MalformedDocumentError
-        If the document is not as the platform's pages say, with all that
-        is wrong with it.
+        If the document does not conform to the platform's specification. The
+        exception lists all findings.
     """
     fields = fields_.Fields(spec, 'config')
     config = pb.Config(
         routes=[_route(item) for item in fields.children('routes')],
         services=[_service(item) for item in fields.children('services')],
         teams=[_team(item) for item in fields.children('tenants')],
-        limits=_limits(fields.child('limits') or _nothing(fields)),
+        limits=_limits(fields.child('limits') or _empty_object(fields)),
     )
     fields.raise_if_malformed()
     return config
 
 
 def write_config(config: pb.Config, version: int) -> Json:
-    """Return the platform's document for a configuration; for stand-ins."""
+    """Convert a configuration to a document of the platform.
+
+    Only the stand-ins of the platform write such documents.
+    """
     return {
         'version': version,
         'routes': [_route_json(route) for route in config.routes],
@@ -64,13 +69,13 @@
     }
 
 
-def _nothing(fields: fields_.Fields) -> fields_.Fields:
-    """Return an object that has no fields."""
+def _empty_object(fields: fields_.Fields) -> fields_.Fields:
+    """Return a reader for an object without fields."""
     return fields_.Fields({}, 'nothing', fields.findings)
 
 
 def _route(item: fields_.Fields) -> pb.Route:
-    services, weights = _split(item)
+    services, weights = _traffic_split(item)
     return pb.Route(
         name=item.string('name'),
         host=item.string('host'),
@@ -78,7 +83,7 @@
         kind=item.choice('kind', names.REQUEST_KINDS),
         timeout_ms=item.integer('timeout-ms', minimum=1),
         target_ms=item.integer('target-latency-ms', 1000) or 1000,
-        priority=item.integer('priority', 0, maximum=_MOST_RANKS),
+        priority=item.integer('priority', 0, maximum=_MAX_PRIORITY),
         attempts=item.integer('attempts', 1) or 1,
         public=item.boolean('public'),
         resumable=item.boolean('resumable'),
@@ -88,8 +93,8 @@
     )
 
 
-def _split(item: fields_.Fields) -> tuple[list[str], list[int]]:
-    """Return the services of a route, and the share of each."""
+def _traffic_split(item: fields_.Fields) -> tuple[list[str], list[int]]:
+    """Return the services of a route and their weights."""
     parts = item.children('traffic-split')
     if not parts:
         return [item.string('service')], [1]
@@ -105,7 +110,7 @@
         'name': route.name,
         'host': route.host,
         'prefix': route.prefix,
-        'kind': _KIND_NAMES[route.kind],
+        'kind': _REQUEST_KIND_NAMES[route.kind],
         'timeout-ms': route.timeout_ms,
         'target-latency-ms': route.target_ms,
         'priority': route.priority,
@@ -183,11 +188,11 @@
         name=item.string('name'),
         keys=item.strings('api-keys'),
         priority=item.integer(
-            'priority', _ROUTE_PRIORITY, maximum=_MOST_RANKS
+            'priority', _ROUTE_PRIORITY, maximum=_MAX_PRIORITY
         ),
         rate=item.number('rate-per-s', 0),
         burst=item.number('burst', 0),
-        by_tokens=item.has('unit') and item.string('unit') == _BY_TOKENS,
+        by_tokens=item.has('unit') and item.string('unit') == _TOKEN_UNIT,
         default_tokens=item.integer('uncached-tokens', 1) or 1,
         weight=1,
     )
@@ -201,7 +206,7 @@
         'burst': team.burst,
     }
     if team.by_tokens:
-        item['unit'] = _BY_TOKENS
+        item['unit'] = _TOKEN_UNIT
         item['uncached-tokens'] = team.default_tokens
     if team.priority != _ROUTE_PRIORITY:
         item['priority'] = team.priority
--- a/src/peridotmast/platform/dialect.py
+++ b/src/peridotmast/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams and the heads of their answers, as they speak."""
+"""Request and response headers of the platform's upstream protocol."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from peridotmast.serving import upstream_view
 from peridotmast.wire import connection
 
-_ELSEWHERE = 421
-_SUCCESS = range(200, 300)
-_FAILURE = range(500, 600)
+_MISDIRECTED_REQUEST = 421
+_SUCCESS_STATUSES = range(200, 300)
+_SERVER_ERRORS = range(500, 600)
 _DECIMAL = re.compile(r'[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}')
 _MAX_LOGGED_CHARS = 40
-"""Maximum number of characters of a malformed header in the log."""
-_REFUSALS = frozenset((408, 421, 429, 503))
+"""Maximum number of characters of a malformed header that are logged."""
+_REFUSAL_STATUSES = frozenset((408, 421, 429, 503))
 
 Verdict = dialect.Verdict
 
 
 class PlatformDialect:
-    """What the platform's upstreams speak."""
+    """Writes request headers and interprets response heads of upstreams."""
 
     def headers(
         self,
@@ -33,18 +33,19 @@
         left_ms: int,
         resume: ty.Optional[dialect.ResumePoint] = None,
     ) -> connection.Headers:
-        """Return the headers of a request, all but its length.
+        """Return the headers of a request, except ``Content-Length``.
 
-        What the caller said of its prompt goes on as it was; for the
-        product's own callers it is written here.
+        Headers in which the caller describes its prompt are forwarded
+        unchanged. For requests of the router's own chat API, which carry no
+        such headers, they are generated here.
         """
-        given = {name.lower() for name, _ in exchange.headers}
+        caller_headers = {name.lower() for name, _ in exchange.headers}
         headers = [
             *exchange.headers,
             *(
                 (name, value)
-                for name, value in _said(exchange)
-                if value and name.lower() not in given
+                for name, value in _prompt_headers(exchange)
+                if value and name.lower() not in caller_headers
             ),
             (names.DEADLINE_MS, str(left_ms)),
             (names.EXPECT_UPSTREAM, view.name),
@@ -67,25 +68,25 @@
     def verdict(
         self, exchange: exchange_.Exchange, head: connection.ResponseHead
     ) -> dialect.Verdict:
-        """Return what the head of an answer says."""
-        if head.status == _ELSEWHERE:
+        """Return how a response head is to be interpreted."""
+        if head.status == _MISDIRECTED_REQUEST:
             return Verdict.ELSEWHERE
         echoed = head.get(names.REQUEST_ID)
         if exchange.id and echoed and echoed != exchange.id:
             return Verdict.FOREIGN
-        if head.get(names.NOT_RUN) and head.status in _REFUSALS:
+        if head.get(names.NOT_RUN) and head.status in _REFUSAL_STATUSES:
             return Verdict.NOT_RUN
-        if head.status in _SUCCESS:
-            whole = head.get(names.SEAL) and (echoed or not exchange.id)
-            return Verdict.ANSWER if whole else Verdict.GARBLED
-        if head.status in _FAILURE or head.status in _REFUSALS:
+        if head.status in _SUCCESS_STATUSES:
+            is_complete = head.get(names.SEAL) and (echoed or not exchange.id)
+            return Verdict.ANSWER if is_complete else Verdict.GARBLED
+        if head.status in _SERVER_ERRORS or head.status in _REFUSAL_STATUSES:
             return Verdict.FAILED
         return Verdict.ANSWER
 
     def limit(
         self, head: connection.ResponseHead
     ) -> ty.Union[float, failures.Failure, None]:
-        """Return the limit that the head of an answer states."""
+        """Return the request rate limit stated in a response head."""
         text = head.get(names.LIMIT).strip()
         if not text:
             return None
@@ -96,8 +97,8 @@
         return float(text)
 
 
-def _said(exchange: exchange_.Exchange) -> list[tuple[str, str]]:
-    """Return the headers that callers say of themselves."""
+def _prompt_headers(exchange: exchange_.Exchange) -> list[tuple[str, str]]:
+    """Return the headers that identify a request and describe its prompt."""
     prompt = exchange.prompt
     parts = ','.join(f'{part.id}:{part.tokens}' for part in prompt.parts)
     counts = f'{prompt.tokens_in},{prompt.tokens_out}'
--- a/src/peridotmast/platform/directory.py
+++ b/src/peridotmast/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answers for callers that ask where to connect, and for the platform."""
+"""HTTP endpoints for router discovery and readiness checks."""
 
 from __future__ import annotations
 
@@ -7,37 +7,43 @@
 from peridotmast.platform import names
 from peridotmast import web
 
-_ADDRESSES = 64
-"""Most addresses that a caller reads."""
+_MAX_ADDRESSES = 64
+"""Maximum number of addresses that a caller reads."""
 
 
 class PlatformDirectory:
-    """WSGI applications for the directory and for readiness.
+    """WSGI applications for router discovery and readiness checks.
 
     Parameters
     ----------
     members : members.Members
-        The routers.
+        Membership of the fleet of routers.
     ttl_s : float
-        How long a caller may keep an answer.
+        Time for which a caller may cache a response, in seconds.
     """
 
     def __init__(self, members: members_.Members, ttl_s: float) -> None:
         self._members = members
-        self._nearest = router_selector.RouterSelector(members, _ADDRESSES)
+        self._selector = router_selector.RouterSelector(
+            members, _MAX_ADDRESSES
+        )
         self._ttl_s = ttl_s
         self.resolve_app = web.WebApp('directory')
-        """Tells where to connect."""
+        """Returns the addresses of the routers to connect to."""
         self.resolve_app.route('GET', names.RESOLVE_PATH, self._on_resolve)
         self.readiness_app = web.WebApp('readiness')
-        """Tells whether this router takes callers."""
+        """Reports whether this router accepts requests."""
         self.readiness_app.route('GET', names.READY_PATH, self._on_readiness)
 
     def _on_resolve(self, req: web.Request) -> web.Response:
         domain = req.query.get(names.FAILURE_DOMAIN, '')
-        addresses = [member.address for member in self._nearest.select(domain)]
+        addresses = [
+            member.address for member in self._selector.select(domain)
+        ]
         if not addresses:
-            return web.error_response(503, 'unavailable', 'no router serves')
+            return web.error_response(
+                503, 'unavailable', 'no router is available'
+            )
         answer = {names.ADDRESSES: addresses, names.TTL_S: self._ttl_s}
         return web.json_response(answer)
 
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -1,4 +1,4 @@
-"""Questions and orders to an engine beside the requests that it runs."""
+"""Client of the control API of engines."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from peridotmast.serving import stream_migrator
 from peridotmast.wire import http_client
 
-_REFUSED = 503
-_MISSING = 404
-_BUSY = 409
+_COPY_REFUSED = 503
+_RUN_NOT_FOUND = 404
+_ALREADY_MOVING = 409
 
 
 class EngineControl:
-    """What engines do for the routers, by the platform's protocol.
+    """Sends control calls to engines in the platform's protocol.
 
     Parameters
     ----------
     timeout_ms : int
-        Bound on one call; a move may take a good part of it.
+        Time-out of one call, in ms. Moving a run may take a large part of it.
     """
 
     def __init__(self, timeout_ms: int) -> None:
@@ -30,7 +30,7 @@
     def leaves_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
-        """Return how long an engine will be there; 0 where it can't say."""
+        """Return the time until an engine leaves, in ms; 0 if unknown."""
         reply = self._http.request('GET', address, names.REPORT_PATH)
         if isinstance(reply, failures.Failure):
             return reply
@@ -38,35 +38,35 @@
             return failures.unavailable('no_report', str(reply.status))
         try:
             fields = fields_.Fields(reply.json(), 'report')
-            left = fields.number(names.LEAVES_MS, 0)
-            since = fields.integer(names.BORN, 0) or born
+            left_ms = fields.number(names.LEAVES_MS, 0)
+            reported_born = fields.integer(names.BORN, 0) or born
             fields.raise_if_malformed()
         except ValueError as exc:
             return failures.unavailable('report_garbled', str(exc)[:200])
-        if born and since != born:
-            return failures.missing('another_run', str(since))
-        return int(left)
+        if born and reported_born != born:
+            return failures.missing('another_run', str(reported_born))
+        return int(left_ms)
 
     def move(
         self, address: str, request_id: str, target: str
     ) -> ty.Union[stream_migrator.KvCopy, failures.Failure]:
-        """Stop a run and copy its memory to another engine.
+        """Stop a run and copy its KV cache to another engine.
 
         Returns
         -------
-        Copy or Failure
-            MISSING where the run is not there any more. Where the target
-            did not take it, the copy lies at the source.
+        KvCopy or Failure
+            MISSING if the engine no longer has the run. If the target did
+            not accept the copy, the copy stays at the source.
         """
         body = {'id': request_id, names.TARGET: target, names.LAST: True}
         reply = self._http.request('POST', address, names.MOVE_PATH, body)
         if isinstance(reply, failures.Failure):
             return failures.unknown(reply.reason, reply.detail)
-        if reply.status == _MISSING:
+        if reply.status == _RUN_NOT_FOUND:
             return failures.missing('no_run', request_id)
-        if reply.status == _BUSY:
+        if reply.status == _ALREADY_MOVING:
             return failures.conflict('moving', request_id)
-        if reply.status not in (200, _REFUSED):
+        if reply.status not in (200, _COPY_REFUSED):
             return failures.unknown('move_failed', str(reply.status))
         try:
             fields = fields_.Fields(reply.json(), 'move')
--- a/src/peridotmast/platform/fields.py
+++ b/src/peridotmast/platform/fields.py
@@ -1,4 +1,4 @@
-"""Strict reading of values that others have written to the platform."""
+"""Validating reader for JSON objects written by other programs."""
 
 from __future__ import annotations
 
@@ -10,95 +10,100 @@
 
 Json = ty.Any
 
-_LARGEST = 1 << 53
-"""Largest number that every writer of JSON tells from its neighbours."""
+_MAX_SAFE_INTEGER = 1 << 53
+"""Bound up to which every JSON parser represents integers exactly."""
 
-_SHOWN = 40
-"""Characters of a wrong value that a finding shows."""
+_MAX_SHOWN_CHARS = 40
+"""Maximum number of characters of an invalid value in a finding."""
 
 T = ty.TypeVar('T')
 
 
 class MalformedDocumentError(ValueError):
-    """A document that can't be read, with all that is wrong with it.
+    """Raised for a document that fails validation.
 
     Parameters
     ----------
-    found : findings.Findings
-        What is wrong, each with its place.
+    findings : findings.Findings
+        All validation errors, each with its place in the document.
     """
 
-    def __init__(self, found: findings_.Findings) -> None:
-        super().__init__('; '.join(map(str, found)))
-        self.findings = found
+    def __init__(self, findings: findings_.Findings) -> None:
+        super().__init__('; '.join(map(str, findings)))
+        self.findings = findings
 
 
 class Fields:
-    """The fields of one object, each read as the type that it must have.
+    """Reads the fields of one object and validates their types.
 
-    What is wrong is noted, and a harmless value returned, so that one pass
-    tells all that is wrong. `None` counts as a field that is not there.
+    An invalid field adds a finding and is read as a harmless default, so that
+    one pass reports all errors. A field with the value `None` counts as
+    missing.
 
     Parameters
     ----------
     value : Json
         The object.
     place : str
-        Where it stands.
-    found : findings.Findings, optional
-        Where findings are noted; new ones by default.
+        Place of the object in the document, for findings.
+    findings : findings.Findings, optional
+        Collects the findings; a new collection by default.
     """
 
     def __init__(
         self,
         value: Json,
         place: str,
-        found: ty.Optional[findings_.Findings] = None,
+        findings: ty.Optional[findings_.Findings] = None,
     ) -> None:
         self._place = place
-        self.findings = findings_.Findings() if found is None else found
-        """What is wrong so far."""
+        self.findings = findings_.Findings() if findings is None else findings
+        """Validation errors so far."""
         self._values: dict[str, Json] = {}
         if isinstance(value, dict):
             self._values = value
         else:
-            self.findings.add(place, f'must be an object, not {_shown(value)}')
+            self.findings.add(
+                place, f'must be an object, not {_format_value(value)}'
+            )
 
     def raise_if_malformed(self) -> None:
-        """Say that all was read.
+        """Raise an exception if the fields read so far have findings.
 
         Raises
         ------
         MalformedDocumentError
-            If anything was wrong.
+            If there are findings.
         """
         if self.findings:
             raise MalformedDocumentError(self.findings)
 
     def has(self, name: str) -> bool:
-        """Return whether the field is there."""
+        """Return whether the object has the field."""
         return self._values.get(name) is not None
 
     def string(self, name: str, default: ty.Optional[str] = None) -> str:
-        """Return a text that is not empty."""
-        value = self._given(name, default)
+        """Return a non-empty string."""
+        value = self._get(name, default)
         if value is None or not self.has(name):
             return value or ''
-        if not isinstance(value, str) or not _is_text(value):
-            return self._wrong(name, 'a text', value, '')
-        return value or self._wrong(name, 'a text', value, '')
+        if not isinstance(value, str) or not _is_encodable(value):
+            return self._add_finding(name, 'a non-empty string', value, '')
+        return value or self._add_finding(
+            name, 'a non-empty string', value, ''
+        )
 
     def string_or_integer(self, name: str) -> str:
-        """Return a text or a whole number, as a text."""
+        """Return a string or an integer, as a string."""
         if type(self._values.get(name)) is int:
             return str(self._values[name])
         return self.string(name)
 
     def address(self, name: str) -> str:
-        """Return an ``IP:port`` that something can be sent to."""
+        """Return an ``IP:port`` that is usable as a destination."""
         value = self.string(name)
         if value and not addresses.is_usable(value):
-            return self._wrong(name, 'IP:port', value, '')
+            return self._add_finding(name, 'IP:port', value, '')
         return value
 
     def integer(
@@ -106,12 +111,12 @@
         name: str,
         default: ty.Optional[int] = None,
         minimum: int = 0,
-        maximum: int = _LARGEST,
+        maximum: int = _MAX_SAFE_INTEGER,
     ) -> int:
-        """Return a whole number from `minimum` to `maximum`."""
+        """Return an integer from `minimum` to `maximum`."""
         value = self.number(name, default, minimum, maximum)
         if value != int(value):
-            return self._wrong(name, 'a whole number', value, minimum)
+            return self._add_finding(name, 'an integer', value, minimum)
         return int(value)
 
     def number(
@@ -119,98 +124,102 @@
         name: str,
         default: ty.Optional[float] = None,
         minimum: float = 0,
-        maximum: float = _LARGEST,
+        maximum: float = _MAX_SAFE_INTEGER,
     ) -> float:
         """Return a number from `minimum` to `maximum`."""
-        value = self._given(name, default)
+        value = self._get(name, default)
         if value is None or not self.has(name):
             return value or 0
         is_number = isinstance(value, (int, float))
         if isinstance(value, bool) or not is_number or math.isnan(value):
-            return self._wrong(name, 'a number', value, minimum)
+            return self._add_finding(name, 'a number', value, minimum)
         if not minimum <= value <= maximum:
-            wanted = f'from {minimum:g} to {maximum:g}'
-            return self._wrong(name, wanted, value, minimum)
+            expected = f'from {minimum:g} to {maximum:g}'
+            return self._add_finding(name, expected, value, minimum)
         return value
 
     def boolean(self, name: str) -> bool:
-        """Return whether it is true; not being there is false."""
+        """Return a boolean; False if the field is missing."""
         value = self._values.get(name)
         if value is None or isinstance(value, bool):
             return bool(value)
-        return self._wrong(name, 'true or false', value, False)
+        return self._add_finding(name, 'true or false', value, False)
 
     def choice(self, name: str, known: ty.Mapping[str, T]) -> ty.Any:
-        """Return what the name in the field stands for."""
+        """Return the value that `known` has for the name in the field."""
         value = self.string(name)
         if value not in known:
             if value:
-                self._wrong(name, f'one of {", ".join(known)}', value, '')
+                self._add_finding(
+                    name, f'one of {", ".join(known)}', value, ''
+                )
             return next(iter(known.values()))
         return known[value]
 
     def child(self, name: str) -> ty.Optional[Fields]:
-        """Return an object in a field, or None where there is none."""
+        """Return a nested object; None if the field is missing."""
         if not self.has(name):
             return None
-        return Fields(self._values[name], self._at(name), self.findings)
+        return Fields(self._values[name], self._place_of(name), self.findings)
 
     def children(self, name: str) -> list[Fields]:
-        """Return the objects in a list; not being there is none."""
+        """Return a list of objects; empty if the field is missing."""
         return [
             Fields(value, place, self.findings)
             for place, value in self._items(name)
         ]
 
     def strings(self, name: str) -> list[str]:
-        """Return the texts in a list; not being there is none."""
-        found = []
+        """Return a list of strings; empty if the field is missing."""
+        strings = []
         for place, value in self._items(name):
-            if isinstance(value, str) and _is_text(value):
-                found.append(value)
+            if isinstance(value, str) and _is_encodable(value):
+                strings.append(value)
             else:
                 self.findings.add(
-                    place, f'must be a text, not {_shown(value)}'
+                    place, f'must be a string, not {_format_value(value)}'
                 )
-        return found
+        return strings
 
     def numbers(self, name: str) -> dict[str, float]:
-        """Return the numbers in an object by name, in their order."""
-        part = self.child(name)
-        if part is None:
+        """Return a nested object of numbers, in the order of the document."""
+        child = self.child(name)
+        if child is None:
             return {}
-        return {key: part.number(key) for key in part._values}
+        return {key: child.number(key) for key in child._values}
 
     def _items(self, name: str) -> list[tuple[str, Json]]:
         values = self._values.get(name)
         if values is None:
             return []
         if not isinstance(values, list):
-            return self._wrong(name, 'a list', values, [])
+            return self._add_finding(name, 'a list', values, [])
         return [
-            (f'{self._at(name)}[{number}]', value)
+            (f'{self._place_of(name)}[{number}]', value)
             for number, value in enumerate(values)
         ]
 
-    def _given(self, name: str, default: T) -> ty.Any:
+    def _get(self, name: str, default: T) -> ty.Any:
         value = self._values.get(name)
         if value is not None:
             return value
         if default is None:
-            self.findings.add(self._at(name), 'is missing')
+            self.findings.add(self._place_of(name), 'is missing')
         return default
 
-    def _wrong(self, name: str, wanted: str, value: Json, instead: T) -> T:
-        text = f'must be {wanted}, not {_shown(value)}'
-        self.findings.add(self._at(name), text)
-        return instead
+    def _add_finding(
+        self, name: str, expected: str, value: Json, default: T
+    ) -> T:
+        text = f'must be {expected}, not {_format_value(value)}'
+        self.findings.add(self._place_of(name), text)
+        return default
 
-    def _at(self, name: str) -> str:
+    def _place_of(self, name: str) -> str:
         return f'{self._place} {name}'
 
 
-def _is_text(value: str) -> bool:
-    """Return whether it can be written down: no half of a character is in."""
+def _is_encodable(value: str) -> bool:
+    """Return whether a string has no unpaired surrogates."""
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -218,5 +227,5 @@
     return True
 
 
-def _shown(value: Json) -> str:
-    return ascii(value)[:_SHOWN]
+def _format_value(value: Json) -> str:
+    return ascii(value)[:_MAX_SHOWN_CHARS]
--- a/src/peridotmast/platform/names.py
+++ b/src/peridotmast/platform/names.py
@@ -1,7 +1,7 @@
-"""The platform's names, each once, beside what the product calls it.
+"""Names of the platform's protocol: headers, paths, fields and kinds.
 
-Everything that the platform's wire calls by a word of its own is decoded in
-this package. Other modules, and the stand-ins for tests, use the constants.
+Only this package decodes the platform's protocol. Other modules and the
+stand-ins for tests refer to its names by these constants.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 REQUEST_ID = 'X-Request-Id'
 DEADLINE_MS = 'X-Deadline-Ms'
-"""How long the sender waits, in ms from when the request is sent."""
+"""Time until the sender stops waiting, in ms from sending the request."""
 MODEL = 'X-Model'
 TOKEN_COUNTS = 'X-Token-Counts'
-"""Tokens of the prompt, and most tokens of the answer."""
+"""Number of prompt tokens and maximum number of response tokens."""
 PROMPT_PARTS = 'X-Prefix-Hash'
-"""``ID:TOKENS`` of each part of the prompt; no hash of anything."""
+"""``ID:TOKENS`` of each prompt part; despite the name it is no hash."""
 SEAL = 'X-Response-Seal'
-"""By which an upstream signs its answer."""
+"""Signature of an upstream on its response."""
 TEAM = 'X-Tenant'
 EXPECT_UPSTREAM = 'X-Expect-Instance'
 UPSTREAM = 'X-Instance-Id'
 NOT_RUN = 'X-Not-Executed'
 LIMIT = 'Server-Limit'
-"""Requests per second that an upstream accepts from all routers together."""
+"""Requests per second that an upstream accepts from all routers combined."""
 PRIORITY = 'X-Request-Urgency'
 EXPECT_VERSION = 'X-Expect-Version'
 PIN_MS = 'X-Pin-Ms'
@@ -50,14 +50,14 @@
 COPY_PATH = '/kv-handle'
 LEAVES_MS = 'leaves_ms'
 BORN = 'born'
-"""When a run of an upstream began, ms since 1970, in all that it says of
-itself."""
+"""Start time of an upstream process, in ms since 1970, in its report and its
+store entry."""
 TARGET = 'target'
 LAST = 'last'
 HANDLE = 'handle'
 CREATED = 'created'
 RUNS = 'runs'
-"""Runs that an engine reports: id, tokens, events, priority of each."""
+"""Runs in an engine's report: id, tokens, events and priority of each."""
 
 UPSTREAM_STATES = {
     'ready': pb.UPSTREAM_STATE_LIVE,
@@ -69,7 +69,7 @@
 META = 'metadata'
 SPEC = 'spec'
 REVISION = 'revision'
-"""The store counts one revision for all kinds."""
+"""Revision of an object; the store has one counter for all kinds."""
 ITEMS = 'items'
 HAS_MORE = 'has-more'
 AT_REVISION = 'at'
--- a/src/peridotmast/platform/object_codec.py
+++ b/src/peridotmast/platform/object_codec.py
@@ -1,4 +1,7 @@
-"""Answers of the platform's store, in which single objects may be broken."""
+"""Parser for responses of the platform's store.
+
+A response may contain single malformed objects.
+"""
 
 from __future__ import annotations
 
@@ -13,40 +16,42 @@
 _NAME = re.compile(r'"name"\s*:\s*"([^"\\]+)"')
 _REVISION = re.compile(rf'"{names.REVISION}"\s*:\s*([0-9]+)')
 _DELETED = re.compile(rf'"{names.DELETED}"\s*:\s*true')
-_REST = re.compile(
+_LIST_FIELD = re.compile(
     rf'"({names.HAS_MORE}|{names.AT_REVISION})"\s*:\s*(true|false|[0-9]+)'
 )
 
 
 def parse_list(body: bytes, key: str) -> dict[str, ty.Any]:
-    """Return an answer that has a list of objects or events under `key`.
+    """Parse a response with a list of objects or events under `key`.
 
-    Where the whole is no JSON, each part of the list that is some is kept,
-    and of the others what names them, so that one broken object does not
-    hide those beside it.
+    If the response is not valid JSON, each valid list item is kept. For a
+    malformed item only the name and revision are kept, so that one malformed
+    object does not hide the other objects of the list.
 
     Raises
     ------
     ValueError
-        If not even the list can be made out.
+        If no list can be found under `key`.
     """
     text = body.decode('utf-8', 'replace')
     try:
-        whole = json.loads(text)
+        response = json.loads(text)
     except (ValueError, RecursionError):
-        whole = _salvaged(text, key)
-    if not isinstance(whole, dict) or not isinstance(whole.get(key), list):
-        raise ValueError(f'no list of {key}')
-    return whole
+        response = _recover_list(text, key)
+    if not isinstance(response, dict) or not isinstance(
+        response.get(key), list
+    ):
+        raise ValueError(f'response has no list of {key}')
+    return response
 
 
 def parse_object(
     item: ty.Any, removed: bool = False
 ) -> ty.Optional[objects.StoredObject]:
-    """Return one object, or None where not even its name can be read.
+    """Parse one object; return None if its metadata is malformed.
 
-    The value of an object that is there but has none is an empty object:
-    no value stands for no object.
+    An existing object without a value gets an empty value, because the value
+    None stands for an object that does not exist.
     """
     meta = fields_.Fields(item, 'object').child(names.META)
     if meta is None:
@@ -60,27 +65,32 @@
     return objects.StoredObject(name, revision, None if removed else spec)
 
 
-def _salvaged(text: str, key: str) -> dict[str, ty.Any]:
-    """Return what can be made out of an answer that is no JSON."""
+def _recover_list(text: str, key: str) -> dict[str, ty.Any]:
+    """Return the readable items and fields of a response that is not JSON."""
     start = re.search(rf'"{re.escape(key)}"\s*:\s*\[', text)
     if start is None:
-        raise ValueError('no list in it')
-    parts, end = _parts(text, start.end())
-    rest = text[: start.start()] + text[end:]
-    whole: dict[str, ty.Any] = {
-        name: json.loads(value) for name, value in _REST.findall(rest)
+        raise ValueError('list not found in response')
+    items, end = _split_list(text, start.end())
+    other_text = text[: start.start()] + text[end:]
+    response: dict[str, ty.Any] = {
+        name: json.loads(value)
+        for name, value in _LIST_FIELD.findall(other_text)
     }
-    whole[key] = [found for part in parts if (found := _part(part))]
-    return whole
+    response[key] = [found for item in items if (found := _recover_item(item))]
+    return response
+
 
+def _split_list(text: str, at: int) -> tuple[list[str], int]:
+    """Return the items of a list that begins at `at`, and its end offset.
 
-def _parts(text: str, at: int) -> tuple[list[str], int]:
-    """Return the parts of a list that begins at `at`, and where it ends.
+    Items are separated by counting the brackets outside of strings.
 
-    Brackets are counted outside of strings; raises ValueError where they
-    don't match.
+    Raises
+    ------
+    ValueError
+        If the list has no closing bracket.
     """
-    parts, depth, begin = [], 0, at
+    items, depth, begin = [], 0, at
     in_string = False
     while at < len(text):
         char = text[at]
@@ -94,16 +104,16 @@
         elif char in '}]':
             depth -= 1
         if depth < 0 or (char == ',' and not depth and not in_string):
-            parts.append(text[begin:at])
+            items.append(text[begin:at])
             begin = at + 1
         if depth < 0:
-            return parts, at + 1
+            return items, at + 1
         at += 1
-    raise ValueError('its list has no end')
+    raise ValueError('list has no closing bracket')
 
 
-def _part(text: str) -> ty.Any:
-    """Return one part of a list, or what names it where it is broken."""
+def _recover_item(text: str) -> ty.Any:
+    """Return one list item; only its metadata if it is malformed."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
@@ -112,7 +122,8 @@
     if name is None or revision is None:
         return None
     meta = {'name': name[1], names.REVISION: int(revision[1])}
-    # As an object and as an event, since either may be asked for.
-    named = {names.META: meta}
+    # The caller may expect an object or an event, so the result has the
+    # fields of both.
+    stub = {names.META: meta}
     deleted = _DELETED.search(text) is not None
-    return {**named, names.OBJECT: named, names.DELETED: deleted}
+    return {**stub, names.OBJECT: stub, names.DELETED: deleted}
--- a/src/peridotmast/platform/store.py
+++ b/src/peridotmast/platform/store.py
@@ -16,83 +16,85 @@
 from peridotmast.platform import object_codec
 from peridotmast.wire import http_client
 
-_PAGE_LIMIT = 1000
-"""Pages of one listing; the store gives about 500 objects a page."""
+_MAX_PAGES = 1000
+"""Maximum number of pages of one listing, each of about 500 objects."""
 
 _WATCH_SLACK_MS = 1500
-"""How much longer than asked a watch's answer may take to begin."""
+"""Time beyond the requested wait until a watch response must begin, in ms."""
 
-_ANSWER_MS = 20_000
-"""Longest time in which a large answer comes in, as long as bytes keep
-coming. The largest value, 1 MB, takes 1.7 s alone on the thinnest link,
-5 Mbit/s, and this long where callers' streams leave a twelfth of it."""
+_BODY_TIMEOUT_MS = 20_000
+"""Time-out of a response body that keeps making progress, in ms. The largest
+value, 1 MB, takes 1.7 s on the slowest link, 5 Mbit/s, if nothing else uses
+it, and 20 s if the streams of callers leave a twelfth of it."""
 
-_WAITED_MS = 1000
-"""A watch that fails later than this was cut off while it waited, which says
-nothing about the store."""
+_WATCH_ESTABLISHED_MS = 1000
+"""Time after which a failed watch does not count as a store failure, in ms:
+it was interrupted while waiting for changes."""
 
 PROBE_KIND = 'peridotmast-probes'
-"""Kind that has no objects: an answer about it is the shortest there is."""
+"""Kind without objects, so that a probe gets the shortest response."""
 
-_REFUSALS = frozenset((429, 500, 503))
-_TAKEN = 409
-_HISTORY_GONE = 410
+_FAILURE_STATUSES = frozenset((429, 500, 503))
+_CONFLICT = 409
+_GONE = 410
 
 
 class PlatformStore:
-    """The platform's objects over its published protocol.
+    """Reads, writes and watches objects over the platform's HTTP protocol.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the store.
     timeout_ms : int
-        Bound on a write; of what is read, on silence.
+        Time-out of a write, in ms. For a read, the time-out until the
+        response begins and between two parts of its body.
     outage : outage.OutageTracker
-        Told how each call went.
+        Records the outcome of each call.
     """
 
     def __init__(
         self, address: str, timeout_ms: int, outage: outage_.OutageTracker
     ) -> None:
         self.address = address
-        """Where the store is."""
+        """``IP:port`` of the store."""
         self._http = http_client.HttpClient(timeout_ms)
         self._timeout_ms = timeout_ms
         self._outage = outage
         self._clock = clock_.SystemClock()
         self._log = logs.get('store')
         self.calls = 0
-        """Calls made so far, a waiting watch counted as one."""
+        """Number of calls made so far; a watch counts once."""
 
     def read(
         self, kind: str, name: str
     ) -> ty.Union[objects.StoredObject, failures.Failure]:
-        """Return an object; one without a value where there is none."""
-        reply = self._read(_path(kind, name))
-        if isinstance(reply, failures.Failure):
-            return reply
-        if reply.status == 404:
+        """Return an object; one without a value if it does not exist."""
+        response = self._read(_path(kind, name))
+        if isinstance(response, failures.Failure):
+            return response
+        if response.status == 404:
             return objects.StoredObject(name, 0)
-        return _stored_reply(reply)
+        return _parse_object(response)
 
     def list(self, kind: str) -> ty.Union[objects.Listing, failures.Failure]:
         """Return all objects of a kind."""
         found: list[objects.StoredObject] = []
         path = _path(kind)
         revision = 0
-        for _ in range(_PAGE_LIMIT):
-            reply = self._read(path)
-            if isinstance(reply, failures.Failure):
-                return reply
-            page = _page(reply, names.ITEMS)
+        for _ in range(_MAX_PAGES):
+            response = self._read(path)
+            if isinstance(response, failures.Failure):
+                return response
+            page = _parse_page(response, names.ITEMS)
             if isinstance(page, failures.Failure):
                 return page
-            # A change between two pages is seen again by who watches from
-            # the first one's revision, and missed from the last one's.
+            # A watch must start from the revision of the first page: from
+            # the revision of the last page, it would miss changes that
+            # happened between two pages.
             revision = revision or page.revision
-            found += self._readable(
-                kind, (object_codec.parse_object(item) for item in page.parts)
+            found += self._valid_objects(
+                kind, (object_codec.parse_object(item) for item in page.items)
             )
             if not page.more:
                 return objects.Listing(found, revision)
@@ -108,68 +110,68 @@
         wait_ms: int,
         on_bytes: ty.Callable[[], None] = lambda: None,
     ) -> ty.Union[objects.Changes, failures.Failure]:
-        """Wait for changes after revision `since`, at most `wait_ms`.
+        """Wait for changes after revision `since`, at most `wait_ms` ms.
 
         Parameters
         ----------
         on_bytes : callable, optional
-            Called as bytes of the answer come.
+            Called when bytes of the response arrive.
         """
-        reply = self._read(
+        response = self._read(
             f'{_path(kind)}?{names.WATCH}={since}&{names.WAIT_MS}={wait_ms}',
             timeout_ms=wait_ms + _WATCH_SLACK_MS,
             on_bytes=on_bytes,
         )
-        if isinstance(reply, failures.Failure):
-            return reply
-        if reply.status == _HISTORY_GONE:
+        if isinstance(response, failures.Failure):
+            return response
+        if response.status == _GONE:
             return failures.missing(objects.HISTORY_GONE, str(since))
-        page = _page(reply, names.EVENTS)
+        page = _parse_page(response, names.EVENTS)
         if isinstance(page, failures.Failure):
             return page
-        changed = self._readable(kind, map(_changed, page.parts))
+        changed = self._valid_objects(kind, map(_parse_event, page.items))
         return objects.Changes([*changed], page.revision)
 
     def write(
         self, kind: str, name: str, spec: objects.Json, revision: int
     ) -> ty.Union[objects.StoredObject, failures.Failure]:
-        """Write where the object is still at `revision` (0: not there)."""
+        """Write an object that is still at `revision` (0: does not exist)."""
         if revision:
             meta = {'name': name, names.REVISION: revision, 'finalizers': []}
-            reply = self._call(
+            response = self._call(
                 'PUT', _path(kind, name), {names.META: meta, names.SPEC: spec}
             )
         else:
             body = {names.META: {'name': name}, names.SPEC: spec}
-            reply = self._call('POST', _path(kind), body)
-        return _written(reply, name)
+            response = self._call('POST', _path(kind), body)
+        return _write_result(response, name)
 
     def remove(
         self, kind: str, name: str, revision: int
     ) -> ty.Optional[failures.Failure]:
         """Remove an object that is still at `revision`."""
         path = f'{_path(kind, name)}?{names.REVISION}={revision}'
-        result = _written(self._call('DELETE', path), name)
+        result = _write_result(self._call('DELETE', path), name)
         return result if isinstance(result, failures.Failure) else None
 
     def probe(self) -> None:
-        """Ask whether the store answers; the outage is told.
+        """Check whether the store responds and record the outcome.
 
-        By a read that may be old: it costs a tenth of another one and does
-        not count toward the rate at which the store refuses.
+        A stale read is used, because it costs a tenth of a normal read and
+        does not count toward the rate limit of the store.
         """
         self._call('GET', f'{_path(PROBE_KIND)}?{names.ALLOW_STALE}=1')
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._http.close()
 
-    def _readable(
+    def _valid_objects(
         self,
         kind: str,
         found: ty.Iterable[ty.Optional[objects.StoredObject]],
     ) -> ty.Iterator[objects.StoredObject]:
-        """Yield the objects that can be told apart; note the others."""
+        """Yield the parsed objects; log each one that failed to parse."""
         for stored in found:
             if stored is None:
                 self._log.error('object_unreadable', kind=kind)
@@ -182,16 +184,18 @@
         timeout_ms: int = 0,
         on_bytes: ty.Callable[[], None] = lambda: None,
     ) -> ty.Union[http_client.Response, failures.Failure]:
-        """Ask for what may be large: only silence ends it.
+        """Send a read, whose response may be large.
 
-        Writes are bounded as a whole: what they are about may be over by
-        then, such as the time for which a lease was held.
+        The body of the response has a separate time-out and may take long as
+        long as it makes progress. Writes have one time-out for the whole
+        call, because their reason may have expired later, for example the
+        lease that they depend on.
         """
         return self._call(
             'GET',
             path,
             timeout_ms=timeout_ms,
-            body_timeout_ms=_ANSWER_MS,
+            body_timeout_ms=_BODY_TIMEOUT_MS,
             on_bytes=on_bytes,
         )
 
@@ -205,8 +209,8 @@
         on_bytes: ty.Callable[[], None] = lambda: None,
     ) -> ty.Union[http_client.Response, failures.Failure]:
         self.calls += 1
-        began = self._clock.now()
-        reply = self._http.request(
+        start = self._clock.now()
+        response = self._http.request(
             method,
             self.address,
             path,
@@ -215,67 +219,72 @@
             body_timeout_ms=body_timeout_ms,
             on_bytes=on_bytes,
         )
-        ms = self._clock.now() - began
-        if isinstance(reply, failures.Failure):
-            waited = bool(timeout_ms) and ms > _WAITED_MS
-            if not waited:
-                self._outage.record_failure(reply.reason, ms)
-        elif reply.status in _REFUSALS:
-            self._outage.record_failure(str(reply.status))
+        elapsed_ms = self._clock.now() - start
+        if isinstance(response, failures.Failure):
+            was_waiting = (
+                bool(timeout_ms) and elapsed_ms > _WATCH_ESTABLISHED_MS
+            )
+            if not was_waiting:
+                self._outage.record_failure(response.reason, elapsed_ms)
+        elif response.status in _FAILURE_STATUSES:
+            self._outage.record_failure(str(response.status))
         else:
             self._outage.record_answer()
-        return reply
+        return response
 
 
-def _written(
-    reply: ty.Union[http_client.Response, failures.Failure], name: str
+def _write_result(
+    response: ty.Union[http_client.Response, failures.Failure], name: str
 ) -> ty.Union[objects.StoredObject, failures.Failure]:
-    """Return the object as it is after a write, or what is known of it."""
-    if isinstance(reply, failures.Failure):
-        # A write without a reply may have been done, or may be done later.
-        return failures.unknown(reply.reason, reply.detail)
-    if reply.status == _TAKEN:
+    """Return the object after a write, or the failure of the write."""
+    if isinstance(response, failures.Failure):
+        # A write without a response may have taken effect or may do so
+        # later.
+        return failures.unknown(response.reason, response.detail)
+    if response.status == _CONFLICT:
         return failures.conflict('changed', name)
-    if reply.status == 404:
+    if response.status == 404:
         return failures.missing('no_object', name)
-    if reply.status in (429, 503):
-        return failures.not_run('store_busy', str(reply.status))
-    if reply.status not in (200, 201, 204):
-        return failures.unknown('store_error', str(reply.status))
-    if not reply.body:
+    if response.status in (429, 503):
+        return failures.not_run('store_busy', str(response.status))
+    if response.status not in (200, 201, 204):
+        return failures.unknown('store_error', str(response.status))
+    if not response.body:
         return objects.StoredObject(name, 0)
-    return _stored_reply(reply)
+    return _parse_object(response)
 
 
-def _stored_reply(
-    reply: http_client.Response,
+def _parse_object(
+    response: http_client.Response,
 ) -> ty.Union[objects.StoredObject, failures.Failure]:
-    if reply.status not in (200, 201):
-        return failures.unavailable('store_refused', str(reply.status))
+    if response.status not in (200, 201):
+        return failures.unavailable('store_refused', str(response.status))
     try:
-        stored = object_codec.parse_object(reply.json())
+        stored = object_codec.parse_object(response.json())
     except ValueError as exc:
         return failures.unavailable('store_garbled', str(exc)[:200])
-    return stored or failures.unavailable('store_garbled', 'no object')
+    return stored or failures.unavailable(
+        'store_garbled', 'response has no object'
+    )
 
 
 @dataclasses.dataclass(frozen=True)
 class _Page:
-    """An answer with objects or events in it."""
+    """A response with a list of objects or events."""
 
-    parts: list[ty.Any]
+    items: list[ty.Any]
     revision: int
     more: bool
 
 
-def _page(
-    reply: http_client.Response, key: str
+def _parse_page(
+    response: http_client.Response, key: str
 ) -> ty.Union[_Page, failures.Failure]:
-    if reply.status not in (200, 201):
-        return failures.unavailable('store_refused', str(reply.status))
+    if response.status not in (200, 201):
+        return failures.unavailable('store_refused', str(response.status))
     try:
-        body = object_codec.parse_list(reply.body, key)
-        fields = fields_.Fields(body, 'answer')
+        body = object_codec.parse_list(response.body, key)
+        fields = fields_.Fields(body, 'response')
         revision = fields.integer(names.AT_REVISION)
         fields.raise_if_malformed()
     except ValueError as exc:
@@ -283,7 +292,7 @@
     return _Page(body[key], revision, bool(body.get(names.HAS_MORE)))
 
 
-def _changed(event: ty.Any) -> ty.Optional[objects.StoredObject]:
+def _parse_event(event: ty.Any) -> ty.Optional[objects.StoredObject]:
     if not isinstance(event, dict):
         return None
     deleted = bool(event.get(names.DELETED))
--- a/src/peridotmast/platform/upstream_codec.py
+++ b/src/peridotmast/platform/upstream_codec.py
@@ -1,4 +1,4 @@
-"""Entries of upstreams, as they lie in the platform's store."""
+"""Codec for the entries of upstreams in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def read_upstream(name: str, revision: int, spec: ty.Any) -> pb.UpstreamRecord:
-    """Return what the platform says of the upstream `name`.
+    """Convert the entry of the upstream `name` to a record.
 
-    Not only the upstreams write there. An entry in which a field of theirs
-    is missing, or of another type, is of somebody else's making, and what
-    it says of the others may be as wrong.
+    Other programs write to this part of the store too. An entry in which a
+    mandatory field is missing or has the wrong type was not written by an
+    upstream, so none of its other fields can be trusted.
 
     Raises
     ------
     fields.MalformedDocumentError
-        If the entry is not as the platform's pages say, with all that is
-        wrong with it.
+        If the entry does not conform to the platform's specification. The
+        exception lists all findings.
     """
     fields = fields_.Fields(spec, f'upstream {name}')
     record = pb.UpstreamRecord(
@@ -48,7 +48,10 @@
 
 
 def write_upstream(record: pb.UpstreamRecord) -> Json:
-    """Return the entry that an upstream writes; for stand-ins."""
+    """Convert a record to the entry that an upstream writes.
+
+    Only the stand-ins of the platform write such entries.
+    """
     upstream = record.upstream
     entry: Json = {
         'service': upstream.service,
@@ -68,7 +71,7 @@
 
 
 def foreign_entries(service: str) -> list[ty.Any]:
-    """Return entries of another writer, none of which names an upstream."""
+    """Return invalid entries, as programs other than upstreams write them."""
     return [
         {},
         'nothing',
