--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -153,10 +153,10 @@
 @when('a request comes on a kept connection right after it was shut')
 def comes_right_after(context):
     keep_connection(context)
-    real = server_._shut
-    context.closing.append(lambda: setattr(server_, '_shut', real))
+    real = server_._shutdown
+    context.closing.append(lambda: setattr(server_, '_shutdown', real))
     # A kernel may still take in what comes, and nothing goes out any more.
-    server_._shut = lambda sock: sock.shutdown(socket.SHUT_WR)
+    server_._shutdown = lambda sock: sock.shutdown(socket.SHUT_WR)
     context.fleet.routers[0]._http_servers.close_idle()
     send_on_kept(context, 'crossing-2')
 
--- a/features/strict.feature
+++ b/features/strict.feature
@@ -1,9 +1,9 @@
-Feature: A request that can be read in two ways is read in none
+Feature: Requests with ambiguous framing are refused
 
   Background:
     Given a fleet of 1 routers
 
-  Scenario Outline: Heads that are not right are refused and never passed on
+  Scenario Outline: Malformed requests are refused and not forwarded
     When these raw bytes are sent to a router
       """
       <head>
@@ -29,33 +29,33 @@
       | 400    | POST /holds/x HTTP/1.1~Host: peridot.example~Transfer-Encoding: chunked~~3~abcd~0~~ |
       | 400    | POST /holds/x HTTP/1.1~Host: peridot.example~Transfer-Encoding: chunked~~0x3~abc~0~~ |
 
-  Scenario: A head that is too large
+  Scenario: A request head that exceeds the size limit
     When a caller sends a header of 40000 bytes
     Then the status is 431
 
-  Scenario: A body that is too large
+  Scenario: A request body that exceeds the size limit
     When a caller sends a body of 5000000 bytes
     Then the status is 413
     And no upstream got anything
 
-  Scenario: A body in chunks is whole at the upstream
+  Scenario: A chunked body reaches the upstream completely
     When a caller sends the body "seat 7" in chunks of 2 bytes
     Then the raw answer ends with "done:seat 7"
 
-  Scenario: A body that breaks off reaches no upstream
+  Scenario: An incomplete body is not forwarded
     When a caller sends half of its body and closes
     Then no upstream got anything
 
-  Scenario: A caller that ends its side within its body is told so
+  Scenario: A caller that shuts down sending within its body gets an error
     When a caller sends half of its body and ends its side
     Then the raw answer begins with "HTTP/1.1 400" and the connection ends
     And no upstream got anything
 
-  Scenario: Heads that never end are cut off
+  Scenario: An endless request head is refused after a time-out
     Given callers have 300 ms for their heads
     When a caller sends a head that never ends
     Then the raw answer begins with "HTTP/1.1 408" and the connection ends
 
-  Scenario: A request that hides in the body of another is never run
+  Scenario: A request smuggled in the body of another request is not run
     When a caller sends a body that looks like a request
     Then exactly one request was run
--- a/src/peridotmast/platform/store.py
+++ b/src/peridotmast/platform/store.py
@@ -96,7 +96,7 @@
             found += self._valid_objects(
                 kind, (object_codec.parse_object(item) for item in page.items)
             )
-            if not page.more:
+            if not page.has_more:
                 return objects.Listing(found, revision)
             if not found:
                 return failures.unavailable('store_garbled', kind)
@@ -188,8 +188,8 @@
 
         The body of the response has a separate time-out and may take long as
         long as it makes progress. Writes have one time-out for the whole
-        call, because their reason may have expired later, for example the
-        lease that they depend on.
+        call, because a late write may no longer be justified, for example
+        after the lease that it depends on has expired.
         """
         return self._call(
             'GET',
@@ -274,7 +274,7 @@
 
     items: list[ty.Any]
     revision: int
-    more: bool
+    has_more: bool
 
 
 def _parse_page(
--- a/src/peridotmast/wire/__init__.py
+++ b/src/peridotmast/wire/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as this project needs it: checked, bounded, over green sockets."""
+"""HTTP client and server with strict parsing, limits and green sockets."""
--- a/src/peridotmast/wire/caller_connection.py
+++ b/src/peridotmast/wire/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection as the request on it sees it."""
+"""Access of a request to the connection of its caller."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 class CallerDisconnected(Exception):
-    """Raised in the task of a request whose caller has closed."""
+    """Raised in the task of a request whose caller has disconnected."""
 
 
 class CallerConnection:
-    """What a request may do with the connection that it came on.
+    """Controls the connection on which a request arrived.
 
     Parameters
     ----------
     protocol : wsgi.HttpProtocol
-        The server's side of it.
+        The server's protocol instance of the connection.
     """
 
     def __init__(self, protocol: ty.Any) -> None:
         self._protocol = protocol
         self._sock = protocol.connection
-        self._watch: ty.Optional[green.ReadWatch] = None
+        self._read_watch: ty.Optional[green.ReadWatch] = None
 
     def fileno(self) -> int:
         """Return the socket's descriptor."""
         return self._sock.fileno()
 
     def has_left(self) -> bool:
-        """Return whether the caller has closed its side, without waiting."""
+        """Return whether the caller has closed its side, without blocking."""
         flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
         try:
             return not self._sock.fd.recv(1, flags)
@@ -43,23 +43,23 @@
         except OSError:
             return True
 
-    def read_body(self, max_bytes: int, pause_ms: int) -> bytes:
+    def read_body(self, max_bytes: int, idle_timeout_ms: int) -> bytes:
         """Read the whole body of the request.
 
         Parameters
         ----------
         max_bytes : int
-            Largest body that is taken.
-        pause_ms : int
-            Longest time without a byte of it.
+            Maximum size of the body.
+        idle_timeout_ms : int
+            Maximum time without a byte of the body, in ms.
 
         Raises
         ------
         InvalidBodyError
-            If it is too large, too late, not framed right or broken off.
+            If the body is too large, late, malformed or incomplete.
         """
         reader = self._protocol.environ['eventlet.input']
-        self._sock.settimeout(pause_ms / 1000)
+        self._sock.settimeout(idle_timeout_ms / 1000)
         try:
             if reader.chunked_input:
                 body = request_body.read_chunks(reader, max_bytes)
@@ -79,33 +79,33 @@
     def watch_for_close(self) -> None:
         """Raise `CallerDisconnected` in this task once the caller closes.
 
-        Bytes of a next request, sent before this one's answer, end the
-        watch: then a close is found out when the answer is written.
+        If the caller pipelines another request, its bytes end the watch. A
+        close is then detected only when the response is written.
         """
         task = green.current()
 
         def on_readable() -> None:
-            self._watch = None
+            self._read_watch = None
             if self.has_left():
                 green.throw_into(task, CallerDisconnected())
 
-        self._watch = green.ReadWatch(self.fileno(), on_readable)
+        self._read_watch = green.ReadWatch(self.fileno(), on_readable)
 
     def stop_watching(self) -> None:
-        """Watch no more."""
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+        """Stop watching for a close by the caller."""
+        if self._read_watch is not None:
+            self._read_watch.cancel()
+            self._read_watch = None
 
     def close_after(self) -> None:
-        """Close the connection once the current answer is out."""
+        """Close the connection after the current response."""
         self._protocol.close_connection = 1
 
     def reset(self) -> None:
-        """End the connection so that no answer on it can look whole.
+        """Reset the connection, so that its response can't look complete.
 
-        It is reset: without a length or chunks a plain end would look like
-        the answer's.
+        An orderly close would look like the end of a response that has
+        neither a length nor chunks.
         """
         self._protocol.was_reset = True
         self._protocol.close_connection = 1
@@ -120,9 +120,9 @@
     def _refuse(
         self, status: int, reason: str
     ) -> request_body.InvalidBodyError:
-        self._protocol.lingers = True
+        self._protocol.lingers_on_close = True
         self._protocol.close_connection = 1
-        # The rest is not to be read as another request.
+        # The rest of the body must not be parsed as another request.
         reader = self._protocol.environ['eventlet.input']
         reader.chunked_input = False
         reader.position = reader.content_length or 0
--- a/src/peridotmast/wire/connection.py
+++ b/src/peridotmast/wire/connection.py
@@ -1,4 +1,4 @@
-"""One connection whose answers are checked for framing."""
+"""HTTP client connection that checks the framing of responses."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from peridotmast.wire import socket_reader
 
 Headers = list[tuple[str, str]]
-"""Header lines in their order, names as they were written."""
+"""Header fields in their order, with names in their original case."""
 
 T = ty.TypeVar('T')
 
 _READ_BYTES = 65536
 _SEND_BYTES = 16384
 _USER_TIMEOUT_MS = 1500
-"""How long sent bytes may stay unacknowledged: a VM that lost its power
-answers nothing, and the kernel would go on for minutes."""
+"""Time for which sent bytes may stay unacknowledged. A VM that lost its power
+acknowledges nothing, and by default the kernel retransmits for minutes."""
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-"""A connection that went silent is found out in about three seconds, also
-where its upstream has nothing to send for longer."""
-_NO_LINGER = struct.pack('ii', 1, 0)
-"""Option by which closing a socket resets its connection."""
-_WIRE_ERRORS = (http.client.HTTPException, OSError, ValueError)
+"""With these settings a dead connection is detected in about three seconds,
+even if its upstream sends nothing for longer."""
+_RESET_ON_CLOSE = struct.pack('ii', 1, 0)
+"""SO_LINGER value with which closing a socket resets its connection."""
+_CONNECTION_ERRORS = (http.client.HTTPException, OSError, ValueError)
 
 
 @dataclasses.dataclass(frozen=True)
 class ResponseHead:
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
@@ -47,14 +47,14 @@
 
 
 class Connection:
-    """A connection over which one request at a time is sent.
+    """A connection that carries one request at a time.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of the upstream.
     clock : clock.Clock
-        Times the waits.
+        Measures the time-outs.
     """
 
     def __init__(self, address: str, clock: clock_.Clock) -> None:
@@ -63,23 +63,23 @@
         self._clock = clock
         self._sock: ty.Any = None
         self._reader: ty.Any = None
-        self._side: ty.Any = None
+        self._http_socket: ty.Any = None
         self._resp: ty.Any = None
         self._body_sent = True
         self._cancelled = ''
         self.idle_since = 0
-        """Moment on the clock of its last answer's end, in ms."""
+        """Time at which the last response ended, in ms of the clock."""
         self.keep_alive_ms = 0
-        """How long the upstream said it keeps it idle, in ms; 0 if unsaid."""
+        """Keep-alive time-out stated by the upstream, in ms; 0 if absent."""
         self.requests = 0
-        """Requests sent over it so far."""
+        """Number of requests sent on the connection so far."""
         self.reset_on_close = False
-        """Whether closing it drops what the other side has not taken yet.
-        Otherwise the kernel goes on sending, for seconds where there is a
-        cut."""
+        """Whether closing resets the connection, which discards unsent data.
+        Otherwise the kernel keeps sending, for seconds during a network
+        partition."""
 
     def connect(self, timeout_ms: int) -> ty.Optional[failures.Failure]:
-        """Open it; a failure means that nothing was sent."""
+        """Open the connection; a failure means that nothing was sent."""
         family = socket.AF_INET6 if ':' in self._host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -99,11 +99,11 @@
             detail = f'error {error}' if ready else 'timed out'
             return failures.not_run('no_connection', detail)
         self._reader = socket_reader.SocketReader(sock, self._clock)
-        self._side = _SendingSide(sock, self._reader, self._clock)
+        self._http_socket = _HttpSocket(sock, self._reader, self._clock)
         return None
 
     def is_clean(self) -> bool:
-        """Return whether it is open and nothing came that was not due."""
+        """Return whether the connection is open without unexpected data."""
         if self._sock is None or self._reader.pending:
             return False
         try:
@@ -115,10 +115,10 @@
         return False
 
     def cancel(self, reason: str) -> None:
-        """Break its answer off, for whoever waits for it.
+        """Abort the current response with a failure for `reason`.
 
-        What has come of it is not complete then, also where its end can't be
-        told from a closed connection.
+        The part received so far then counts as incomplete, also if the close
+        of the connection would mark the end of the response.
         """
         if self._sock is None:
             return
@@ -126,16 +126,16 @@
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # The other side has closed it already.
+            # The upstream has closed the connection already.
             return
 
     def close(self) -> None:
-        """Close it; doing so twice is the same as once."""
+        """Close the connection, unless it is closed already."""
         if self._sock is not None:
             green.poller.unregister(self._sock.fileno())
             if self.reset_on_close:
                 self._sock.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER
+                    socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
                 )
             self._sock.close()
             self._sock = None
@@ -148,17 +148,17 @@
         body: bytes,
         deadline: int,
     ) -> ty.Optional[failures.Failure]:
-        """Send a request; a failure means that some of it may have gone.
+        """Send a request; after a failure part of it may have been sent.
 
-        Where the answer comes before all of the body is out, the rest is
-        never sent, and the connection is good for nothing after it.
+        If the response begins before the whole body is sent, the rest of the
+        body is not sent, and the connection can't be reused afterwards.
         """
         self.requests += 1
         self._reader.deadline = deadline
         self._resp = None
         self._body_sent = True
         conn = http.client.HTTPConnection(self._host, self._port)
-        conn.sock = self._side
+        conn.sock = self._http_socket
         try:
             conn.putrequest(
                 method, target, skip_host=True, skip_accept_encoding=True
@@ -168,34 +168,34 @@
             if body or method not in ('GET', 'HEAD', 'DELETE', 'OPTIONS'):
                 conn.putheader('Content-Length', str(len(body)))
             conn.endheaders(body or None)
-        except _EarlyAnswer:
+        except _EarlyResponse:
             self._body_sent = False
-        except _WIRE_ERRORS as exc:
+        except _CONNECTION_ERRORS as exc:
             return self._close_with_failure('broke_off', repr(exc)[:200])
         return None
 
     def read_head(
         self, method: str, deadline: int
     ) -> ty.Union[ResponseHead, failures.Failure]:
-        """Return status and headers of the next answer."""
+        """Return status and headers of the next response."""
         self._reader.deadline = deadline
         try:
             head = self._read_head(method)
         except TimeoutError as exc:
             return self._close_with_failure('silent', str(exc))
-        except _WIRE_ERRORS as exc:
+        except _CONNECTION_ERRORS as exc:
             return self._close_with_failure('broke_off', repr(exc)[:200])
         return self._unless_cancelled(head)
 
     def read_some(self, deadline: int) -> ty.Union[bytes, failures.Failure]:
-        """Return the next bytes of the answer's body; empty at its end."""
+        """Return the next bytes of the response body; empty at its end."""
         self._reader.deadline = deadline
         resp = self._resp
         try:
             data = resp.read1(_READ_BYTES)
         except TimeoutError as exc:
             return self._close_with_failure('silent', str(exc))
-        except _WIRE_ERRORS as exc:
+        except _CONNECTION_ERRORS as exc:
             return self._close_with_failure('broke_off', repr(exc)[:200])
         if not data and resp.length:
             return self._close_with_failure(
@@ -207,26 +207,29 @@
         self,
         deadline: int,
         limit: int,
-        silence_ms: int = 0,
+        idle_timeout_ms: int = 0,
         on_bytes: ty.Callable[[], None] = lambda: None,
     ) -> ty.Union[bytes, failures.Failure]:
-        """Return the rest of the body, at most `limit` bytes of it.
-
-        A failure called ``too_long`` leaves the connection closed.
+        """Return the rest of the response body.
 
         Parameters
         ----------
-        silence_ms : int, optional
-            Longest time without a byte of it; 0 bounds it by `deadline` only.
+        deadline : int
+            Time by which the body must end, in ms of the clock.
+        limit : int
+            Maximum number of bytes. A longer body closes the connection and
+            results in a failure with the reason ``too_long``.
+        idle_timeout_ms : int, optional
+            Maximum time without a byte of the body, in ms; 0 for no maximum.
         on_bytes : callable, optional
-            Called as bytes of it come.
+            Called when bytes of the body arrive.
         """
         parts: list[bytes] = []
         size = 0
         while True:
             bound = deadline
-            if silence_ms:
-                bound = min(deadline, self._clock.now() + silence_ms)
+            if idle_timeout_ms:
+                bound = min(deadline, self._clock.now() + idle_timeout_ms)
             part = self.read_some(bound)
             if isinstance(part, failures.Failure):
                 return part
@@ -240,7 +243,7 @@
                 return failures.unknown('too_long', f'over {limit} bytes')
 
     def is_reusable(self) -> bool:
-        """Return whether another request may go over it now."""
+        """Return whether another request may be sent on the connection."""
         return (
             self._sock is not None
             and self._body_sent
@@ -251,7 +254,7 @@
         )
 
     def _unless_cancelled(self, found: T) -> ty.Union[T, failures.Failure]:
-        """Return what was read, or why it is broken off."""
+        """Return `found`, or a failure if the response was cancelled."""
         if not self._cancelled:
             return found
         return self._close_with_failure(self._cancelled)
@@ -269,16 +272,16 @@
 
     def _read_head(self, method: str) -> ResponseHead:
         while True:
-            resp = http.client.HTTPResponse(self._side, method=method)
+            resp = http.client.HTTPResponse(self._http_socket, method=method)
             resp.begin()
             if resp.status >= 200:
                 break
         self._resp = resp
         _check_framing(resp)
-        self._learn_keep(resp)
+        self._read_keep_alive(resp)
         return ResponseHead(resp.status, list(resp.headers.items()))
 
-    def _learn_keep(self, resp: ty.Any) -> None:
+    def _read_keep_alive(self, resp: ty.Any) -> None:
         text = resp.headers.get('Keep-Alive', '').replace(' ', '')
         for part in text.split(','):
             name, _, value = part.partition('=')
@@ -286,12 +289,12 @@
                 self.keep_alive_ms = int(value) * 1000
 
 
-class _EarlyAnswer(Exception):
-    """The answer came while the body was being sent."""
+class _EarlyResponse(Exception):
+    """Raised if the response begins while the body is being sent."""
 
 
-class _SendingSide:
-    """What `http.client` takes for a socket."""
+class _HttpSocket:
+    """Socket interface for `http.client` over a non-blocking socket."""
 
     def __init__(
         self,
@@ -304,31 +307,31 @@
         self._clock = clock
 
     def makefile(self, mode: str) -> socket_reader.SocketReader:
-        """Return the connection's one reader."""
+        """Return the reader of the connection."""
         return self._reader
 
     def sendall(self, data: ty.Any) -> None:
-        """Send `data`, or raise `_EarlyAnswer` where it is not wanted."""
+        """Send `data`; raise `_EarlyResponse` if a response begins."""
         view = memoryview(data)
-        both = green.Ready.READ | green.Ready.WRITE
+        read_or_write = green.Ready.READ | green.Ready.WRITE
         while view:
             try:
                 view = view[self._sock.send(view[:_SEND_BYTES]) :]
             except BlockingIOError:
                 ready = green.poller.wait(
-                    self._sock.fileno(), self._left(), both
+                    self._sock.fileno(), self._remaining_ms(), read_or_write
                 )
                 if ready is green.Ready.READ:
-                    raise _EarlyAnswer from None
+                    raise _EarlyResponse from None
 
     def close(self) -> None:
-        """Do nothing: the owner closes the socket."""
+        """Do nothing; `Connection` closes the socket."""
 
-    def _left(self) -> int:
-        left = self._reader.deadline - self._clock.now()
-        if left <= 0:
-            raise TimeoutError('the request was not taken in time')
-        return left
+    def _remaining_ms(self) -> int:
+        remaining_ms = self._reader.deadline - self._clock.now()
+        if remaining_ms <= 0:
+            raise TimeoutError('request not sent before the deadline')
+        return remaining_ms
 
 
 def _set_options(sock: socket.socket) -> None:
@@ -342,18 +345,18 @@
 
 
 def _check_framing(resp: ty.Any) -> None:
-    """Raise where the end of an answer can be read in two ways.
+    """Raise an exception if the framing of a response is ambiguous.
 
     Raises
     ------
     http.client.HTTPException
-        With what is wrong.
+        If the coding or the length is not unambiguous.
     """
     codings = resp.headers.get_all('Transfer-Encoding', [])
     lengths = set(resp.headers.get_all('Content-Length', []))
     if codings and [text.lower() for text in codings] != ['chunked']:
-        raise http.client.HTTPException(f'odd coding {codings}')
+        raise http.client.HTTPException(f'invalid Transfer-Encoding {codings}')
     if len(lengths) > 1 or codings and lengths:
-        raise http.client.HTTPException(f'odd length {lengths}')
+        raise http.client.HTTPException(f'invalid Content-Length {lengths}')
     if any(not (text.isascii() and text.isdigit()) for text in lengths):
-        raise http.client.HTTPException(f'odd length {lengths}')
+        raise http.client.HTTPException(f'invalid Content-Length {lengths}')
--- a/src/peridotmast/wire/event_reader.py
+++ b/src/peridotmast/wire/event_reader.py
@@ -1,56 +1,57 @@
-"""Server-sent events cut out of a stream of bytes."""
+"""Splitter of a byte stream into server-sent events."""
 
 from __future__ import annotations
 
 import re
 
-_END = re.compile(rb'\r?\n\r?\n')
-_ID = re.compile(rb'^id:[ ]?([0-9]+)\r?$', re.MULTILINE)
+_EVENT_END = re.compile(rb'\r?\n\r?\n')
+_EVENT_ID = re.compile(rb'^id:[ ]?([0-9]+)\r?$', re.MULTILINE)
 
 
 class EventReader:
-    """Passes on whole events only and knows the last one's id.
+    """Returns only complete events and tracks the id of the last one.
 
-    An upstream may stop in the middle of an event; what the caller has got
-    must then end between two, so that another upstream can go on.
+    An upstream may fail in the middle of an event. The part forwarded to the
+    caller must then end at an event boundary, so that another upstream can
+    continue the stream.
     """
 
     def __init__(self) -> None:
-        self._rest = b''
-        self._catching_up = False
+        self._buffer = b''
+        self._skipping_seen = False
         self.last_id = -1
-        """Id of the last event that was passed on; -1 before the first."""
+        """Id of the last event that was returned; -1 before the first."""
 
     @property
     def buffered(self) -> bytes:
-        """Bytes of an event that is not complete yet."""
-        return self._rest
+        """Bytes of an incomplete event."""
+        return self._buffer
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of the events that `data` completes."""
-        self._rest += data
-        whole: list[bytes] = []
+        self._buffer += data
+        complete: list[bytes] = []
         start = 0
-        for match in _END.finditer(self._rest):
-            event = self._rest[start : match.end()]
+        for match in _EVENT_END.finditer(self._buffer):
+            event = self._buffer[start : match.end()]
             start = match.end()
-            if self._is_due(event):
-                whole.append(event)
-        self._rest = self._rest[start:]
-        return b''.join(whole)
+            if self._is_new(event):
+                complete.append(event)
+        self._buffer = self._buffer[start:]
+        return b''.join(complete)
 
     def restart(self) -> None:
-        """Go on with another upstream, which may begin a little earlier."""
-        self._rest = b''
-        self._catching_up = True
+        """Continue with another upstream, whose stream may repeat events."""
+        self._buffer = b''
+        self._skipping_seen = True
 
-    def _is_due(self, event: bytes) -> bool:
-        match = _ID.search(event)
+    def _is_new(self, event: bytes) -> bool:
+        match = _EVENT_ID.search(event)
         if match is None:
             return True
         number = int(match[1])
-        if self._catching_up and number <= self.last_id:
+        if self._skipping_seen and number <= self.last_id:
             return False
-        self._catching_up = False
+        self._skipping_seen = False
         self.last_id = number
         return True
--- a/src/peridotmast/wire/http_client.py
+++ b/src/peridotmast/wire/http_client.py
@@ -1,4 +1,4 @@
-"""Short calls: a request and its whole answer, bounded in time."""
+"""HTTP client for short calls with time-outs."""
 
 from __future__ import annotations
 
@@ -11,35 +11,42 @@
 from peridotmast.wire import connection as connection_
 from peridotmast.wire import pool as pool_
 
-_ANSWER_BYTES = 64 << 20
-"""Longest answer that is read."""
+_MAX_BODY_BYTES = 64 << 20
+"""Maximum size of a response body."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: connection_.Headers
     body: bytes
 
     def json(self) -> ty.Any:
-        """Return the body read as JSON; raises ValueError if it is none."""
+        """Return the body parsed as JSON; an empty body is an empty object.
+
+        Raises
+        ------
+        ValueError
+            If the body is not valid JSON or nested too deeply.
+        """
         try:
             return json.loads(self.body or b'{}')
         except RecursionError as exc:
-            raise ValueError('nested too deeply') from exc
+            raise ValueError('JSON nested too deeply') from exc
 
 
 class HttpClient:
-    """Calls over kept connections.
+    """Makes calls over pooled connections.
 
     Parameters
     ----------
     timeout_ms : int
-        Bound on one call; of one whose answer may be large, on its silence.
+        Time-out of one call, in ms. With `body_timeout_ms`, it also limits
+        the time without a byte of the body.
     clock : clock.Clock, optional
-        Times the calls; the machine's by default.
+        Measures the time-outs; the system clock by default.
     """
 
     def __init__(
@@ -63,32 +70,34 @@
         on_bytes: ty.Callable[[], None] = lambda: None,
         may_send: ty.Callable[[], bool] = lambda: True,
     ) -> ty.Union[Response, failures.Failure]:
-        """Make one call.
+        """Send a request and return its response.
 
-        What is on its way when it is given up is dropped with its connection:
-        it would arrive after a cut, when whoever sent it has decided anew.
+        If a call times out, its unsent data is discarded with its connection.
+        Otherwise the data could arrive after a network partition, when the
+        sender has already made a different decision.
 
         Parameters
         ----------
         body : optional
-            Bytes, or a value that is sent as JSON.
+            Bytes, or a value to be sent as JSON.
         timeout_ms : int, optional
-            Bound on this call, in ms; with `body_timeout_ms`, only until its
-            answer begins.
+            Time-out of this call, in ms; with `body_timeout_ms`, only until
+            the response begins. 0 for the time-out of the client.
         body_timeout_ms : int, optional
-            Bound on the rest of an answer that may be large, in ms, which
-            then may not be silent for longer than any call may take. 0 where
-            the answer is short.
+            Time-out of the body of a response that may be large, in ms. The
+            time without a byte of the body is limited to the time-out of the
+            client. 0 for a short response, without a separate time-out.
         on_bytes : callable, optional
-            Called as bytes of the answer come.
+            Called when bytes of the response arrive.
         may_send : callable, optional
-            Asked once there is a connection, right before the first byte:
-            whether the call is still to be made.
+            Returns whether the call may still be sent. It is called when the
+            connection is open, right before the first byte is sent.
 
         Returns
         -------
         Response or Failure
-            NOT_RUN where nothing was sent; else no answer came.
+            NOT_RUN if nothing was sent; other failures mean that no complete
+            response was received.
         """
         deadline = self._clock.now() + (timeout_ms or self._timeout_ms)
         conn = self._pool.acquire(address)
@@ -99,27 +108,27 @@
             return failures.not_run('too_late')
         conn.reset_on_close = True
         try:
-            reply: ty.Union[Response, failures.Failure, None] = _send(
+            response: ty.Union[Response, failures.Failure, None] = _send(
                 conn, method, address, path, body, headers or {}, deadline
             )
-            if reply is None:
-                reply = self._receive(
+            if response is None:
+                response = self._receive(
                     conn, method, deadline, body_timeout_ms, on_bytes
                 )
         except BaseException:
             conn.close()
             raise
-        if isinstance(reply, failures.Failure):
+        if isinstance(response, failures.Failure):
             conn.close()
-            # What made one connection silent may have hit the others.
+            # The cause of the failure may affect other connections too.
             self._pool.close_idle(address)
         else:
             conn.reset_on_close = False
             self._pool.release(address, conn)
-        return reply
+        return response
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._pool.close()
 
     def _receive(
@@ -134,13 +143,15 @@
         if isinstance(head, failures.Failure):
             return head
         on_bytes()
-        silence_ms = 0
+        idle_timeout_ms = 0
         if body_timeout_ms:
-            # How long it takes grows with its size and with what else is on
-            # the link; given up, it would have to come again as a whole.
+            # The duration grows with the size of the body and the load on the
+            # link. After a time-out, the whole body must be sent again.
             deadline = self._clock.now() + body_timeout_ms
-            silence_ms = self._timeout_ms
-        body = conn.read_all(deadline, _ANSWER_BYTES, silence_ms, on_bytes)
+            idle_timeout_ms = self._timeout_ms
+        body = conn.read_all(
+            deadline, _MAX_BODY_BYTES, idle_timeout_ms, on_bytes
+        )
         if isinstance(body, failures.Failure):
             return body
         return Response(head.status, head.headers, body)
@@ -155,9 +166,9 @@
     headers: dict[str, str],
     deadline: int,
 ) -> ty.Optional[failures.Failure]:
-    lines = [('Host', address), *headers.items()]
+    header_lines = [('Host', address), *headers.items()]
     data = body or b''
     if body is not None and not isinstance(body, bytes):
         data = json.dumps(body, separators=(',', ':')).encode()
-        lines.append(('Content-Type', 'application/json'))
-    return conn.send(method, path, lines, data, deadline)
+        header_lines.append(('Content-Type', 'application/json'))
+    return conn.send(method, path, header_lines, data, deadline)
--- a/src/peridotmast/wire/pool.py
+++ b/src/peridotmast/wire/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections by address."""
+"""Pool of idle HTTP connections by address."""
 
 from __future__ import annotations
 
@@ -10,44 +10,50 @@
 from peridotmast.wire import connection as connection_
 
 KEEP_ALIVE_SHARE = 0.6
-"""Part of the time that an upstream states in which a connection is used
-again; the rest covers the way there, late timers and rounding."""
+"""Share of the upstream's keep-alive time-out in which an idle connection is
+reused; the rest allows for network delay, late timers and rounding."""
 
 DEFAULT_KEEP_ALIVE_MS = 2000
-"""Longest idleness of a connection whose upstream states no time. A request
-that may run only once and meets a closing connection is lost, so this is
-shorter than any time-out that servers commonly have."""
+"""Maximum idle time if the upstream states no keep-alive time-out. It is
+shorter than common server time-outs, because a request that must not run
+twice is lost if it is sent on a connection that the server is closing."""
 
 MAX_IDLE_PER_ADDRESS = 64
-"""Kept connections to one upstream; more are closed as they fall idle."""
+"""Maximum number of idle connections to one upstream; further ones are closed
+when they become idle."""
 
 
 class ConnectionPool:
-    """Gives connections out and takes those back that are still good.
+    """Opens connections and keeps idle ones for reuse.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times idleness.
+        Measures idle times.
     connect_ms : int
-        Bound on connecting.
+        Time-out for connecting, in ms.
     """
 
     def __init__(self, clock: clock_.Clock, connect_ms: int) -> None:
         self._clock = clock
         self.connect_ms = connect_ms
-        """Bound on connecting, in ms."""
+        """Time-out for connecting, in ms."""
         self._idle: dict[str, collections.deque[connection_.Connection]] = {}
         self.opened = 0
-        """Connections opened so far."""
+        """Number of connections opened so far."""
 
     def acquire(
         self, address: str
     ) -> ty.Union[connection_.Connection, failures.Failure]:
-        """Return a clean connection; a failure means nothing was sent."""
+        """Return an idle or a new connection without unread bytes.
+
+        A failure means that no connection could be opened, so that nothing was
+        sent.
+        """
         idle = self._idle.get(address, ())
         while idle:
-            # The newest first, so that the others can grow too old.
+            # Reuse the most recently used connection first, so that unneeded
+            # connections expire.
             conn = idle.pop()
             if self._is_fresh(conn) and conn.is_clean():
                 return conn
@@ -58,7 +64,7 @@
         return conn if failure is None else failure
 
     def release(self, address: str, conn: connection_.Connection) -> None:
-        """Keep a connection whose answer has ended, if it is still good."""
+        """Keep a connection for reuse if its response left it reusable."""
         idle = self._idle.setdefault(address, collections.deque())
         if not conn.is_reusable() or len(idle) >= MAX_IDLE_PER_ADDRESS:
             conn.close()
@@ -67,7 +73,7 @@
         idle.append(conn)
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections whose idle time exceeds the limit."""
         for address, idle in list(self._idle.items()):
             while idle and not self._is_fresh(idle[0]):
                 idle.popleft().close()
@@ -85,5 +91,7 @@
             self.close_idle(address)
 
     def _is_fresh(self, conn: connection_.Connection) -> bool:
-        keep = conn.keep_alive_ms * KEEP_ALIVE_SHARE or DEFAULT_KEEP_ALIVE_MS
-        return self._clock.now() - conn.idle_since <= keep
+        max_idle_ms = (
+            conn.keep_alive_ms * KEEP_ALIVE_SHARE or DEFAULT_KEEP_ALIVE_MS
+        )
+        return self._clock.now() - conn.idle_since <= max_idle_ms
--- a/src/peridotmast/wire/request_body.py
+++ b/src/peridotmast/wire/request_body.py
@@ -1,4 +1,4 @@
-"""Bodies of requests, read by the strict grammar."""
+"""Strict parser for request bodies."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 import typing as ty
 
 MAX_LINE_BYTES = 8192
-"""Longest request line, and longest line of a trailer."""
+"""Maximum length of a request line and of a trailer line."""
 
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-"""Pattern of a method or a header's name."""
+"""Pattern of a method or a header name."""
 
 HEADER = re.compile(
     rb'(' + TOKEN + rb'):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n'
 )
-"""One header with its line end."""
+"""Pattern of a header line with its line end."""
 
 _CHUNK_SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})(?:;[^\r\n]*)?\r\n')
 
 
 class InvalidBodyError(Exception):
-    """A body that can't be taken.
+    """Raised for a request body that can't be accepted.
 
     Parameters
     ----------
     status : int
-        HTTP status that tells the caller why.
+        HTTP status of the response to the caller.
     reason : str
         Short machine-readable cause.
     """
@@ -37,7 +37,7 @@
 
 
 def read_length(reader: ty.Any, max_bytes: int) -> bytes:
-    """Read a body of the length that its head tells."""
+    """Read a body of the length stated in ``Content-Length``."""
     length = reader.content_length or 0
     if length > max_bytes:
         raise InvalidBodyError(413, 'body_too_large')
@@ -48,13 +48,13 @@
 
 
 def read_chunks(reader: ty.Any, max_bytes: int) -> bytes:
-    """Read a chunked body by the strict grammar."""
+    """Read a chunked body and reject lenient syntax."""
     if reader.should_send_hundred_continue:
         reader.send_hundred_continue_response()
         reader.is_hundred_continue_response_sent = True
     file = reader.rfile
     parts: list[bytes] = []
-    room = max_bytes
+    remaining = max_bytes
     while True:
         head = _CHUNK_SIZE.fullmatch(file.readline(256))
         if head is None:
@@ -62,8 +62,8 @@
         size = int(head[1], 16)
         if not size:
             break
-        room -= size
-        if room < 0:
+        remaining -= size
+        if remaining < 0:
             raise InvalidBodyError(413, 'body_too_large')
         data = file.read(size + 2)
         if len(data) < size + 2 or data[-2:] != b'\r\n':
--- a/src/peridotmast/wire/server.py
+++ b/src/peridotmast/wire/server.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: eventlet's WSGI server, strict and bounded."""
+"""HTTP server for callers, based on the WSGI server of eventlet."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 from peridotmast.wire import strict_protocol
 
 MAX_CONNECTIONS = 20_000
-"""Connections served at once; the descriptors of a small VM end before."""
+"""Maximum number of connections; small VMs run out of descriptors earlier."""
 
 SEND_BUFFER_BYTES = 65536
-"""What the kernel holds for a caller that takes nothing."""
+"""Size of the kernel's send buffer for a connection."""
 
 Application = ty.Callable[..., ty.Iterable[bytes]]
 
 
 @dataclasses.dataclass
 class ServerLimits:
-    """What callers may send, and how long they may take."""
+    """Limits on the size and the duration of requests."""
 
     max_header_bytes: int = 16384
-    """Largest head of a request."""
+    """Maximum size of a request head."""
     max_body_bytes: int = 1 << 20
-    """Largest body."""
+    """Maximum size of a request body."""
     header_timeout_ms: int = 10_000
-    """Time for the head of a request from its first byte on."""
+    """Time-out of a request head from its first byte on."""
     idle_timeout_ms: int = 60_000
-    """Time that a kept connection may be idle, and that a body may pause."""
+    """Maximum idle time of a connection, and between two parts of a body."""
     write_timeout_ms: int = 10_000
-    """Longest time that a caller may take nothing."""
+    """Maximum time in which a caller accepts no bytes of a response."""
 
 
 class HttpServer:
-    """One listening address.
+    """HTTP server on one listening address.
 
     Parameters
     ----------
     address : str
-        ``IP:port``; port 0 takes a free one.
+        ``IP:port``; port 0 selects a free port.
     app : callable
         A WSGI application.
     limits : ServerLimits, optional
@@ -54,7 +54,7 @@
     Raises
     ------
     OSError
-        If the address can't be listened on.
+        If listening on the address fails.
     """
 
     def __init__(
@@ -65,11 +65,12 @@
     ) -> None:
         self._app = app
         self.limits = limits or ServerLimits()
-        """What callers may send; read anew for each request."""
+        """Limits on requests; changes apply from the next request on."""
         host, _, port = address.rpartition(':')
         family = socket.AF_INET6 if ':' in host else socket.AF_INET
-        # An address that is taken is refused: where two programs share one,
-        # each gets a part of the callers, and nobody is told.
+        # Listening fails on an address in use. With SO_REUSEPORT, two programs
+        # could share the address, and each would silently get a part of the
+        # connections.
         try:
             self._sock = green.listen(
                 (host.strip('[]'), int(port)),
@@ -79,43 +80,44 @@
             )
         except OSError as exc:
             raise OSError(f'cannot listen on {address}: {exc}') from exc
-        # Accepted connections inherit it: a caller that takes nothing holds
-        # this much of the kernel's memory, not megabytes.
+        # Accepted connections inherit the size. It limits the kernel memory
+        # for a caller that reads nothing, which could be megabytes otherwise.
         self._sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES
         )
         bound = self._sock.getsockname()
         self.address = ids.Address(f'{host}:{bound[1]}')
-        """Address that is listened on, with the real port."""
+        """Listening address, with the actual port."""
         self._pool = green.GreenPool(MAX_CONNECTIONS)
         self.idle_sockets: set[ty.Any] = set()
-        """Kept connections on which nothing is in work."""
+        """Sockets of connections that wait for their next request."""
         self.is_closing = False
-        """Whether each connection is closed after its answer."""
+        """Whether each connection is closed after its current response."""
         self.retry_after_ms: ty.Callable[[], int] = lambda: 0
-        """Says when callers may come back whose heads are larger than the
-        limits, in ms; 0 where these are final."""
+        """Returns the retry time for callers whose request heads exceed the
+        limits, in ms; 0 if the limits are final."""
         self._task: ty.Any = None
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self._task = green.spawn(self._serve)
 
     def close_idle(self) -> None:
-        """Close kept connections, and each other one after its answer.
+        """Close idle connections now and others after their response.
 
-        New connections are still taken and served, one request each, for
-        callers that have not heard of the stop yet.
+        New connections are still accepted, for one request each, because some
+        callers may not know of the shutdown yet.
         """
         self.is_closing = True
         for sock in list(self.idle_sockets):
-            # A request that has come is served, though nobody has looked yet.
-            if not _has_come(sock):
+            # A request that has arrived is still served, even if no byte of
+            # it has been read.
+            if not _has_unread_bytes(sock):
                 self.idle_sockets.discard(sock)
-                _shut(sock)
+                _shutdown(sock)
 
     def stop(self) -> None:
-        """Accept no more and cut every connection."""
+        """Stop accepting and close every connection."""
         if self._task is not None:
             self._task.kill()
         self._sock.close()
@@ -132,7 +134,7 @@
             wsgi.server(
                 self._sock,
                 self._app,
-                log=_NoLog(),
+                log=_DiscardLog(),
                 protocol=protocol,
                 custom_pool=self._pool,
                 log_output=False,
@@ -144,23 +146,23 @@
             pass
 
 
-def _has_come(sock: ty.Any) -> bool:
-    """Return whether there are bytes on a connection that were not read."""
-    looking = select.poll()
-    looking.register(sock.fileno(), select.POLLIN)
-    return bool(looking.poll(0))
+def _has_unread_bytes(sock: ty.Any) -> bool:
+    """Return whether a connection has unread bytes or was closed."""
+    poller = select.poll()
+    poller.register(sock.fileno(), select.POLLIN)
+    return bool(poller.poll(0))
 
 
-def _shut(sock: ty.Any) -> None:
+def _shutdown(sock: ty.Any) -> None:
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # The caller was faster.
+        # The caller has closed the connection already.
         pass
 
 
-class _NoLog:
-    """The program's own log has an event for each request."""
+class _DiscardLog:
+    """Discards the access log, as the event log has each request."""
 
     def write(self, text: str) -> None:
-        """Drop `text`."""
+        """Discard `text`."""
--- a/src/peridotmast/wire/socket_reader.py
+++ b/src/peridotmast/wire/socket_reader.py
@@ -1,4 +1,4 @@
-"""Bytes of one connection as a file that waits green and keeps the rest."""
+"""File interface to a non-blocking socket, with a buffer and a deadline."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class SocketReader:
-    """A file for `http.client`, over a socket that does not block.
+    """File object for `http.client` that reads from a non-blocking socket.
 
-    It outlives each response on its connection, so that bytes which came
-    after one's end are seen instead of lost, and it reports a reset as an
-    error where eventlet's own sockets report an end.
+    One reader serves all responses of a connection, so that bytes after the
+    end of a response are detected and not lost. A connection reset raises an
+    error, whereas the sockets of eventlet report an end of file.
 
     Parameters
     ----------
     sock : socket.socket
-        Non-blocking.
+        A non-blocking socket.
     clock : clock.Clock
-        Times the waits.
+        Measures the time until the deadline.
     """
 
     def __init__(self, sock: socket.socket, clock: clock_.Clock) -> None:
@@ -32,17 +32,17 @@
         self._buffer = bytearray()
         self._ended = False
         self.deadline = 0
-        """Moment on the clock by which bytes must come, in ms."""
-        self.read_bytes = 0
-        """Bytes taken from the socket so far."""
+        """Time by which bytes must arrive, in ms of the clock."""
+        self.bytes_received = 0
+        """Number of bytes read from the socket so far."""
 
     @property
     def pending(self) -> int:
-        """Bytes that came and were not asked for yet."""
+        """Number of buffered bytes."""
         return len(self._buffer)
 
     def readline(self, limit: int = -1) -> bytes:
-        """Return bytes up to a line feed, `limit` or the end."""
+        """Return bytes through a line feed, up to `limit` or the end."""
         while (end := self._buffer.find(b'\n') + 1) == 0:
             if 0 <= limit <= len(self._buffer) or not self._fill():
                 end = len(self._buffer)
@@ -50,13 +50,13 @@
         return self._take(end if limit < 0 else min(end, limit))
 
     def read(self, size: int = -1) -> bytes:
-        """Return `size` bytes, or fewer at the end; all where negative."""
+        """Return `size` bytes, fewer at the end; all if negative."""
         while (size < 0 or len(self._buffer) < size) and self._fill():
             pass
         return self._take(len(self._buffer) if size < 0 else size)
 
     def read1(self, size: int = -1) -> bytes:
-        """Return what is there, waiting only where nothing is."""
+        """Return buffered bytes; wait only if there are none."""
         if not size:
             return b''
         if not self._buffer:
@@ -64,16 +64,16 @@
         return self._take(len(self._buffer) if size < 0 else size)
 
     def readinto(self, target: ty.Any) -> int:
-        """Fill `target` as far as bytes come; return how many did."""
+        """Read bytes into `target`; return their number."""
         data = self.read(len(target))
         target[: len(data)] = data
         return len(data)
 
     def close(self) -> None:
-        """Do nothing: a response's end is not the connection's."""
+        """Do nothing; the connection outlives the response."""
 
     def flush(self) -> None:
-        """Do nothing; part of a file's interface."""
+        """Do nothing; required by the file interface."""
 
     def _take(self, size: int) -> bytes:
         data = bytes(self._buffer[:size])
@@ -81,12 +81,12 @@
         return data
 
     def _fill(self) -> bool:
-        """Read once; false at the end.
+        """Read once from the socket; return False at the end.
 
         Raises
         ------
         TimeoutError
-            If nothing came before the deadline.
+            If no bytes arrived before the deadline.
         OSError
             If the connection was reset.
         """
@@ -97,12 +97,14 @@
                 self._wait()
                 continue
             self._ended = not data
-            self.read_bytes += len(data)
+            self.bytes_received += len(data)
             self._buffer += data
             return bool(data)
         return False
 
     def _wait(self) -> None:
-        left = self.deadline - self._clock.now()
-        if left <= 0 or not green.poller.wait(self._sock.fileno(), left):
-            raise TimeoutError('no byte came in time')
+        remaining_ms = self.deadline - self._clock.now()
+        if remaining_ms <= 0 or not green.poller.wait(
+            self._sock.fileno(), remaining_ms
+        ):
+            raise TimeoutError('no data received before the deadline')
--- a/src/peridotmast/wire/strict_protocol.py
+++ b/src/peridotmast/wire/strict_protocol.py
@@ -1,4 +1,4 @@
-"""The server's side of one connection: only what reads in one way."""
+"""Strict HTTP/1.1 protocol of the server, which rejects ambiguous requests."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 LINGER_BYTES = 16 << 20
 LINGER_MS = 500
-"""What is still read, and for how long, of a request that was refused before
-its end: a connection closed with unread bytes is reset, and the reset would
-overtake the answer."""
+"""Limits, in bytes and ms, on reading the rest of a refused request. Closing a
+connection with unread bytes resets it, and the reset can discard the response
+before the caller has read it."""
 
 TARGET = 'peridotmast.target'
 """Key of the raw request target in the WSGI environment."""
@@ -25,7 +25,7 @@
 CONNECTION = 'peridotmast.connection'
 """Key of the `CallerConnection` in the WSGI environment."""
 
-_TOO_LARGE = 431
+_HEADERS_TOO_LARGE = 431
 
 _REQUEST_LINE = re.compile(
     rb'(' + request_body.TOKEN + rb') ([\x21-\x7e]+) (HTTP/1\.[01])\r\n'
@@ -33,29 +33,29 @@
 
 
 class StrictProtocol(wsgi.HttpProtocol):
-    """Takes only requests that can be read in one way.
+    """Accepts only requests with unambiguous framing.
 
-    The base class is lenient where a request's end is concerned (folded
-    headers, spaces before a colon, several lengths, bare line feeds), which
-    lets one request hide in another. What has two readings is refused here.
+    The base class is lenient about syntax that affects message framing
+    (folded headers, spaces before a colon, several lengths, bare line feeds).
+    This would allow request smuggling, so such requests are refused here.
     """
 
     http_server: ty.Any
-    """The `HttpServer` that has the connection: its limits, its idle ones."""
+    """The `HttpServer` that accepted the connection."""
     minimum_chunk_size = 1
     close_connection: int = 0
     was_reset = False
-    lingers = False
+    lingers_on_close = False
     _header_timer: ty.Any = None
 
     def _read_request_line(self) -> bytes:
         limits = self.http_server.limits
         sock = self.connection
-        is_kept = self.close_connection == 0
-        if self.http_server.is_closing and is_kept:
+        is_kept_alive = self.close_connection == 0
+        if self.http_server.is_closing and is_kept_alive:
             return b''
-        if is_kept:
-            # One without a first request is not idle: it is on its way.
+        if is_kept_alive:
+            # A new connection is not idle: its first request is on the way.
             self.http_server.idle_sockets.add(sock)
         try:
             sock.settimeout(limits.idle_timeout_ms / 1000)
@@ -63,10 +63,13 @@
         except OSError:
             return b''
         finally:
-            was_shut = is_kept and sock not in self.http_server.idle_sockets
+            was_shut = (
+                is_kept_alive and sock not in self.http_server.idle_sockets
+            )
             self.http_server.idle_sockets.discard(sock)
         if was_shut or not first:
-            # What came after it was shut can't be answered: it is not read.
+            # A request that arrived after the shutdown can't be answered, so
+            # it must not be read.
             return b''
         self._header_timer = green.Timeout(limits.header_timeout_ms / 1000)
         return self.rfile.readline(request_body.MAX_LINE_BYTES)
@@ -78,31 +81,32 @@
         except green.Timeout as exc:
             if exc is not self._header_timer:
                 raise
-            self._answer_badly(408, 'Request Timeout')
+            self._send_error(408, 'Request Timeout')
         except (ConnectionError, TimeoutError):
             self.close_connection = 1
         except OSError:
-            # Writing to a connection that was broken off on purpose.
+            # Expected after `CallerConnection.reset`, where writes fail.
             if not self.was_reset:
                 raise
         finally:
             self._cancel_timer()
 
     def parse_request(self) -> bool:
-        """Read the head; answer and return false where it is not right."""
+        """Parse the request head; send an error response if it is invalid."""
         status = self._parse_head()
         if status:
             self._cancel_timer()
-            # A newer configuration may take larger ones.
+            # A newer configuration may allow larger heads, so the caller may
+            # retry once this router has it.
             retry_ms = (
                 self.http_server.retry_after_ms()
-                if status == _TOO_LARGE
+                if status == _HEADERS_TOO_LARGE
                 else 0
             )
             status = 503 if retry_ms else status
-            self._answer_badly(status, http.client.responses[status], retry_ms)
+            self._send_error(status, http.client.responses[status], retry_ms)
             return False
-        self.close_connection = self._closes()
+        self.close_connection = self._must_close()
         return True
 
     def get_environ(self) -> dict[str, ty.Any]:
@@ -117,12 +121,12 @@
     def finish(self) -> None:
         if self.was_reset:
             return
-        if self.lingers:
+        if self.lingers_on_close:
             self._linger()
         super().finish()
 
     def _parse_head(self) -> int:
-        """Return 0, or the status that says what is wrong."""
+        """Return 0, or the HTTP status of the error."""
         line = _REQUEST_LINE.fullmatch(self.raw_requestline)
         if line is None:
             return 400
@@ -131,13 +135,13 @@
         self.request_version = line[3].decode('ascii')
         self.requestline = line[0].decode('ascii').rstrip()
         self.headers = http.client.HTTPMessage()
-        room = self.http_server.limits.max_header_bytes - len(line[0])
-        # The wrapper's own bounds would hide which one was passed.
+        remaining = self.http_server.limits.max_header_bytes - len(line[0])
+        # The limits of the wrapper would hide which limit was exceeded.
         file: ty.Any = getattr(self.rfile, 'fp', self.rfile)
-        while (raw := file.readline(max(2, room + 1))) != b'\r\n':
-            room -= len(raw)
-            if room < 0:
-                return _TOO_LARGE
+        while (raw := file.readline(max(2, remaining + 1))) != b'\r\n':
+            remaining -= len(raw)
+            if remaining < 0:
+                return _HEADERS_TOO_LARGE
             header = request_body.HEADER.fullmatch(raw)
             if header is None:
                 return 400
@@ -163,16 +167,16 @@
             return 400
         return 0
 
-    def _closes(self) -> int:
+    def _must_close(self) -> int:
         tokens = ','.join(self.headers.get_all('Connection', [])).lower()
         words = {word.strip() for word in tokens.split(',')}
         if self.request_version == 'HTTP/1.0':
             return 0 if 'keep-alive' in words else 1
         return 1 if 'close' in words else 0
 
-    def _answer_badly(self, status: int, text: str, retry_ms: int = 0) -> None:
+    def _send_error(self, status: int, text: str, retry_ms: int = 0) -> None:
         self.close_connection = 1
-        self.lingers = True
+        self.lingers_on_close = True
         retry = f'Retry-After: {retry_ms / 1000:g}\r\n' if retry_ms else ''
         try:
             self.wfile.write(
@@ -181,21 +185,21 @@
             )
             self.wfile.flush()
         except OSError:
-            # Nobody is there to be told.
+            # The caller has disconnected already.
             pass
 
     def _linger(self) -> None:
-        """Take what is still under way, so that the answer arrives."""
+        """Read the rest of a refused request, so that the response arrives."""
         try:
             self.wfile.flush()
             self.connection.shutdown(socket.SHUT_WR)
             self.connection.settimeout(LINGER_MS / 1000)
-            left = LINGER_BYTES
+            remaining = LINGER_BYTES
             with green.Timeout(LINGER_MS / 1000, False):
-                while left > 0 and (data := self.connection.recv(65536)):
-                    left -= len(data)
+                while remaining > 0 and (data := self.connection.recv(65536)):
+                    remaining -= len(data)
         except OSError:
-            # Closed already; there is nothing to wait for.
+            # The connection is closed already.
             pass
 
     def _cancel_timer(self) -> None:
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -262,28 +262,28 @@
         'odd_upstreams',
     ),
     Mutation(
-        'keep a connection that has bytes left',
+        'reuse a connection with unread bytes',
         WIRE + 'connection.py',
         'if self._sock is None or self._reader.pending:',
         'if self._sock is None:',
         'odd_upstreams',
     ),
     Mutation(
-        'keep a connection whose body was not all sent',
+        'reuse a connection whose body was not sent completely',
         WIRE + 'connection.py',
         '            and self._body_sent\n',
         '',
         'odd_upstreams',
     ),
     Mutation(
-        'take an answer that is cut short',
+        'accept a truncated response',
         WIRE + 'connection.py',
         'if not data and resp.length:',
         'if False:',
         'odd_upstreams',
     ),
     Mutation(
-        'take an answer with two lengths',
+        'accept a response with two lengths',
         WIRE + 'connection.py',
         'if len(lengths) > 1 or codings and lengths:',
         'if False:',
@@ -311,14 +311,14 @@
         'callers',
     ),
     Mutation(
-        'read a head with two lengths',
+        'accept a request head with two lengths',
         WIRE + 'strict_protocol.py',
         'if lengths and (codings or len(lengths) > 1):',
         'if False:',
         'strict',
     ),
     Mutation(
-        'let a body break off',
+        'accept a truncated request body',
         WIRE + 'request_body.py',
         '    if len(body) < length:\n'
         "        raise InvalidBodyError(400, 'body_broken')\n",
@@ -340,11 +340,11 @@
         'streams',
     ),
     Mutation(
-        'pass on half an event',
+        'forward an incomplete event',
         WIRE + 'event_reader.py',
-        '        self._rest = self._rest[start:]\n        return',
-        '        whole.append(self._rest[start:])\n'
-        "        self._rest = b''\n        return",
+        '        self._buffer = self._buffer[start:]\n        return',
+        '        complete.append(self._buffer[start:])\n'
+        "        self._buffer = b''\n        return",
         'streams',
     ),
     Mutation(
@@ -631,7 +631,7 @@
         'incarnation',
     ),
     Mutation(
-        'take a cancelled answer for complete',
+        'treat a cancelled response as complete',
         WIRE + 'connection.py',
         'if not self._cancelled:\n            return found',
         'if True:\n            return found',
@@ -772,21 +772,21 @@
         'duties',
     ),
     Mutation(
-        'let what a call has sent arrive after it was given up',
+        'let an abandoned call arrive late',
         WIRE + 'http_client.py',
         'conn.reset_on_close = True',
         'conn.reset_on_close = False',
         'duties',
     ),
     Mutation(
-        'close a connection on which a request has come',
+        'close a connection on which a request has arrived',
         WIRE + 'server.py',
-        'if not _has_come(sock):',
+        'if not _has_unread_bytes(sock):',
         'if True:',
         'router_stop',
     ),
     Mutation(
-        'serve what comes on a connection that was shut',
+        'serve a request that arrives after the shutdown',
         WIRE + 'strict_protocol.py',
         'if was_shut or not first:',
         'if not first:',
@@ -1036,7 +1036,7 @@
         'store_reads',
     ),
     Mutation(
-        'bound large answers as a whole',
+        'apply the call time-out to large response bodies',
         WIRE + 'http_client.py',
         'deadline = self._clock.now() + body_timeout_ms',
         'pass',
