--- a/src/peridotmast/platform/dialect.py
+++ b/src/peridotmast/platform/dialect.py
@@ -68,7 +68,7 @@
     def verdict(
         self, exchange: exchange_.Exchange, head: connection.ResponseHead
     ) -> dialect.Verdict:
-        """Return how a response head is to be interpreted."""
+        """Classify a response by its head."""
         if head.status == _MISDIRECTED_REQUEST:
             return Verdict.ELSEWHERE
         echoed = head.get(names.REQUEST_ID)
--- a/src/peridotmast/platform/directory.py
+++ b/src/peridotmast/platform/directory.py
@@ -44,8 +44,8 @@
             return web.error_response(
                 503, 'unavailable', 'no router is available'
             )
-        answer = {names.ADDRESSES: addresses, names.TTL_S: self._ttl_s}
-        return web.json_response(answer)
+        body = {names.ADDRESSES: addresses, names.TTL_S: self._ttl_s}
+        return web.json_response(body)
 
     def _on_readiness(self, req: web.Request) -> web.Response:
         me = self._members.me
--- a/src/peridotmast/platform/names.py
+++ b/src/peridotmast/platform/names.py
@@ -16,7 +16,7 @@
 TOKEN_COUNTS = 'X-Token-Counts'
 """Number of prompt tokens and maximum number of response tokens."""
 PROMPT_PARTS = 'X-Prefix-Hash'
-"""``ID:TOKENS`` of each prompt part; despite the name it is no hash."""
+"""``ID:TOKENS`` of each prompt part; despite the name, not a hash."""
 SEAL = 'X-Response-Seal'
 """Signature of an upstream on its response."""
 TEAM = 'X-Tenant'
@@ -50,8 +50,8 @@
 COPY_PATH = '/kv-handle'
 LEAVES_MS = 'leaves_ms'
 BORN = 'born'
-"""Start time of an upstream process, in ms since 1970, in its report and its
-store entry."""
+"""Start time of an upstream's current incarnation, in ms since 1970, in its
+report and its store entry."""
 TARGET = 'target'
 LAST = 'last'
 HANDLE = 'handle'
--- a/src/peridotmast/platform/object_codec.py
+++ b/src/peridotmast/platform/object_codec.py
@@ -16,7 +16,7 @@
 _NAME = re.compile(r'"name"\s*:\s*"([^"\\]+)"')
 _REVISION = re.compile(rf'"{names.REVISION}"\s*:\s*([0-9]+)')
 _DELETED = re.compile(rf'"{names.DELETED}"\s*:\s*true')
-_LIST_FIELD = re.compile(
+_RESPONSE_FIELD = re.compile(
     rf'"({names.HAS_MORE}|{names.AT_REVISION})"\s*:\s*(true|false|[0-9]+)'
 )
 
@@ -24,9 +24,10 @@
 def parse_list(body: bytes, key: str) -> dict[str, ty.Any]:
     """Parse a response with a list of objects or events under `key`.
 
-    If the response is not valid JSON, each valid list item is kept. For a
-    malformed item only the name and revision are kept, so that one malformed
-    object does not hide the other objects of the list.
+    If the response is not valid JSON, each valid list item is kept, so that
+    one malformed object does not hide the other objects of the list. Of a
+    malformed item, only the name, the revision and the deletion mark are
+    kept; it is dropped if its name or revision can't be read.
 
     Raises
     ------
@@ -74,7 +75,7 @@
     other_text = text[: start.start()] + text[end:]
     response: dict[str, ty.Any] = {
         name: json.loads(value)
-        for name, value in _LIST_FIELD.findall(other_text)
+        for name, value in _RESPONSE_FIELD.findall(other_text)
     }
     response[key] = [found for item in items if (found := _recover_item(item))]
     return response
@@ -113,7 +114,10 @@
 
 
 def _recover_item(text: str) -> ty.Any:
-    """Return one list item; only its metadata if it is malformed."""
+    """Return one list item; a stub with its metadata if it is malformed.
+
+    Returns None if the metadata can't be read either.
+    """
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
--- a/src/peridotmast/wire/request_body.py
+++ b/src/peridotmast/wire/request_body.py
@@ -48,7 +48,7 @@
 
 
 def read_chunks(reader: ty.Any, max_bytes: int) -> bytes:
-    """Read a chunked body and reject lenient syntax."""
+    """Read a chunked body; only strictly valid syntax is accepted."""
     if reader.should_send_hundred_continue:
         reader.send_hundred_continue_response()
         reader.is_hundred_continue_response_sent = True
--- a/src/peridotmast/wire/socket_reader.py
+++ b/src/peridotmast/wire/socket_reader.py
@@ -38,7 +38,7 @@
 
     @property
     def pending(self) -> int:
-        """Number of buffered bytes."""
+        """Number of bytes that are received but not read yet."""
         return len(self._buffer)
 
     def readline(self, limit: int = -1) -> bytes:
