--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -1,123 +1,123 @@
-Feature: Routers find each other and speak for each other
+Feature: Routers discover each other and share what they know
 
-  Scenario: All routers are in every answer on where to connect
+  Scenario: Every directory lists all routers
     Given a fleet of 3 routers
-    Then every directory names all 3, near ones first
-
-  Scenario: Routers find each other through the store alone
-    Given a fleet of 3 routers that know no seeds
-    Then every directory names all 3, near ones first
-
-  # Seen: 33 of 195 routers served a third of all requests, up to 306 where others
-  # had 30. How: callers were named those of their failure domain and the first 30 of
-  # the others by name, the same ones in every answer. Proof: answers of many routers.
-  Scenario: No router is named to many more callers than another one
-    Given 195 routers in 6 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64, all of the caller's failure domain first
+    Then every directory lists all 3 routers, those of its failure domain first
+
+  Scenario: Routers discover each other through the store alone
+    Given a fleet of 3 routers without seeds
+    Then every directory lists all 3 routers, those of its failure domain first
+
+  # Guards against uneven load: 33 of 195 routers served a third of all requests, up to
+  # 306 each where others had 30. Directories listed the routers of the caller's failure
+  # domain and then always the same first 30 others by name.
+  Scenario: All routers are listed about equally often
+    Given 195 routers in 6 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers, all of the caller's failure domain first
     And no router is named more than 1.5 times as often as the mean
 
-  Scenario: A failure domain of more routers than an answer holds
-    Given 330 routers in 3 failure domains, as 12 of them know them
-    When callers of each failure domain ask them 20 times each
-    Then each answer names 64 of the caller's failure domain
+  Scenario: A failure domain has more routers than a directory lists
+    Given 330 routers in 3 failure domains, all known to 12 of them
+    When callers of each failure domain ask each of these for routers 20 times
+    Then each answer names 64 routers of the caller's failure domain
     And no router is named more than 1.5 times as often as the mean
 
-  Scenario: A router that joins in an outage is found through its seeds
+  Scenario: A router that joins during a store outage is found through seeds
     Given a fleet of 2 routers
-    When the store is out and a third router starts
-    Then every directory names all 3, near ones first
+    When the store is unavailable and a third router starts
+    Then every directory lists all 3 routers, those of its failure domain first
 
-  Scenario: A router that comes back under its name is its next run
+  Scenario: A restarted router with the same name counts as a new run
     Given a fleet of 3 routers
-    When a router is killed and started again
-    Then every directory names all 3, near ones first
-
-  # Seen: 195 routers that had all been killed entered the store anew by four calls
-  # each, with three for what else it tells: the writing was refused since the entry
-  # was there, and what was there said the same.
-  Scenario: A router that starts again at its address is found by what it wrote
-    Given a store that 5 routers have entered
-    When one of them starts again at its address
-    Then it knows all the others after 1 call of the store
-
-  Scenario: A router that starts again elsewhere says so
-    Given a store that 5 routers have entered
-    When one of them starts again at another address
-    Then it knows all the others after 3 calls of the store
-    And one that starts after it finds it at its new address
-
-  Scenario: A router whose entry was not answered enters once
-    Given a store that 5 routers have entered
-    When its entry is not answered, and it tries again
-    Then it knows all the others, who find it
-
-  Scenario: Of two that start at once at least one knows the other
-    Given a store that 0 routers have entered
-    When two start at once, each step of the one between two of the other
-    Then at least one of them knows the other
-
-  Scenario: A beacon that nobody signed changes nothing
+    When a router is killed and restarted
+    Then every directory lists all 3 routers, those of its failure domain first
+
+  # Guards against needless store calls: 195 routers that had all been killed needed
+  # four calls each to enter the store again, with three for its other contents. Their
+  # writes were refused because the entries, with the same content, already existed.
+  Scenario: A router that restarts at its address keeps its store entry
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at its address
+    Then it knows all other routers after 1 call to the store
+
+  Scenario: A router that restarts at another address updates its store entry
+    Given a store with the entries of 5 routers
+    When one of these routers restarts at another address
+    Then it knows all other routers after 3 calls to the store
+    And a router that starts later finds it at its new address
+
+  Scenario: A router whose first write got no reply has one store entry
+    Given a store with the entries of 5 routers
+    When a new router gets no answer to its entry, and retries
+    Then it knows all other routers, and a later one finds it
+
+  Scenario: Of two routers that start concurrently at least one knows the other
+    Given a store with the entries of 0 routers
+    When two routers start at once, with their calls interleaved
+    Then at least one of the two knows the other
+
+  Scenario: An unsigned beacon is ignored
     Given a fleet of 2 routers that sign their beacons
-    When a forged beacon says that a third router serves
-    Then no router has heard of a third one
-    And every directory names all 2, near ones first
+    When a forged beacon announces a third router
+    Then no router knows a third router
+    And every directory lists all 2 routers, those of its failure domain first
 
-  Scenario: A revision that nothing is left of is not asked for for ever
+  Scenario: A revision without any record is not requested forever
     Given a fleet of 2 routers
-    When one router's upstreams go up to a revision without a record
-    Then the other one is level with it within 1500 ms
-    And it began no watch anew
-
-  Scenario: Readiness
-    Given a router that starts while the store is out
-    Then it is not ready
-    When the store is back
-    Then it is ready within 4000 ms
-
-  # Seen: after 195 routers had started at once each had begun three watches of the
-  # store, since it had heard of nobody yet: 184 of them asked anew for all three when
-  # the store failed 5 s later, and each news was told to all by the store.
-  Scenario: Of those that start at once few watch the store
-    Given 40 members that start at once and know each other
-    Then 6 of them watch each kind
-    When 1600 ms pass in which 20 of them say nothing
-    Then 6 of them watch each kind
-
-  Scenario: In large fleets few routers watch the store
+    When one router reaches an upstream revision that no record has
+    Then the other router reaches the same revision within 1500 ms
+    And the other router restarts no watch
+
+  Scenario: A router is ready only after it has read the store
+    Given a router that starts while the store is down
+    Then the router is not ready
+    When the store is available again
+    Then the router is ready within 4000 ms
+
+  # Guards against a thundering herd at the store. Of 195 routers that started at once,
+  # each began three watches because it knew no peer yet: 184 of them repeated all three
+  # when the store failed 5 s later, and the store sent every change to all of them.
+  Scenario: Of routers that start at once only a few watch the store
+    Given 40 members that start together and know each other
+    Then 6 of the members watch each kind
+    When 1600 ms pass in which 20 of the members send nothing
+    Then 6 of the members watch each kind
+
+  Scenario: In a large fleet only a few routers watch the store
     Given 40 members that hear each other
-    Then 6 of them watch each kind
-    When half of them fall silent
-    Then 6 of the others watch each kind
-
-  Scenario: Who does not watch asks for news at once, who does after a while
-    Given a router that does not watch and one that does
-    When both hear that a peer is ahead, twice within 250 ms
-    Then the one that does not watch has asked it
-    And the other one has not
-    When both hear it once more after 100 ms
-    Then the other one has asked it too
-
-  Scenario: News reaches every router of a fleet of which few watch
+    Then 6 of the members watch each kind
+    When half of the members fall silent
+    Then 6 of the remaining members watch each kind
+
+  Scenario: A router without a watch asks a peer at once, one with a watch later
+    Given a router that does not watch the store and one that does
+    When both receive two beacons 250 ms apart from a peer that is ahead
+    Then the router that does not watch calls the peer
+    And the router that watches does not call the peer
+    When both receive another such beacon after 100 ms
+    Then the router that watches calls the peer too
+
+  Scenario: Changes reach all routers although only a few watch the store
     Given a fleet of 12 routers
-    When an engine says that it leaves
-    Then every router knows it within 2000 ms
+    When an engine announces that it is leaving
+    Then every router marks the engine as leaving within 2000 ms
     When the operators change the configuration 1 times
-    Then the last one is in force everywhere within 2000 ms
+    Then every router has the last version in force within 2000 ms
 
-  Scenario: What was decided on a request is told by its id
+  Scenario: Operators can look up the decisions on a request by its id
     Given a fleet of 2 routers
-    When a caller asks one router and an operator asks the other for its id
-    Then the operator is told upstream, status and duration
-    And what the upstream was chosen by
+    When a caller sends a request to one router and an operator looks it up at the other
+    Then the operator gets the upstream, the status and the duration
+    And the operator gets the data behind the choice of the upstream
 
-  Scenario: Metrics and health
+  Scenario: Metrics and health are reported
     Given a fleet of 1 routers
     When 3 requests are sent to "/holds/seat"
-    Then its metrics count 3 requests with status 200 and their latencies
-    And its health says which versions are in force
+    Then the metrics count 3 requests with status 200 and their latencies
+    And the health endpoint reports the versions in force
 
-  Scenario: A span for each hop
-    Given a fleet of 1 routers that write spans
-    When a caller sends a request with a trace
-    Then the spans of router and attempt belong to it
+  Scenario: Router and attempt have spans of the trace of the caller
+    Given a fleet of 1 routers that export spans
+    When a caller sends a request with a trace context
+    Then the router and attempt spans belong to that trace
--- a/features/strict.feature
+++ b/features/strict.feature
@@ -8,8 +8,8 @@
       """
       <head>
       """
-    Then the raw answer begins with "HTTP/1.1 <status>" and the connection ends
-    And no upstream got anything
+    Then the raw response starts with "HTTP/1.1 <status>" and the connection is closed
+    And no upstream received a request
 
     Examples:
       | status | head                                                            |
@@ -36,25 +36,25 @@
   Scenario: A request body that exceeds the size limit
     When a caller sends a body of 5000000 bytes
     Then the status is 413
-    And no upstream got anything
+    And no upstream received a request
 
   Scenario: A chunked body reaches the upstream completely
     When a caller sends the body "seat 7" in chunks of 2 bytes
-    Then the raw answer ends with "done:seat 7"
+    Then the raw response ends with "done:seat 7"
 
   Scenario: An incomplete body is not forwarded
-    When a caller sends half of its body and closes
-    Then no upstream got anything
+    When a caller sends half of its body and closes the connection
+    Then no upstream received a request
 
   Scenario: A caller that shuts down sending within its body gets an error
-    When a caller sends half of its body and ends its side
-    Then the raw answer begins with "HTTP/1.1 400" and the connection ends
-    And no upstream got anything
+    When a caller sends half of its body and half-closes the connection
+    Then the raw response starts with "HTTP/1.1 400" and the connection is closed
+    And no upstream received a request
 
   Scenario: An endless request head is refused after a time-out
-    Given callers have 300 ms for their heads
-    When a caller sends a head that never ends
-    Then the raw answer begins with "HTTP/1.1 408" and the connection ends
+    Given a header timeout of 300 ms
+    When a caller sends headers that never end
+    Then the raw response starts with "HTTP/1.1 408" and the connection is closed
 
   Scenario: A request smuggled in the body of another request is not run
     When a caller sends a body that looks like a request
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -27,7 +27,7 @@
     def __init__(self, timeout_ms: int) -> None:
         self._http = http_client.HttpClient(timeout_ms)
 
-    def leaves_ms(
+    def remaining_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
         """Return the time until an engine leaves, in ms; 0 if unknown."""
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -1,4 +1,4 @@
-"""What routers know of each other: beacons out and in, and what follows."""
+"""State exchange between routers: beacons in and out, and their effects."""
 
 from __future__ import annotations
 
@@ -22,44 +22,47 @@
 from peridotmast.serving import quota as quota_
 from peridotmast.serving import upstream_view
 
-_GROUP_SILENT_MS = 2000
-"""Silence after which a group's work counts no more, and another head may be
-followed: four of its beacons."""
+_GROUP_TIMEOUT_MS = 2000
+"""Silence after which a group's load is dropped and another head may be
+accepted: four of its beacons."""
 
-_LOOK_MS = 500
-"""Time for which the groups are not looked at anew: a round."""
+_GROUPS_TTL_MS = 500
+"""How long the computed groups are cached: one round."""
 
-_FLEET = 'fleet'
-"""The way by which a member hears of all others."""
+_FLEET_SOURCE = 'fleet'
+"""Source of the totals that a group member receives from its head."""
 
 
 class _Role(ty.NamedTuple):
-    """By which way a router hears of the others' counts."""
+    """How a router receives the counts of the other routers."""
 
     split: bool
-    """Whether there are groups."""
+    """Whether the fleet is split into groups."""
     leads: bool
-    """Whether it is the head of its own."""
+    """Whether this router is the head of its group."""
     groups: int
 
 
 class Peering:
-    """Joins the state that routers share to the parts that keep it.
+    """Exchanges the shared state with other routers.
+
+    Received beacons are passed to the components that hold the state, and
+    beacons to be sent are built from them.
 
     Parameters
     ----------
     clock : clock.Clock
-        Times silences and words of outages.
+        Times silences and reports of outages.
     fleet_state : fleet_state.FleetState
-        What is known from the store, and of the members.
+        State from the store, and the members.
     serving : serving.Serving
-        What is counted on the way of requests.
+        Components that count requests.
     totals : shared_totals.SharedTotals
-        What routers count together.
+        Counts of all routers.
     lease : lease.Lease
         The lease on the duties.
     catch_up : catch_up.CatchUp
-        Asks peers that are ahead.
+        Fetches missing state from peers that are ahead.
     """
 
     def __init__(
@@ -80,16 +83,16 @@
         self._lease = lease
         self._catch_up = catch_up
         self.updates = update_beacons_.UpdateBeacons(fleet_state, catch_up)
-        """What this router tells all others at once."""
+        """Builds and receives beacons that are sent between rounds."""
         self._outages = outage_reports.OutageReports(
             clock, fleet_state.check_store
         )
         self._totals = totals
         self._groups = groups_.Groups(members)
         self.borrowing = quota_borrowing_.QuotaBorrowing(
-            members, serving.quota, self._look_if_split
+            members, serving.quota, self._current_groups_if_split
         )
-        """What heads lend of the teams' limits."""
+        """Borrows team quota from the group head, or lends it."""
         self.rounds = beacon_rounds_.BeaconRounds(
             clock,
             fleet_state,
@@ -100,38 +103,42 @@
             lease,
             self._outages,
             self._groups,
-            self._look,
+            self._current_groups,
         )
-        """What this router tells in its rounds."""
+        """Builds the beacons that are sent in rounds."""
         self._gaps = report_gaps_.ReportGaps(clock, serving.quota.max_spends)
         self._role = _Role(False, False, 1)
-        self._group_heard: dict[int, int] = {}
+        self._group_heard_at: dict[int, int] = {}
         serving.quota.count_routers = serving.retry_budget.routers = (
             members.sharer_count
         )
         serving.quota.has_stale_peer_data = self.has_delayed_totals
         serving.crashes.relays_updates = self.has_delayed_totals
-        self._followed = '', -_GROUP_SILENT_MS
-        self._looked: tuple[ty.Optional[groups_.GroupSnapshot], int] = None, 0
+        self._accepted_head = '', -_GROUP_TIMEOUT_MS
+        self._cached_groups: tuple[ty.Optional[groups_.GroupSnapshot], int] = (
+            None,
+            0,
+        )
         self._log = logs.get('peering', router=members.me.name)
 
     def load_beacons(self, view: upstream_view.UpstreamView) -> beacons_.Round:
-        """Return news of this router's work at an upstream, and for whom.
+        """Return a beacon with this router's load at an upstream.
 
-        In a large fleet there are too many to tell each other.
+        Nothing is sent in a large fleet, which has too many routers for each
+        to report to all others.
         """
         if self._groups.is_grouped():
             return []
         me = self._members.me
-        news = pb.LoadNews(
+        load_news = pb.LoadNews(
             router=me.name,
             incarnation=me.incarnation,
             load=self._table.local_load(view),
         )
-        return [(pb.Beacon(load_news=news), self._members.live_peers())]
+        return [(pb.Beacon(load_news=load_news), self._members.live_peers())]
 
     def serving_beacons(self) -> beacons_.Round:
-        """Return updates on crashes and upstreams' limits, for all peers."""
+        """Return crash and upstream limit updates for all peers."""
         crashes, limits = self._serving.crashes, self._serving.limits
         beacon = self.updates.build_serving(
             crashes.updates(), limits.updates()
@@ -139,9 +146,9 @@
         return [(beacon, self._members.peers())]
 
     def receive(self, beacon: pb.Beacon) -> None:
-        """Take in a peer's beacon."""
+        """Apply the contents of a peer's beacon."""
         if beacon.HasField('load_news'):
-            self._take_load(beacon.load_news)
+            self._apply_load(beacon.load_news)
             return
         if beacon.HasField('limit_ask'):
             self.borrowing.handle_request(beacon.limit_ask)
@@ -163,7 +170,7 @@
             self._members.learn(beacon.other)
         for changed in beacon.changed:
             self._members.learn(changed)
-        self._take_totals(beacon)
+        self._apply_totals(beacon)
         if beacon.outage_felt:
             self._outages.record(member.name, beacon.HasField('own'))
         self.rounds.set_needs_levels(member.name, beacon.untold)
@@ -174,7 +181,7 @@
         self._catch_up.compare(beacon)
 
     def tick(self) -> None:
-        """Take note of who has fallen silent."""
+        """Expire the state of routers and groups that have fallen silent."""
         self._members.tick()
         heard = self._members.live_peers()
         quota = self._serving.quota
@@ -186,151 +193,164 @@
             else quota_.STARTUP_WAIT_MS
         )
         quota.tick()
-        limit = self._clock.now() - _GROUP_SILENT_MS
-        self._group_heard = {
-            group: at for group, at in self._group_heard.items() if at >= limit
+        oldest = self._clock.now() - _GROUP_TIMEOUT_MS
+        self._group_heard_at = {
+            group: at
+            for group, at in self._group_heard_at.items()
+            if at >= oldest
         }
-        self._outages.discard_before(limit)
-        look, split = self._look(), self._groups.is_grouped()
+        self._outages.discard_before(oldest)
+        groups, split = self._current_groups(), self._groups.is_grouped()
         if split:
-            self._totals.add_estimates(self._gaps.tick(self._shares(look)))
+            self._totals.add_estimates(self._gaps.tick(self._shares(groups)))
         self._totals.prune(
             {p.member.name for p in self._members.peers()},
-            look.live_member_names()
+            groups.live_member_names()
             if split
             else {peer.member.name for peer in heard},
-            self._group_heard,
-            split and not look.is_head,
+            self._group_heard_at,
+            split and not groups.is_head,
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether others' work is known later than it lasts."""
+        """Return whether others' load may be over before it is reported."""
         return self._groups.is_grouped()
 
-    def is_outage_felt(self) -> bool:
-        """Return whether what is missing may be missing due to an outage."""
+    def is_outage_suspected(self) -> bool:
+        """Return whether missing entries may be due to a store outage."""
         is_heard = self._outages.has_recent()
         return is_heard or self._fleet_state.outage.is_suspected()
 
-    def _take_load(self, news: pb.LoadNews) -> None:
+    def _apply_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
         if peer is None or not peer.last_beacon_at:
             return
         if news.incarnation == peer.member.incarnation:
             self._table.set_peer_load(news.router, news.load)
 
-    def _take_totals(self, beacon: pb.Beacon) -> None:
-        """Take in what a peer counts, as far as it is the one to tell it."""
+    def _apply_totals(self, beacon: pb.Beacon) -> None:
+        """Apply those totals of a peer that this router must take from it."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_grouped()
-        look = self._look()
+        groups = self._current_groups()
         if beacon.HasField('own'):
             clock.record_peer(name, beacon.wall_ms)
-            counted = not split or (look.is_head and look.is_member(name))
+            counted = not split or (groups.is_head and groups.is_member(name))
             self._totals.update_peer(name, run, beacon.own, counted)
         if beacon.HasField('group'):
             clock.record_peer(name, beacon.wall_ms)
-            group = look.group_of(name)
-            self._group_heard[group] = self._clock.now()
-            told_of = () if beacon.others_alive else look.names_in(group)
-            self._members.apply_head_report(beacon.alive, told_of)
-            counted = split and look.is_head
+            group = groups.group_of(name)
+            self._group_heard_at[group] = self._clock.now()
+            covered = () if beacon.others_alive else groups.names_in(group)
+            self._members.apply_head_report(beacon.alive, covered)
+            counted = split and groups.is_head
             self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
-                self._close_gap(_source(group), (name, run), look)
-        if beacon.HasField('others') and self._follows(name):
-            told_of = () if beacon.others_alive else self._members.peer_names()
-            self._members.apply_head_report(beacon.alive, told_of)
-            counted = split and not look.is_head
+                self._close_gap(_group_source(group), (name, run), groups)
+        if beacon.HasField('others') and self._accepts(name):
+            covered = () if beacon.others_alive else self._members.peer_names()
+            self._members.apply_head_report(beacon.alive, covered)
+            counted = split and not groups.is_head
             if counted:
                 clock.follow_head(beacon.wall_ms)
             self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
-                self._close_gap(_FLEET, (name, run), look)
+                self._close_gap(_FLEET_SOURCE, (name, run), groups)
 
     def _close_gap(
-        self, source: str, teller: tuple[str, int], look: groups_.GroupSnapshot
+        self,
+        source: str,
+        reporter: tuple[str, int],
+        groups: groups_.GroupSnapshot,
     ) -> None:
-        """Take note that a source is told of."""
-        share = self._shares(look).get(source, 0.0)
-        self._totals.add_estimates(self._gaps.on_report(source, teller, share))
+        """Record a report from a source and add estimates for the gap."""
+        share = self._shares(groups).get(source, 0.0)
+        self._totals.add_estimates(
+            self._gaps.on_report(source, reporter, share)
+        )
 
-    def _shares(self, look: groups_.GroupSnapshot) -> dict[str, float]:
-        """Return the parts of the fleet that others tell this router of.
+    def _shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
+        """Return the share of the fleet that each source reports on.
 
-        Only of those that count as there: what the others might spend comes
-        off the limits already.
+        Only routers that are heard are included: what the missing ones might
+        spend is deducted from the limits elsewhere.
         """
-        whole = self._members.sharer_count()
-        if not look.is_head:
-            return {_FLEET: len(self._members.live_peers()) / whole}
+        fleet_size = self._members.sharer_count()
+        if not groups.is_head:
+            return {
+                _FLEET_SOURCE: len(self._members.live_peers()) / fleet_size
+            }
         return {
-            _source(group): look.live_count(group) / whole
-            for group in range(look.count)
-            if group != look.own_group
+            _group_source(group): groups.live_count(group) / fleet_size
+            for group in range(groups.count)
+            if group != groups.own_group
         }
 
-    def _follows(self, head: str) -> bool:
-        """Return whether `head` is the one whose totals are gone by.
+    def _accepts(self, head: str) -> bool:
+        """Return whether the totals of `head` are accepted.
 
-        For a moment two may think that they are; what both tell counts
-        once. The one that this router takes for the head is followed at
-        once, another one only in silence.
+        Two routers may briefly both act as the head; what both report counts
+        only once. The router that is the head in this router's view is
+        accepted at once, any other one only after the accepted head has been
+        silent.
         """
         now = self._clock.now()
-        followed, at = self._followed
-        first = [
-            peer.member.name for peer in self._look().head_and_successor()[:1]
+        accepted, at = self._accepted_head
+        expected = [
+            peer.member.name
+            for peer in self._current_groups().head_and_successor()[:1]
         ]
-        known = head == followed or head in first
-        if not known and now - at < _GROUP_SILENT_MS:
+        is_expected = head == accepted or head in expected
+        if not is_expected and now - at < _GROUP_TIMEOUT_MS:
             return False
-        self._followed = head, now
+        self._accepted_head = head, now
         return True
 
-    def _look(self) -> groups_.GroupSnapshot:
-        """Return the groups, as they were a moment ago at most."""
+    def _current_groups(self) -> groups_.GroupSnapshot:
+        """Return the groups, at most `_GROUPS_TTL_MS` old."""
         now = self._clock.now()
-        look, at = self._looked
-        if look is None or now - at >= _LOOK_MS:
-            look = self._groups.snapshot()
-            self._looked = look, now
-            self._take_role(look)
-        return look
+        groups, at = self._cached_groups
+        if groups is None or now - at >= _GROUPS_TTL_MS:
+            groups = self._groups.snapshot()
+            self._cached_groups = groups, now
+            self._update_role(groups)
+        return groups
 
-    def _look_if_split(self) -> ty.Optional[groups_.GroupSnapshot]:
-        return self._look() if self._groups.is_grouped() else None
+    def _current_groups_if_split(self) -> ty.Optional[groups_.GroupSnapshot]:
+        return self._current_groups() if self._groups.is_grouped() else None
 
-    def _take_role(self, look: groups_.GroupSnapshot) -> None:
-        """Take note of whether this router leads, and of how many groups.
+    def _update_role(self, groups: groups_.GroupSnapshot) -> None:
+        """Record whether this router is a head, and the number of groups.
 
-        Each change of the way by which it hears of the others' counts could
-        count some of them twice.
+        A new role may change the source of the other routers' counts, which
+        must not count any of them twice.
         """
         split = self._groups.is_grouped()
-        role = _Role(split, split and look.is_head, look.count if split else 1)
-        known, self._role = self._role, role
-        if role.leads and not known.leads:
+        role = _Role(
+            split, split and groups.is_head, groups.count if split else 1
+        )
+        previous, self._role = self._role, role
+        if role.leads and not previous.leads:
             self.rounds.start_leading()
         if role.leads or not split:
             self._fleet_state.fleet_clock.use_own_median()
-        if role.groups != known.groups:
-            everybody = not split
+        if role.groups != previous.groups:
+            keep_all = not split
             self._totals.retain_members(
-                lambda name: everybody or look.is_member(name)
+                lambda name: keep_all or groups.is_member(name)
             )
-        if role != known:
+        if role != previous:
             self._totals.change_source()
-            self._gaps.reset(self._shares(look) if split else ())
+            self._gaps.reset(self._shares(groups) if split else ())
             self._log.info(
                 'role',
                 groups=role.groups,
-                group=look.own_group if split else 0,
+                group=groups.own_group if split else 0,
                 leads=role.leads,
             )
 
 
-def _source(group: int) -> str:
-    """Return the way by which a head hears of another group."""
+def _group_source(group: int) -> str:
+    """Return the source of the totals that a head receives for a group."""
     return f'group-{group}'
