--- a/src/peridotmast/platform/cloud_api.py
+++ b/src/peridotmast/platform/cloud_api.py
@@ -82,7 +82,7 @@
         left_ms = self._remaining_ms(fencing)
         if not left_ms:
             return failures.not_run(DUTIES_NOT_HELD)
-        reply = self._http.request(
+        response = self._http.request(
             'POST',
             self.address,
             path,
@@ -91,13 +91,13 @@
             timeout_ms=min(self._timeout_ms, left_ms),
             may_send=lambda: self._remaining_ms(fencing) > 0,
         )
-        if isinstance(reply, failures.Failure):
-            return reply
-        if reply.status == _CONFLICT:
-            return failures.conflict(NO_CAPACITY, reply.body[:200].decode())
-        if reply.status not in (200, 201, 204):
-            detail = reply.body[:200].decode('latin-1')
+        if isinstance(response, failures.Failure):
+            return response
+        if response.status == _CONFLICT:
+            return failures.conflict(NO_CAPACITY, response.body[:200].decode())
+        if response.status not in (200, 201, 204):
+            detail = response.body[:200].decode('latin-1')
             return failures.unavailable(
-                'cloud_refused', f'{reply.status} {detail}'
+                'cloud_refused', f'{response.status} {detail}'
             )
         return None
--- a/src/peridotmast/platform/engine_control.py
+++ b/src/peridotmast/platform/engine_control.py
@@ -31,13 +31,13 @@
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
         """Return the time until an engine leaves, in ms; 0 if unknown."""
-        reply = self._http.request('GET', address, names.REPORT_PATH)
-        if isinstance(reply, failures.Failure):
-            return reply
-        if reply.status != 200:
-            return failures.unavailable('no_report', str(reply.status))
+        response = self._http.request('GET', address, names.REPORT_PATH)
+        if isinstance(response, failures.Failure):
+            return response
+        if response.status != 200:
+            return failures.unavailable('no_report', str(response.status))
         try:
-            fields = fields_.Fields(reply.json(), 'report')
+            fields = fields_.Fields(response.json(), 'report')
             left_ms = fields.number(names.LEAVES_MS, 0)
             reported_born = fields.integer(names.BORN, 0) or born
             fields.raise_if_malformed()
@@ -59,21 +59,21 @@
             not accept the copy, the copy stays at the source.
         """
         body = {'id': request_id, names.TARGET: target, names.LAST: True}
-        reply = self._http.request('POST', address, names.MOVE_PATH, body)
-        if isinstance(reply, failures.Failure):
-            return failures.unknown(reply.reason, reply.detail)
-        if reply.status == _RUN_NOT_FOUND:
+        response = self._http.request('POST', address, names.MOVE_PATH, body)
+        if isinstance(response, failures.Failure):
+            return failures.unknown(response.reason, response.detail)
+        if response.status == _RUN_NOT_FOUND:
             return failures.missing('no_run', request_id)
-        if reply.status == _ALREADY_MOVING:
+        if response.status == _ALREADY_MOVING:
             return failures.conflict('moving', request_id)
-        if reply.status not in (200, _COPY_REFUSED):
-            return failures.unknown('move_failed', str(reply.status))
+        if response.status not in (200, _COPY_REFUSED):
+            return failures.unknown('move_failed', str(response.status))
         try:
-            fields = fields_.Fields(reply.json(), 'move')
+            fields = fields_.Fields(response.json(), 'move')
             handle = fields.string_or_integer(names.HANDLE)
             fields.raise_if_malformed()
         except ValueError as exc:
             return failures.unknown('move_garbled', str(exc)[:200])
         return stream_migrator.KvCopy(
-            f'{address}/{handle}', reply.status == 200
+            f'{address}/{handle}', response.status == 200
         )
