--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -27,7 +27,7 @@
 from peridotmast.platform import upstream_codec
 from peridotmast.schema import peridotmast_pb2 as pb
 from peridotmast.serving import upstreams as upstreams_
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 
 SCALARS = strategies.one_of(
     strategies.none(),
@@ -94,7 +94,7 @@
     for spec in (None, [], 'a', 7, {}):
         item = {names.META: {'name': name, names.REVISION: 50}}
         item[names.SPEC] = spec
-        stored = store_.documents.stored(item)
+        stored = store_.object_codec.parse_object(item)
         store_outage_steps.apply_change(context, name, stored.spec)
         assert name not in store_outage_steps.live_names(context.upstreams), (
             spec
@@ -142,8 +142,8 @@
             record = upstream_codec.read_upstream(
                 'a', 1, altered(whole, path, value)
             )
-        except fields_.Malformed as exc:
-            assert all(found.place and found.text for found in exc.found)
+        except fields_.MalformedDocumentError as exc:
+            assert all(found.place and found.text for found in exc.findings)
             return
         table.merge(record)
         for view in table.all():
@@ -204,8 +204,8 @@
         assert config_codec.read_version(document) >= 0
         try:
             config_codec.read_config(document)
-        except fields_.Malformed as exc:
-            assert all(found.place and found.text for found in exc.found)
+        except fields_.MalformedDocumentError as exc:
+            assert all(found.place and found.text for found in exc.findings)
 
     config_codec.read_config(whole)
     run_examples(count, paths, JSON, test=one)
@@ -234,7 +234,7 @@
     assert context.config_feed.routes.version == 7
     try:
         config_codec.read_config(context.document)
-    except fields_.Malformed as exc:
+    except fields_.MalformedDocumentError as exc:
         assert 'config routes[0] timeout-ms' in str(exc), exc
     else:
         raise AssertionError('a malformed configuration was read')
@@ -257,8 +257,8 @@
     def __init__(self, body):
         self.body = body
 
-    def call(self, *args, **kwargs):
-        return calls.Reply(200, [], self.body)
+    def request(self, *args, **kwargs):
+        return http_client.Response(200, [], self.body)
 
 
 def answering(body):
@@ -293,7 +293,10 @@
 @then('"a" and "c" are read unchanged, and "b" with an empty value')
 def check_listing(context):
     text = ','.join(context.raw_objects)
-    body = f'{{"{names.ITEMS}":[{text}],"{names.MORE}":false,"{names.AT}":9}}'
+    body = (
+        f'{{"{names.ITEMS}":[{text}],"{names.HAS_MORE}":false,'
+        f'"{names.AT_REVISION}":9}}'
+    )
     listing = answering(body.encode()).list('k')
     assert listing == objects.Listing(context.expected, 9), listing
 
@@ -304,7 +307,7 @@
         f'{{"{names.DELETED}":false,"{names.OBJECT}":{item}}}'
         for item in context.raw_objects
     )
-    body = f'{{"{names.EVENTS}":[{text}],"{names.AT}":9}}'
+    body = f'{{"{names.EVENTS}":[{text}],"{names.AT_REVISION}":9}}'
     changes = answering(body.encode()).watch('k', 1, 0)
     assert changes == objects.Changes(context.expected, 9), changes
 
@@ -312,7 +315,7 @@
 @then('none of {count:d} drawn answers causes an exception')
 def check_drawn_answers(context, count):
     item = raw_object('a', 1, '{"x":1}')
-    listing = f'{{"{names.ITEMS}":[{item}],"{names.AT}":1}}'.encode()
+    listing = f'{{"{names.ITEMS}":[{item}],"{names.AT_REVISION}":1}}'.encode()
 
     def one(at, bytes_):
         body = listing[:at] + bytes_ + listing[at + len(bytes_) :]
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -309,7 +309,7 @@
 
 
 def stream(address, path, tokens, body=b'letter', **options):
-    headers = [(names.TOKENS, f'64,{tokens}')]
+    headers = [(names.TOKEN_COUNTS, f'64,{tokens}')]
     return helpers.send_request(
         address, path, body=body, headers=headers, **options
     )
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -317,7 +317,7 @@
 def received_and_not_reused(context):
     assert (context.head.status, context.body) == (200, b'early')
     assert context.conn.is_clean()
-    assert not context.conn.may_be_kept()
+    assert not context.conn.is_reusable()
 
 
 @then('each request was sent over a new connection')
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -141,7 +141,7 @@
 
     def tick(self) -> None:
         """Update rates and close expired connections."""
-        self.pool.drop_old()
+        self.pool.close_expired()
         self.demand.tick()
         self.crashes.tick()
         self.limits.tick()
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -108,7 +108,7 @@
             run.
         """
         view = reservation.view
-        conn = self._pool.take(view.address)
+        conn = self._pool.acquire(view.address)
         if isinstance(conn, failures.Failure):
             view.health.record_failure()
             return conn
@@ -157,7 +157,7 @@
         attempts = self._attempts.get(sent.reservation.view)
         if attempts is not None:
             attempts.pop(sent.conn, None)
-        self._pool.give_back(sent.reservation.view.address, sent.conn)
+        self._pool.release(sent.reservation.view.address, sent.conn)
 
     def abort_run(self, view: upstream_view.UpstreamView) -> None:
         """Cancel all attempts in progress at a run of an upstream.
@@ -165,7 +165,7 @@
         Another run has started at the same address, so the requests sent to
         this run are lost even if their connections still look open.
         """
-        self._pool.forget(view.address)
+        self._pool.close_idle(view.address)
         for conn in list(self._attempts.pop(view, ())):
             conn.cancel('upstream_restarted')
 
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -316,7 +316,7 @@
                 self._first = self._clock.now(), self.reader.last_id
             return
         self.ended = True
-        self.pending += self.reader.rest
+        self.pending += self.reader.buffered
 
     def take_pending(self) -> bytes:
         """Return the pending events and clear them."""
--- a/src/peridotmast/standin/cloud.py
+++ b/src/peridotmast/standin/cloud.py
@@ -95,8 +95,8 @@
         body = req.json()
         self.reports.append(
             Report(
-                body[names.WINDOW],
-                body[names.COUNTS],
+                body[names.WINDOW_ID],
+                body[names.REQUEST_COUNTS],
                 *self._check_fencing(req, names.USAGE_PATH),
             )
         )
@@ -105,7 +105,7 @@
     def _scale(self, req: web.Request) -> web.Response:
         body = req.json()
         service, domain = body[names.SERVICE], body[names.FAILURE_DOMAIN]
-        count = int(body[names.WANTED])
+        count = int(body[names.DESIRED_COUNT])
         reclaimable = bool(body.get(names.RECLAIMABLE))
         caller = self._check_fencing(
             req, f'{names.SCALE_PATH} {service} {domain}'
--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -16,7 +16,7 @@
 from peridotmast.standin import http_standin
 from peridotmast.standin import upstream_app
 from peridotmast import web
-from peridotmast.wire import calls
+from peridotmast.wire import http_client
 from peridotmast.wire import strict_protocol
 
 _COPY_RETENTION_MS = 5000
@@ -199,7 +199,7 @@
                         remaining = self._muted_until - self._clock.now()
                         green.sleep_ms(max(0, remaining))
                     if self.fault_occurs('cut'):
-                        conn.break_off()
+                        conn.reset()
                         yield data[: len(data) // 2]
                         raise ConnectionResetError(
                             'injected fault: stream cut within an event'
@@ -209,7 +209,7 @@
                 if ended:
                     return
                 if run.stopped:
-                    conn.break_off()
+                    conn.reset()
                     raise ConnectionResetError(
                         'the run moved to another engine'
                     )
@@ -260,7 +260,7 @@
     def _new_run(
         self, request_id: str, environ: dict[str, ty.Any], body: bytes
     ) -> Run:
-        counts = upstream_app.header(environ, names.TOKENS).split(',')
+        counts = upstream_app.header(environ, names.TOKEN_COUNTS).split(',')
         prompt_tokens = int(counts[0] or 1)
         answer_tokens = (
             int(counts[1]) if len(counts) > 1 else _DEFAULT_ANSWER_TOKENS
@@ -375,7 +375,7 @@
         # Two engines may issue the same handle, so a copy is identified by
         # the address of the engine that issued it and the handle.
         copy_id = f'{req.header("Host")}/{handle}'
-        reply = calls.HttpCalls(2000).call(
+        reply = http_client.HttpClient(2000).request(
             'POST',
             body[names.TARGET],
             '/standin/copy',
--- a/src/peridotmast/standin/faulty_app.py
+++ b/src/peridotmast/standin/faulty_app.py
@@ -70,7 +70,7 @@
         loses_reply = self._fault_occurs('lose_reply')
         response = super()._answer(environ, conn)
         if loses_reply:
-            conn.break_off()
+            conn.reset()
             raise ConnectionResetError('injected fault: reply lost')
         return response
 
--- a/src/peridotmast/standin/plain_service.py
+++ b/src/peridotmast/standin/plain_service.py
@@ -68,7 +68,7 @@
         ]
         start('200 OK', headers)
         if self.fault_occurs('cut'):
-            environ[strict_protocol.CONNECTION].break_off()
+            environ[strict_protocol.CONNECTION].reset()
             yield payload[: len(payload) // 2]
             raise ConnectionResetError('injected fault: answer cut short')
         if self.fault_occurs('extra'):
--- a/src/peridotmast/standin/upstream_app.py
+++ b/src/peridotmast/standin/upstream_app.py
@@ -133,10 +133,10 @@
         if self.fault_occurs('hang'):
             green.sleep_ms(_HANG_MS)
         if self.fault_occurs('lose'):
-            conn.break_off()
+            conn.reset()
             raise ConnectionResetError('injected fault: answer lost')
         if self.fault_occurs('garble'):
-            conn.break_off()
+            conn.reset()
             environ['eventlet.input'].get_socket().sendall(b'\x00no answer')
             raise ConnectionResetError('injected fault: garbled answer')
         if self.fault_occurs('error'):
@@ -170,7 +170,7 @@
         self._conn = environ[strict_protocol.CONNECTION]
         self._is_complete = False
         app.in_progress += 1
-        self._conn.watch()
+        self._conn.watch_for_close()
         try:
             self._parts = iter(app.answer(request_id, environ, body, start))
         except BaseException:
@@ -189,7 +189,7 @@
 
     def close(self) -> None:
         """End the count as in progress; the WSGI server calls this."""
-        self._conn.unwatch()
+        self._conn.stop_watching()
         self._app.in_progress -= 1
         if not self._is_complete:
             self._app.abandoned.append(self._id)
--- a/src/peridotmast/web.py
+++ b/src/peridotmast/web.py
@@ -144,13 +144,13 @@
         try:
             response = self._answer(environ, conn)
         except BaseException:
-            conn.unwatch()
+            conn.stop_watching()
             raise
         status = f'{response.status} {_STATUS.get(response.status, "Status")}'
         headers = [('Content-Type', response.content_type), *response.headers]
         start(status, headers)
         if isinstance(response.body, bytes):
-            conn.unwatch()
+            conn.stop_watching()
             response.close()
             return [response.body]
         environ['eventlet.minimum_write_chunk_size'] = 1
@@ -163,9 +163,9 @@
     ) -> Response:
         try:
             body = conn.read_body(self._max_body, self._body_timeout_ms)
-        except request_body.BadBody as exc:
+        except request_body.InvalidBodyError as exc:
             return error_response(exc.status, exc.reason, 'body not taken')
-        conn.watch()
+        conn.watch_for_close()
         req = Request(
             environ['REQUEST_METHOD'],
             environ['PATH_INFO'],
@@ -176,7 +176,7 @@
         )
         try:
             return self._dispatch(req)
-        except (caller_connection.CallerLeft, ConnectionError):
+        except (caller_connection.CallerDisconnected, ConnectionError):
             raise
         except (Exception, green.Timeout) as exc:
             trace = ''.join(traceback.format_exception(exc)[-3:])
@@ -215,7 +215,7 @@
 
     def close(self) -> None:
         """Release the resources of the response; called by the server."""
-        self._conn.unwatch()
+        self._conn.stop_watching()
         self._response.close()
         if hasattr(self._chunks, 'close'):
             self._chunks.close()
