--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -321,7 +321,8 @@
     Mutation(
         'accept a truncated request body',
         WIRE + 'request_body.py',
-        "    if len(body) < length:\n        raise InvalidBodyError(400, 'body_broken')\n",
+        '    if len(body) < length:\n'
+        "        raise InvalidBodyError(400, 'body_broken')\n",
         '',
         'strict',
     ),
@@ -343,7 +344,9 @@
         'forward an incomplete event',
         WIRE + 'event_reader.py',
         '        self._buffer = self._buffer[start:]\n        return',
-        "        complete.append(self._buffer[start:])\n        self._buffer = b''\n        return",
+        '        complete.append(self._buffer[start:])\n'
+        "        self._buffer = b''\n"
+        '        return',
         'streams',
     ),
     Mutation(
