--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -383,7 +383,12 @@
 def check_plan_text(context):
     reservations = event_plan.plan(context.event_config, context.now)
     text = '\n'.join(event_plan.explain(reservations))
-    for part in ('order 6 of pool', 'in all', 'are left without', '#'):
+    for part in (
+        'order 6 of pool',
+        'in all',
+        'are left after losing any',
+        '#',
+    ):
         assert part in text, text
 
 
--- a/src/peridotmast/addresses.py
+++ b/src/peridotmast/addresses.py
@@ -8,7 +8,8 @@
 _MAX_PORT = 65535
 
 _CACHE_SIZE = 1 << 14
-"""Addresses whose check is cached: two for each of 5,700 upstreams."""
+"""Maximum number of addresses whose check is cached: two for each of 5,700
+upstreams."""
 
 
 def check(text: str) -> None:
@@ -17,7 +18,7 @@
     Raises
     ------
     ValueError
-        If it is not; the message states the expected form.
+        If `text` has another form; the message states the expected one.
     """
     host, colon, port = text.rpartition(':')
     is_number = port.isascii() and port.isdigit()
--- a/src/peridotmast/clock.py
+++ b/src/peridotmast/clock.py
@@ -1,4 +1,4 @@
-"""Millisecond clocks; all time-dependent decisions use one of them."""
+"""Clocks in milliseconds, which all time-dependent decisions use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Clock(ty.Protocol):
-    """Source of time; decisions read no other one, so tests can set it."""
+    """Source of time; decisions read no other source, so tests can set it."""
 
     def now(self) -> Millis:
         """Return monotonic time, which is never adjusted, in ms."""
@@ -19,7 +19,7 @@
         """Return monotonic time including suspension of the VM, in ms."""
 
     def wall(self) -> Millis:
-        """Return ms since 1970, which may be adjusted."""
+        """Return the time of day in ms since 1970, which may be adjusted."""
 
 
 class SystemClock:
@@ -43,8 +43,8 @@
 
     A process that was stalled, by a busy or paused machine, has not read the
     messages that arrived meanwhile. This clock advances little during a
-    stall, so that these messages are read before their senders count as
-    silent.
+    stall, so that the process reads these messages before it considers
+    their senders silent.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
     Parameters
     ----------
     start : int
-        Initial reading of all scales, in ms.
+        Initial value of all three times, in ms.
     """
 
     def __init__(self, start: int = 1_000_000) -> None:
--- a/src/peridotmast/duties/capacity_plan.py
+++ b/src/peridotmast/duties/capacity_plan.py
@@ -1,7 +1,7 @@
 """Cheapest number of upstreams by failure domain and by kind.
 
-An upstream is either reclaimable, that is, its VM may be reclaimed by the
-platform, or firm.
+An upstream is of one of two kinds: the platform may reclaim the VM of a
+reclaimable upstream, but not that of a firm one.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 """Number of upstreams by failure domain."""
 
 _MAX_CACHED_PLANS = 64
-"""Capacity of the plan cache: a few plans for each service and state of its
-orders."""
+"""Maximum number of cached plans: a few for each service and each state of the
+service's orders."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,7 +35,7 @@
 
     @property
     def left_after_loss(self) -> int:
-        """Upstreams left after any one failure domain was reclaimed."""
+        """Fewest upstreams left after any one failure domain is reclaimed."""
         return self.total - max(self.reclaimable.values(), default=0)
 
     def without_one(self, domain: str, reclaimable: bool) -> Mix:
@@ -45,12 +45,13 @@
         return Mix(kinds[True], kinds[False])
 
     def describe(self) -> str:
-        """Return one line of text on the redundancy of the mix."""
+        """Return one line of text about the redundancy of the mix."""
         spread = sum(count > 0 for count in self.reclaimable.values())
         return (
-            f'{self.left_after_loss} of {self.total} are left without any one '
-            f'failure domain; {sum(self.reclaimable.values())} reclaimable '
-            f'over {spread} of them, {sum(self.firm.values())} firm'
+            f'{self.left_after_loss} of {self.total} are left after losing '
+            f'any failure domain; '
+            f'{sum(self.reclaimable.values())} reclaimable '
+            f'in {spread} failure domains, {sum(self.firm.values())} firm'
         )
 
 
@@ -61,18 +62,19 @@
     prices: dict[str, float]
     """Price of a firm upstream by failure domain."""
     reclaimable_price: float
-    """Price of a reclaimable upstream, relative to a firm one."""
+    """Price of a reclaimable upstream, as a fraction of the price of a firm
+    one."""
     min_per_domain: int
     """Minimum number of upstreams in one failure domain."""
     max_per_domain: int
     """Maximum number of upstreams in one failure domain."""
     reclaimable_limits: Counts = dataclasses.field(default_factory=dict)
-    """Lower maximum of reclaimable upstreams in domains with a shortage."""
+    """Maximum of reclaimable upstreams in each domain with a shortage."""
     firm_limits: Counts = dataclasses.field(default_factory=dict)
-    """Lower maximum of firm upstreams in domains with a shortage."""
+    """Maximum of firm upstreams in each domain with a shortage."""
 
     def price(self, mix: Mix) -> float:
-        """Return the price of a mix, in upstreams of price 1."""
+        """Return the price of a mix, in the unit of `prices`."""
         return sum(
             price
             * (
@@ -103,8 +105,9 @@
 class PlanCache:
     """Caches plans, since their inputs seldom change.
 
-    The lease holder needs four plans at each tick, and one plan takes 13 ms
-    with 512 upstreams in each failure domain (`peridotmast-load slopes`).
+    The lease holder needs four plans at each tick. To compute a plan takes
+    13 ms with 512 upstreams in each failure domain (`peridotmast-load
+    slopes`).
     """
 
     def __init__(self) -> None:
@@ -140,16 +143,19 @@
 def cheapest_mix(
     market: Market, needed: int, existing: ty.Optional[Mix] = None
 ) -> Mix:
-    """Return the cheapest mix that keeps `needed` after losing any domain.
+    """Return the cheapest mix that has enough upstreams after any loss.
 
     One mix is computed for each possible limit on the reclaimable upstreams
-    in one failure domain. A higher limit means that more are lost with one
-    domain, so that more are required elsewhere; limits above `needed` never
-    pay. Of mixes with the same price, the one with the lowest limit is
-    returned, as it is spread most evenly.
+    in one failure domain. With a higher limit, more upstreams are lost with
+    one domain, so that more are required in other domains. A limit above
+    `needed` never gives a cheaper mix. If several mixes have the same price,
+    the mix with the lowest limit is returned, as its upstreams are spread most
+    evenly over the domains.
 
     Parameters
     ----------
+    needed : int
+        Upstreams that must be left after losing any one failure domain.
     existing : Mix, optional
         Upstreams that already exist; the result has at least these.
     """
@@ -178,9 +184,9 @@
     needed : int
         Upstreams that must be left after losing any one failure domain.
     keep : Counts, optional
-        Reclaimable upstreams to keep. One that starts earlier than the rest
-        of its order adds no redundancy until the rest has started, and would
-        be removed without this.
+        Number of reclaimable upstreams to keep in each failure domain. An
+        upstream that starts before the rest of its order adds no redundancy
+        until the rest has started, and would otherwise be removed.
 
     Returns
     -------
@@ -215,8 +221,8 @@
     """Return the cheapest mix with limited reclaimable upstreams per domain.
 
     Losing a domain takes at most `max_reclaimable` upstreams, so that a total
-    of `needed` plus that many suffices. They are added in the order of price,
-    in one pass over the domains and kinds.
+    of `needed` plus that many suffices. Upstreams are added in one pass over
+    the domains and kinds, the cheapest first.
     """
     reclaimable = {d: existing.reclaimable.get(d, 0) for d in market.prices}
     firm = {d: existing.firm.get(d, 0) for d in market.prices}
@@ -253,9 +259,9 @@
 ) -> None:
     """Raise each failure domain to the minimum number of upstreams.
 
-    Domains without available reclaimable upstreams are skipped: the platform
-    keeps their present upstreams, and a firm one that only satisfies the
-    minimum would be paid for without need.
+    A domain without available reclaimable upstreams is not raised: the
+    platform keeps the upstreams that the domain already has, and a firm
+    upstream that only satisfies the minimum would be paid for without need.
     """
     for domain in market.prices:
         available = market.limit(domain, True)
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -1,4 +1,7 @@
-"""Persistence of blocked requests across a restart of all routers."""
+"""Persistence of blocked requests across a restart of all routers.
+
+A request is blocked after it has crashed several upstreams.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,8 @@
 class CrashBlocks:
     """Stores blocked requests with the lease and restores them from it.
 
-    Routers hold blocks only in memory, which is lost if all routers are
-    killed at once.
+    Routers hold the blocked requests only in memory, which is lost if all
+    routers are killed at once.
 
     Parameters
     ----------
@@ -29,7 +32,7 @@
         return self._crashes.changes
 
     def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
-        """Restore the blocked requests of the previous holder."""
+        """Restore the blocked requests that the previous holder has saved."""
         if state is not None:
             self._crashes.merge_updates(state.crash_suspects)
 
--- a/src/peridotmast/duties/duty.py
+++ b/src/peridotmast/duties/duty.py
@@ -12,7 +12,7 @@
 
     @property
     def state_version(self) -> int:
-        """Incremented at each change that the next holder must know of."""
+        """Incremented at each state change that the next holder must know."""
 
     def start(self, state: ty.Optional[pb.DutiesLeft]) -> None:
         """Take over the duty.
@@ -20,12 +20,12 @@
         Parameters
         ----------
         state : DutiesLeft, optional
-            State saved by the previous holder; None if this run itself held
-            the lease last, so that it still has its own state.
+            State saved by the previous holder; None if this router itself
+            held the lease last, so that it still has its own state.
         """
 
     def run(self, fencing: int) -> None:
-        """Do the work that is due, passing `fencing` with each order."""
+        """Do the work that is due, with `fencing` in each platform call."""
 
     def save(self, state: pb.DutiesLeft) -> None:
         """Write the state that the next holder needs into `state`."""
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -16,29 +16,29 @@
 
 _RENEW_FRACTION = 0.6
 """Remaining fraction of the lease at which it is renewed: early enough for two
-attempts, and no earlier, since each renewal is a call that is paid for."""
+attempts, and no earlier, since each call to the store is paid for."""
 
 _CONTEND_STAGGER_MS = 400
 """Delay between the first attempts of two successive contenders: a few times
-the duration of a write, so that mostly only one contender writes."""
+the duration of a write, so that usually only one contender writes."""
 
 _RETRY_MS = 700
-"""Pause after a failed attempt, and after a renewal before another one that
-only saves the state for the next holder."""
+"""Pause after a failed attempt to take the lease, and minimum time between a
+renewal and another one that only saves the state for the next holder."""
 
 _MAX_NOTIFIED = 3
-"""Number of contenders that are notified of each renewal at once: the first
-ones in order, as some may be lost together with the holder."""
+"""Number of contenders that are notified of each renewal at once: several, as
+some may be lost together with the holder."""
 
 _READ_DELAY_MS = 600
-"""Time without a known holder after which a run reads the lease. The first
-contender takes the lease and sends its beacon within this time, so that the
-routers of a new fleet do not read it. The read would be of no use before the
-guard time of the lease is over either."""
+"""Time without a known holder after which a router reads the lease from the
+store. In a new fleet the first contender takes the lease and sends its beacon
+within this time, so that the other routers need not read the lease. An earlier
+read would also be useless, as the guard time of the lease is not over yet."""
 
 _READ_STAGGER_MS = 25
-"""Delay between the reads of two routers: 40 reads per second in a large
-fleet."""
+"""Delay between the reads of the lease by two successive contenders, which
+gives 40 reads per second in a large fleet."""
 
 
 class DutyHolder:
@@ -46,14 +46,14 @@
 
     Routers learn who holds the lease from the holder's beacons, not from the
     store. The first contenders are also notified of each renewal directly:
-    one that missed a renewal would have to wait for a whole lease. When no
-    beacon has come until the end of the lease, the routers contend one after
-    the other, in the order of their running time, longest first.
+    a contender that missed a renewal would have to wait for the length of a
+    lease. If no beacon arrives before the lease ends, the routers contend one
+    after the other, in the order of their running time, longest first.
 
     After all routers were killed at once, no running router knows the holder.
-    Each new run then reads the lease once. If the previous run at the same
-    endpoint was the holder, the new run takes over the lease without waiting
-    for its turn.
+    Each restarted router then reads the lease once. If the previous run at its
+    endpoint was the holder, it takes over the lease without waiting for its
+    turn.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
     duties : sequence of Duty
         Duties to run while the lease is held.
     clock : clock.Clock
-        Clock for delays and pauses.
+        Clock for the delays and pauses between attempts.
     notify : callable
         Tells the given routers until when the lease is held.
     fleet_now : callable
@@ -96,7 +96,7 @@
         self._vacant_since = 0
         self._retry_at = 0
         self._is_active = False
-        self._may_succeed = True
+        self._may_take_over = True
         self._log = logs.get('duties', router=members.me.name)
 
     def keep_lease(self) -> None:
@@ -174,7 +174,7 @@
             outcome = self._lease.attempt()
         elif self._may_read_lease():
             outcome = self._lease.take_over()
-            self._may_succeed = outcome is lease_.Outcome.UNREACHED
+            self._may_take_over = outcome is lease_.Outcome.UNREACHED
         else:
             return
         if outcome is not lease_.Outcome.HELD:
@@ -191,7 +191,7 @@
             + self._rank() * _READ_STAGGER_MS
         )
         now = self._clock.boot()
-        return self._may_succeed and now >= max(turn, self._retry_at)
+        return self._may_take_over and now >= max(turn, self._retry_at)
 
     def _is_vacant(self) -> bool:
         """Return whether no holder is known and this router is eligible."""
@@ -199,8 +199,9 @@
         if not me.ready or me.state != members_.ALIVE:
             return False
         if self._lease.is_held_elsewhere():
-            # A router that runs longer knows more of the usage to report.
-            self._may_succeed = False
+            # From now on the router contends in turn, without taking over: a
+            # router that has run longer knows more usage counts to report.
+            self._may_take_over = False
             self._vacant_since = 0
             return False
         if not self._vacant_since:
@@ -224,7 +225,7 @@
 def _parse_state(
     state: ty.Optional[objects.Json],
 ) -> ty.Optional[pb.DutiesLeft]:
-    """Return the state of the previous holder; an empty one if garbled."""
+    """Return the state of the previous holder; an empty state if garbled."""
     if state is None:
         return None
     try:
--- a/src/peridotmast/duties/event_plan.py
+++ b/src/peridotmast/duties/event_plan.py
@@ -1,4 +1,4 @@
-"""Capacity planning for live events: number, order time and cost."""
+"""Planning of the upstreams for live events: number, order time, cost."""
 
 from __future__ import annotations
 
@@ -22,13 +22,15 @@
     needed: int
     """Number of upstreams that carry the expected load."""
     order_at: int
-    """Time at which they are ordered, in ms since 1970."""
+    """Time at which the upstreams are ordered, in ms since 1970."""
     starts_at: int
+    """Time at which the event starts, in ms since 1970."""
     release_at: int
+    """Time at which the upstreams are released, in ms since 1970."""
     mix: capacity_plan.Mix
     """Cheapest mix that keeps `needed` upstreams after losing a domain."""
     price: float
-    """Price of the mix, in upstreams of price 1."""
+    """Price of the mix, in the unit of the service's prices."""
 
     def is_active(self, now: int) -> bool:
         """Return whether the upstreams are needed at `now`."""
@@ -62,7 +64,7 @@
 def upstreams_needed(
     reservations: ty.Iterable[Reservation], service: str, now: int
 ) -> int:
-    """Return the upstreams of `service` that events need at `now`."""
+    """Return the number of upstreams of `service` for events at `now`."""
     active = [
         item
         for item in reservations
@@ -82,7 +84,7 @@
             f'{item.price:.2f} an hour, {item.price * hours:.2f} in all',
             f'{"":21}{item.mix.describe()}; {item.needed} carry the load',
             f'{_format_time(item.starts_at)}  {item.event} opens',
-            f'{_format_time(item.release_at)}  give them back',
+            f'{_format_time(item.release_at)}  release the upstreams',
         ]
     return lines + _timeline(reservations)
 
--- a/src/peridotmast/duties/order_tracker.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -17,7 +17,7 @@
 
 _MIN_RETRY_MS = 1500
 _MAX_RETRY_MS = 4000
-"""Shortest and longest pause before an order is retried that was refused for
+"""Minimum and maximum pause before the retry of an order that was refused for
 lack of capacity: each call is paid for, but so is each second in which more
 expensive upstreams serve instead."""
 
@@ -28,7 +28,7 @@
 @dataclasses.dataclass
 class _Pending:
     live: int
-    """Number of live upstreams when last updated."""
+    """Number of live upstreams at the last call of `expected`."""
     coming: int
     """Number of ordered upstreams that have not started yet."""
     expires_at: int
@@ -46,7 +46,7 @@
     Parameters
     ----------
     clock : clock.Clock
-        Clock for boot times and pauses.
+        Clock for boot times and for pauses after failed orders.
     """
 
     def __init__(self, clock: clock_.Clock) -> None:
@@ -83,7 +83,7 @@
         self._backoffs = {}
 
     def expected(self, key: Key, live: int) -> int:
-        """Return the number of upstreams after all pending orders.
+        """Return the live upstreams of `key` plus those of its pending order.
 
         Parameters
         ----------
@@ -93,8 +93,8 @@
         pending = self._pending.get(key)
         if pending is None:
             return live
-        # A new live upstream completes a part of the order. One that is lost
-        # meanwhile does not: it needs an order of its own.
+        # A new live upstream completes a part of the order. The loss of an
+        # upstream does not enlarge the order: it needs an order of its own.
         pending.coming -= max(0, live - pending.live)
         pending.live = live
         if pending.coming <= 0 or self._clock.now() >= pending.expires_at:
@@ -103,11 +103,11 @@
         return live + pending.coming
 
     def has_backoff(self, key: Key) -> bool:
-        """Return whether no order was accepted since a refusal."""
+        """Return whether no order for `key` was accepted since one failed."""
         return key in self._backoffs
 
     def may_order(self, key: Key) -> bool:
-        """Return whether another order may be made now."""
+        """Return whether another order for `key` may be made now."""
         backoff = self._backoffs.get(key)
         return backoff is None or self._clock.now() >= backoff.retry_at
 
@@ -147,8 +147,8 @@
     def back_off_others(self, key: Key, keys: ty.Iterable[Key]) -> None:
         """Apply the back-off of `key` to those of `keys` that have none.
 
-        If one failure domain has no capacity, the others mostly have none
-        either.
+        If one failure domain has no capacity, the other domains usually
+        have none either.
         """
         backoff = self._backoffs[key]
         for other in keys:
--- a/src/peridotmast/duties/required_capacity.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -15,14 +15,15 @@
 """Minimum number of upstreams, whatever the demand."""
 
 _DECREASE_INTERVAL_MS = 5000
-"""Time for which fewer upstreams must suffice before the number is lowered by
-one: arrivals are bursty, and a replacement takes a boot time to start."""
+"""Time for which fewer upstreams must suffice before the required number is
+lowered by one: arrivals are bursty, and a removed upstream takes a boot time
+to replace."""
 
 _INITIAL_SHARE = 0.5
 """Share of a new fleet's upstreams that counts as required until the demand
-is measured: operators start a fleet for its usual peak, on more expensive
-upstreams. Upstreams of a fleet that had a holder before all count, since they
-were ordered for a demand."""
+is measured: operators start a fleet with enough firm, more expensive upstreams
+for its usual peak. If the fleet had a lease holder before, all its upstreams
+count, since they were ordered for a demand."""
 
 _PREFILL_SHARE = 0.75
 """Share of prompt tokens that engines prefill; the rest is in their caches."""
@@ -32,23 +33,25 @@
 first tokens still meet their target."""
 
 _MAX_SPEEDUP = 3.0
-"""Highest measured speed that is accepted, relative to the expected speed:
+"""Maximum ratio of measured to expected prefill rate that is accepted:
 unrepresentative samples must not shrink the fleet to almost nothing."""
 
 _MAX_SLOWDOWN = 1.25
-"""Largest factor by which a measured speed may be below the expected speed. In
-a large fleet a router learns too late of the queue at an engine, so that busy
+"""Maximum ratio of expected to measured prefill rate that is accepted. In a
+large fleet a router learns too late of the queue at an engine, so that busy
 engines look slow: 11.6 tokens per ms were measured at engines that prefill
 38.1."""
 
 _LOAD_MARGIN = 0.9
-"""Upstreams added to the load, per square root of it. 1 is usual for requests
-of equal size; prompts vary more, from 200 to 40,000 tokens."""
+"""Spare upstreams per square root of the load, which is the number of
+upstreams that would be busy all the time. 1 is usual for requests of equal
+size; prompts vary more, from 200 to 40,000 tokens."""
 
 _STALE_LOAD_MARGIN = 2.0
-"""The same if routers learn late of each other's requests, so that load is
-spread unevenly: at 80 routers, 0.9 served 0.70 of the requests in time, while
-a fixed rate that gave as many upstreams as 2.0 does served 0.76."""
+"""Spare upstreams per square root of the load if routers learn late of each
+other's requests, so that load is spread unevenly: at 80 routers, 0.9 served
+0.70 of the requests in time, while a fixed rate that gave as many upstreams as
+2.0 does served 0.76."""
 
 _STARTUP_QUIET_MS = 1500
 """Time without a new firm upstream after which the fleet's startup is over and
@@ -67,10 +70,10 @@
     is_guess: bool = False
     """Whether the count follows only from the size of a new fleet."""
     reserve: int = 0
-    """Number to hold while reclaimable upstreams are available; at least
-    `count`."""
+    """Number of upstreams to hold while reclaimable upstreams are available;
+    at least `count`."""
     limit_shortfall: int = 0
-    """Upstreams of `count` that compensate for the rate limits of others."""
+    """Upstreams in `count` that compensate for rate limits of upstreams."""
 
 
 class CapacityEstimator:
@@ -88,7 +91,7 @@
     demand : demand.Demand
         Demand of each service.
     clock : clock.Clock
-        Clock for decreases and for the startup.
+        Clock for decreases of estimates and for the end of the startup.
     """
 
     def __init__(
@@ -106,8 +109,8 @@
         self._initial: dict[str, set[str]] = collections.defaultdict(set)
         self._last_started_at = 0
         self.is_load_stale: ty.Callable[[], bool] = lambda: False
-        """Whether routers learn of each other's requests only after these
-        have ended."""
+        """Whether routers learn of each other's requests only after the
+        requests have ended."""
         self.startup_complete = False
         """Whether all upstreams that the fleet starts with have started."""
 
@@ -176,9 +179,9 @@
         rated_speed : float
             Tokens per second that one upstream is configured to carry.
         shortage_share : float
-            Share of time in which the demand may exceed the reserve. Another
-            upstream pays off if it is needed for a larger share of time than
-            the ratio of its price to the cost of a shortage.
+            Share of time in which the demand may exceed the reserve. One more
+            upstream pays off if the share of time in which it is needed is
+            larger than the ratio of its price to the cost of a shortage.
         limits : collection of float, optional
             Rate limits of live upstreams, in requests per second.
         """
@@ -218,8 +221,9 @@
         measured = self._demand.prefill_rate(service)
         if measured is not None:
             low, high = speed / _MAX_SLOWDOWN, speed * _MAX_SPEEDUP
-            # The geometric mean: the measured speed is that of idle engines,
-            # while a busy one also spends time on the steps of its requests.
+            # Use the geometric mean of expected and measured speed: samples
+            # show idle engines, while a busy engine also spends time on the
+            # generation steps of its running requests.
             speed = math.sqrt(speed * min(high, max(low, measured * 1000)))
         return speed
 
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -1,4 +1,4 @@
-"""The duty that scales services to their demand, with spare for a loss."""
+"""The duty that scales services to their demand, with reserves for losses."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 """Minimum time between two removals of upstreams."""
 
 _MAX_STATE_AGE_MS = 60_000
-"""Maximum age of another holder's state; an older one is ignored."""
+"""Maximum age of the previous holder's state; older state is ignored."""
 
 _FIRST_FENCING = 1
 """Fencing number of the first lease holder of a fleet."""
 
 FIXED = 'fixed'
 REACTIVE = 'reactive'
-"""Values of the policy's `scaling` other than the planner."""
+"""Values of the policy's `scaling` other than the planner. With `FIXED`
+nothing is ordered, and with `REACTIVE` only firm upstreams."""
 
 
 class Scaler:
@@ -148,13 +149,13 @@
         reconciler.order_firm()
         now = self._clock.now()
         if now - self._removed_at >= _REMOVE_INTERVAL_MS:
-            # Remove several at once only while there is no measured demand
-            # that could miss them.
+            # Remove several upstreams at once only until the demand is
+            # measured, since measured demand may need some of them.
             if reconciler.remove_excess(only_one=not required.is_guess):
                 self._removed_at = now
 
     def _live_limits(self, service: pb.Service) -> list[float]:
-        """Return the limits of live upstreams, in requests per second."""
+        """Return the rate limits of live upstreams, in requests per second."""
         rates = map(self._limits.rate, self._table.live(service.name))
         return [rate for rate in rates if rate is not None]
 
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -59,7 +59,8 @@
     needed : int
         Upstreams that must be left after losing any one failure domain.
     reserve : int
-        The same while reclaimable upstreams are available.
+        Upstreams that must be left after such a loss while reclaimable
+        upstreams are available.
     fencing : int
         Fencing number of the lease holder.
     demand : int
@@ -69,7 +70,7 @@
         Measured prefill rate of an engine, in tokens per ms, for the log; 0
         if unknown.
     limit_shortfall : int
-        Upstreams of `needed` that compensate for the rate limits of others,
+        Upstreams in `needed` that compensate for rate limits of upstreams,
         for the log.
     allow_reclaimable : bool
         Whether reclaimable upstreams may be ordered.
@@ -106,7 +107,7 @@
         self._log = logs.get('scaler')
 
     def order_reclaimable(self) -> None:
-        """Order reclaimable upstreams that are missing or would be cheaper.
+        """Order reclaimable upstreams that are missing or replace dearer ones.
 
         Each refusal changes the available capacity and thus the plan, which
         is therefore computed again.
@@ -144,7 +145,7 @@
             self._order_up_to(domain, False, extended.firm[domain])
 
     def remove_excess(self, only_one: bool) -> bool:
-        """Remove upstreams that the live ones can do without.
+        """Remove live upstreams that are not needed.
 
         Parameters
         ----------
@@ -162,13 +163,13 @@
         return removed
 
     def _firm_needed(self, mix: capacity_plan.Mix) -> int:
-        """Return the upstreams to keep after a loss, using firm upstreams.
+        """Return how many upstreams firm orders must leave after a loss.
 
         A reclaim is announced about one boot time in advance, so that the
         upstreams of a domain are missing for a few seconds only. Firm
-        upstreams against that gap would be paid for as long as no reclaimable
-        ones are available. They therefore cover the loss of one upstream, not
-        of a whole failure domain.
+        upstreams that cover this gap would be paid for as long as no
+        reclaimable ones are available. Firm orders therefore cover the loss of
+        one upstream, not of a whole failure domain.
         """
         max_reclaimable = max(mix.reclaimable.values(), default=0)
         return max(1, self._needed - max(0, max_reclaimable - 1))
@@ -192,7 +193,8 @@
         Parameters
         ----------
         optimistic : bool
-            Whether to count on refused kinds that may be ordered again now.
+            Whether to assume that a kind of upstream that was refused is
+            available again, if it may be ordered again now.
         """
         reclaimable, firm = (
             {
@@ -252,11 +254,11 @@
         return True
 
     def _order_up_to(self, domain: str, reclaimable: bool, count: int) -> bool:
-        """Order up to `count` upstreams; return false if not accepted."""
+        """Order up to a total of `count`; return whether that succeeded."""
         key = self._key(domain, reclaimable)
         counts = self._live.reclaimable if reclaimable else self._live.firm
         if reclaimable:
-            # Firm upstreams that are not replaced yet count for the limit.
+            # Firm upstreams that are not replaced yet count towards the limit.
             room = self._service.scale_max - self._live.firm[domain]
             count = min(count, room)
         if count <= self._tracker.expected(key, counts[domain]):
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -17,7 +17,7 @@
 _COLLECT_MS = 1500
 """Time from the end of a window until its counts are complete: the other
 routers' last counts take a few beacons to arrive, and a request is counted
-only at its first event, which may be late."""
+only at its first event, which may come after the end of the window."""
 
 _MAX_LATE_WINDOWS = 3
 """Number of windows after which a missing report is skipped, because it would
@@ -37,10 +37,10 @@
 
 
 class UsageReporter:
-    """Reports windows in order, each with the counts in the store.
+    """Reports usage windows in order, with the counts in the store.
 
     Two reports of one window must not differ, and a holder may be killed
-    after it has sent one. The counts are therefore written to the store
+    after it has sent a report. The counts are therefore written to the store
     before they are sent. The next holder sends the stored counts again and
     continues with the window after them.
 
@@ -127,7 +127,7 @@
         revision = self._stored.revision if self._stored else 0
         result = self._store.write(KIND, NAME, spec, revision)
         if isinstance(result, failures.Failure):
-            # The write may still take effect: read the store again first.
+            # The write may still take effect: read the store before the next.
             self._is_current = False
             self._log.info(
                 'usage_write_failed', window=window, reason=result.reason
--- a/src/peridotmast/failures.py
+++ b/src/peridotmast/failures.py
@@ -1,4 +1,4 @@
-"""Errors as return values, with a reason and a kind."""
+"""Errors as return values, each with a reason and a kind."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """The operation may have run; a retry might execute it twice."""
 
     UNAVAILABLE = 'unavailable'
-    """The remote side can't be reached; the state of the operation is
-    unknown."""
+    """The remote side can't be reached; whether the operation ran is not
+    known."""
 
     CONFLICT = 'conflict'
-    """A concurrent change, or a different body under the same id, prevents
-    it."""
+    """The operation conflicts with a concurrent change, or with a request of
+    the same id but a different body."""
 
     MISSING = 'missing'
     """The requested object does not exist."""
--- a/src/peridotmast/findings.py
+++ b/src/peridotmast/findings.py
@@ -1,4 +1,4 @@
-"""Problems in an input, collected with their place and reported together."""
+"""Problems in an input, each with its location, reported together."""
 
 from __future__ import annotations
 
@@ -38,5 +38,5 @@
         return '\n'.join(map(str, self._findings))
 
     def add(self, place: str, text: str) -> None:
-        """Add a finding with the description `text` at `place`."""
+        """Add a finding at the location `place`, described by `text`."""
         self._findings.append(Finding(place, text))
--- a/src/peridotmast/green.py
+++ b/src/peridotmast/green.py
@@ -19,8 +19,8 @@
 
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is')
 # All addresses are numeric. Without eventlet's DNS resolver a router starts
-# 0.3 s sooner and takes 7 MB less memory (importing with it takes 0.96 s and
-# 55.7 MB).
+# 0.3 s sooner and takes 7 MB less memory (the imports with the resolver take
+# 0.96 s and 55.7 MB).
 os.environ['EVENTLET_NO_GREENDNS'] = 'yes'
 
 import eventlet  # noqa: E402
@@ -80,8 +80,8 @@
 ) -> None:
     """Call `callback` on the loop when the signal `number` is received.
 
-    The signal wakes the loop. Polling for it would cost half a percent of a
-    core.
+    The signal wakes the loop. Polling for signals would take half a percent
+    of a core.
     """
     hubs.get_hub().loop.add_signal_handler(number, callback, *args)
 
@@ -99,8 +99,8 @@
 def wait_for(awaitable: ty.Any) -> ty.Any:
     """Wait in a green task for an asyncio awaitable and return its result.
 
-    An error is passed on as a value and raised here, since the hub prints a
-    traceback for every task that ends with an exception.
+    An exception of the awaitable is passed on as a value and raised here,
+    since the hub prints a traceback for every task that ends with one.
     """
     task = eventlet.asyncio.spawn_for_awaitable(_capture(awaitable))
     result, error = task.wait()
@@ -131,9 +131,9 @@
 
     Eventlet's own wait adds the socket to the loop and removes it again each
     time, and sets a timer. Here each socket is registered once, in an epoll
-    set that the loop watches as a whole, and a further wait only rearms it.
-    One timer expires all timeouts, at least 50 ms apart. This saves two
-    thirds of the processor time per event of a stream
+    set that the loop watches as a whole, and a further wait only rearms the
+    registration. One timer expires all timeouts, at intervals of at least
+    50 ms. This saves two thirds of the processor time per event of a stream
     (`peridotmast-load overhead`, 100 streams).
     """
 
@@ -165,7 +165,7 @@
             self._waiters.pop(fd, None)
 
     def unregister(self, fd: int) -> None:
-        """Remove `fd` from the set; called before it is closed."""
+        """Remove `fd` from the epoll set; called before `fd` is closed."""
         if fd in self._registered:
             self._registered.discard(fd)
             # The kernel has removed a descriptor that is already closed.
@@ -198,7 +198,7 @@
                 waiter[0].switch(ready)
 
     def _schedule_timeouts(self, due_at: float) -> None:
-        """Expire timeouts at `due_at`, on the monotonic clock, in s."""
+        """Set the timer to `due_at`, in seconds on the monotonic clock."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer_due_at = due_at
@@ -232,8 +232,8 @@
 class Interrupt(Exception):
     """Lets one task end the wait of another.
 
-    The waiting task uses it as a context manager around the wait; only one
-    task may do so at a time.
+    The waiting task uses an interrupt as a context manager around the wait.
+    Only one task at a time may wait with the same interrupt.
     """
 
     def __init__(self) -> None:
@@ -248,7 +248,7 @@
         return exc is self
 
     def fire(self) -> None:
-        """End the wait, if the task still waits when the loop runs this."""
+        """End the wait when the loop runs next, if the task still waits."""
         hubs.get_hub().loop.call_soon(self._throw)
 
     def _throw(self) -> None:
@@ -257,7 +257,7 @@
 
 
 class ReadWatch:
-    """Calls back once when a socket that no task reads becomes readable.
+    """Calls a function once a socket that no task reads becomes readable.
 
     Parameters
     ----------
@@ -276,7 +276,7 @@
         )
 
     def cancel(self) -> None:
-        """Stop watching; has no effect if already stopped."""
+        """Stop watching the socket; has no effect if already stopped."""
         if self._listener is not None:
             hubs.get_hub().remove(self._listener)
             self._listener = None
@@ -290,7 +290,7 @@
 
 
 class Tasks:
-    """Green tasks of one owner, which are stopped together.
+    """Green tasks of one object, which are stopped together.
 
     Parameters
     ----------
--- a/src/peridotmast/ini.py
+++ b/src/peridotmast/ini.py
@@ -18,7 +18,7 @@
 
 _FIELD = descriptor.FieldDescriptor
 _Field = ty.Any
-"""Descriptor of a field; the library has two classes with one interface."""
+"""Descriptor of a field; protobuf has two classes with this interface."""
 _TRUE = frozenset(('true', 'yes', 'on', '1'))
 _FALSE = frozenset(('false', 'no', 'off', '0'))
 
@@ -30,7 +30,7 @@
     -------
     tuple
         The filled message and the findings; the message is valid only if
-        there are none.
+        there are no findings.
     """
     try:
         with open(path, encoding='utf-8') as file:
@@ -53,7 +53,7 @@
 
 
 def defaults(kind: type[M], **values: ty.Any) -> M:
-    """Return a section's message with the schema's defaults and `values`.
+    """Return a message for one section, with schema defaults and `values`.
 
     Raises
     ------
@@ -72,7 +72,7 @@
 
 
 class _Reader:
-    """Parses one document; findings are reported with file and line."""
+    """Parses one document; each finding has the file and line."""
 
     def __init__(self, text: str, place: str) -> None:
         self.found = findings_.Findings()
--- a/src/peridotmast/invariants.py
+++ b/src/peridotmast/invariants.py
@@ -10,7 +10,7 @@
 
 
 class Invariant(enum.Enum):
-    """Conditions that must always hold."""
+    """A condition that must always hold."""
 
     EVENTS_GROW = 'events_grow'
     """Events of a stream are forwarded in order, without gaps or repeats."""
@@ -33,7 +33,7 @@
 
 
 class Invariants:
-    """Checks invariants and counts violations; raises on them in tests.
+    """Checks invariants and counts violations; raises an error in tests.
 
     Parameters
     ----------
--- a/src/peridotmast/logs.py
+++ b/src/peridotmast/logs.py
@@ -15,11 +15,12 @@
 """Values of the setting ``log_level``."""
 
 _MAX_BUFFERED_LINES = 5000
-"""Lines that are buffered while the reader of the stream is stalled; later
-ones are dropped and counted. About 1 MB, or ten seconds of a busy router."""
+"""Maximum number of lines that are buffered while the reader of the stream is
+stalled; later lines are dropped and counted. About 1 MB, or what a busy router
+logs in ten seconds."""
 
 _CHUNK_BYTES = 4096
-"""Size that a writable pipe accepts without blocking."""
+"""Number of bytes that a writable pipe accepts without blocking."""
 
 
 CallLater = ty.Callable[[ty.Callable[[], None]], None]
@@ -28,9 +29,9 @@
 class LineSink:
     """Writes lines to a stream without blocking.
 
-    With `call_later`, lines are buffered for a moment from the first one on,
-    so that many lines take one write, and no work is done while nothing is
-    logged.
+    With `call_later`, the first buffered line schedules a write a moment
+    later, which includes all lines that were logged until then. Many lines
+    thus take one write, and no work is done while nothing is logged.
 
     Parameters
     ----------
@@ -65,9 +66,9 @@
     debug = info = warning = error = critical = msg
 
     def flush(self) -> None:
-        """Write as much as the stream accepts without blocking."""
+        """Write as many bytes as the stream accepts without blocking."""
         with contextlib.suppress(OSError, ValueError):
-            # The reader has closed the stream: there is nowhere to report it.
+            # The reader has closed the stream, so the error can't be reported.
             self._write_pending()
 
     def _schedule_write(self, call_later: CallLater) -> None:
@@ -147,7 +148,7 @@
 
 
 def flush() -> None:
-    """Write buffered lines, as far as the stream accepts them."""
+    """Write as many buffered lines as the stream accepts."""
     _sink.flush()
 
 
--- a/src/peridotmast/loop_hub.py
+++ b/src/peridotmast/loop_hub.py
@@ -15,8 +15,8 @@
     the first of them. Each timer and each ready descriptor wakes that task,
     which then starts another wait with a task and a timer of its own. Here
     each timer is a timer of the loop, and a ready descriptor only calls its
-    listener. The hub's task is left with rare events: descriptors that were
-    closed while a task waited for them, and the end of the hub.
+    listener. The hub's task handles only rare events: descriptors that were
+    closed while a task waited for them, and the stop of the hub.
     """
 
     @staticmethod
@@ -25,7 +25,7 @@
         return True
 
     def add_timer(self, timer: ty.Any) -> float:
-        """Schedule `timer` on the loop; return its time on the hub's clock."""
+        """Schedule `timer` on the loop; return when it is due, in seconds."""
         if timer.seconds > 0:
             timer.handle = self.loop.call_later(
                 timer.seconds, self._run_timer, timer
@@ -56,7 +56,7 @@
             raise
         except BaseException:
             # As in the base class: an error in one listener must not stop
-            # the others.
+            # the other listeners.
             self.squelch_exception(fileno, sys.exc_info())
 
     def _run_timer(self, timer: ty.Any) -> None:
@@ -65,5 +65,5 @@
         except self.SYSTEM_EXCEPTIONS:
             raise
         except BaseException:
-            # As above: an error in one timer must not stop the others.
+            # An error in one timer must not stop the other timers.
             self.squelch_timer_exception(timer, sys.exc_info())
--- a/src/peridotmast/rpc.py
+++ b/src/peridotmast/rpc.py
@@ -1,4 +1,4 @@
-"""gRPC servers and clients on the hub's loop, with green handlers."""
+"""gRPC servers and clients on the hub's loop, for use in green tasks."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     address : str
         ``IP:port``; port 0 selects a free port.
     tls : pb.TlsSettings, optional
-        Certificate and authorities; plain text by default.
+        Certificate, key and trusted authorities; unencrypted by default.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
     stub : type
         Generated stub class.
     tls : pb.TlsSettings, optional
-        Certificate and authorities; plain text by default.
+        Certificate, key and trusted authorities; unencrypted by default.
     """
 
     def __init__(
@@ -153,20 +153,20 @@
 
 
 class Caller(ty.NamedTuple):
-    """Identity in a peer's certificate."""
+    """Identity in the certificate of the process that calls."""
 
     name: str = ''
-    """Common name; empty if the peer has sent no certificate."""
+    """Common name; empty if the caller has sent no certificate."""
     alt_names: frozenset[str] = frozenset()
-    """Alternative names, which determine the role of the peer."""
+    """Alternative names, which determine the role of the caller."""
 
 
 class PermissionDenied(Exception):
-    """Raised by a handler if the caller is not allowed to call it."""
+    """Raised by a handler if the caller lacks the permission to call it."""
 
 
 class _GreenServicer:
-    """Adapts an object with green methods to a generated servicer."""
+    """Adapts an object whose methods run in green tasks to a gRPC servicer."""
 
     def __init__(self, service: ty.Any, log: ty.Any) -> None:
         self._service = service
@@ -198,7 +198,7 @@
 
 
 def _caller(context: ty.Any) -> Caller:
-    """Return the identity in the peer's certificate, if it has sent one."""
+    """Return the identity in the caller's certificate, if it has sent one."""
     auth = context.auth_context()
     common_names = auth.get('x509_common_name', ())
     alt_names = auth.get('x509_subject_alternative_name', ())
@@ -209,7 +209,7 @@
 
 
 def server_credentials(tls: pb.TlsSettings) -> ty.Any:
-    """Return credentials whose files are reread for each connection."""
+    """Return server credentials, read again for each connection."""
     config = _server_config(tls)
     return grpc.dynamic_ssl_server_credentials(
         config, lambda: _server_config(tls), require_client_authentication=True
--- a/src/peridotmast/tracing.py
+++ b/src/peridotmast/tracing.py
@@ -1,7 +1,7 @@
 """Tracing with OpenTelemetry: a span per hop, with W3C trace context.
 
-The library is imported only if spans are exported, as it takes 2 MB of a
-router's memory.
+The OpenTelemetry library is imported only if spans are exported, as it takes
+2 MB of a router's memory.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
         return carrier.get(TRACEPARENT, '')
 
     def close(self) -> None:
-        """Export buffered spans and shut down."""
+        """Export buffered spans and shut the exporters down."""
         if self._provider is not None:
             self._provider.shutdown()
 
--- a/src/peridotmast/web.py
+++ b/src/peridotmast/web.py
@@ -1,4 +1,4 @@
-"""WSGI applications with a table of routes and JSON errors."""
+"""WSGI applications that route requests and report errors as JSON."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     path: str
     query: dict[str, str]
     headers: ty.Mapping[str, str]
-    """WSGI environment; see `header`."""
+    """WSGI environment, whose headers `header` returns."""
     body: bytes
     connection: ty.Optional[caller_connection.CallerConnection] = None
     """Connection that the request was received on."""
@@ -55,7 +55,7 @@
         return self.headers.get('HTTP_' + name.upper().replace('-', '_'), '')
 
     def json(self) -> ty.Any:
-        """Return the body parsed as JSON; an empty one as an empty object.
+        """Return the body parsed as JSON; an empty body as an empty object.
 
         Raises
         ------
@@ -198,7 +198,7 @@
 
 
 class _Body:
-    """Streamed body as an iterable that closes its response."""
+    """Streamed response body; its `close` also closes the response."""
 
     def __init__(
         self, response: Response, conn: caller_connection.CallerConnection
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -526,9 +526,9 @@
         'duties',
     ),
     Mutation(
-        'succeed a holder that other routers still know',
+        'take over the lease of a holder that other routers still know',
         DUTIES + 'duty_holder.py',
-        'self._may_succeed = False\n            self._vacant_since = 0',
+        'self._may_take_over = False\n            self._vacant_since = 0',
         'self._vacant_since = 0',
         'duties',
     ),
