--- a/features/links.feature
+++ b/features/links.feature
@@ -1,30 +1,30 @@
 Feature: Link faults are injected, and only requests that they affect are excused
 
-  Scenario Outline: Open connections are <mode> while new ones work
+  Scenario Outline: Connections of a faulty link are <mode> while new connections work
     Given a connection through a proxy
-    When its link is <mode>, and a new connection gets an answer
-    Then it receives nothing until the fault ends, and then it <ends>
+    When the link of the connection is <mode>, and a new connection gets an answer
+    Then the first connection receives nothing until the fault ends, and then it <ends>
 
     Examples:
-      | mode              | ends                          |
-      | silent            | gets its answer               |
-      | one_way, requests | is reset, recorded as one_way |
-      | one_way, answers  | is reset, recorded as one_way |
+      | mode              | ends                                         |
+      | silent            | gets its answer                              |
+      | one_way, requests | is reset, with the fault recorded as one_way |
+      | one_way, answers  | is reset, with the fault recorded as one_way |
 
-  Scenario: A slow link forwards everything, a reset link nothing
+  Scenario: A slow link forwards all data, and a reset link none
     Given a connection through a proxy
-    When its link is slow, and a new connection gets an answer
-    Then it gets its answer
-    When its link is reset, and a new connection gets an answer
-    Then it is reset, recorded as reset
+    When the link of the connection is slow, and a new connection gets an answer
+    Then the first connection gets its answer
+    When the link of the connection is reset, and a new connection gets an answer
+    Then the first connection is reset, with the fault recorded as reset
 
-  Scenario: Connections are refused while the target does not listen
+  Scenario: Connections are refused while the proxy's target does not listen
     Given a connection through a proxy
-    Then a new connection after the stop of its target is reset, recorded as refused
+    Then a new connection after the stop of the proxy's target is reset, with the fault recorded as refused
     And the next connection is refused until the target listens again
 
-  Scenario: A cut answer is excused if the proxy recorded a fault of its request
-    Then a cut by a planned stop counts unless the proxy has recorded a fault of that request
+  Scenario: A cut answer is excused if the proxy recorded a link fault of its request
+    Then an answer cut by a planned stop counts as such unless the proxy has recorded a fault of its request
 
-  Scenario: A router that is killed during its planned stop had stopped as planned until then
-    Then an answer cut before the kill counts as cut by the stop, and one cut by the kill does not
+  Scenario: A planned stop that ends with a kill of the router counts as planned until the kill
+    Then an answer cut before the kill counts as cut by the planned stop, and one cut by the kill does not
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -30,7 +30,7 @@
 WINDOW_MS = 5000
 
 
-@when('{count:d} requests are sent to all routers within a window')
+@when('{count:d} requests are sent to all routers within a usage window')
 def send_within_window(context, count):
     fleet = context.fleet
     clock = fleet.routers[0].fleet_state.fleet_clock
@@ -47,8 +47,8 @@
     )
 
 
-@then('the report of that window has {count:d} requests of "{team}"')
-def check_report(context, count, team):
+@then('the report of that usage window has {count:d} requests of "{team}"')
+def check_window_report(context, count, team):
     def reported():
         return [
             report
@@ -60,13 +60,13 @@
     assert reported()[0].counts == {team: count}, reported()
 
 
-@then('no two reports of a window differ')
-def reports_agree(context):
+@then('no two reports of the same usage window differ')
+def check_reports_agree(context):
     assert not context.fleet.cloud.conflicting_reports()
 
 
 @given('five routers that started one after another')
-def five_routers(context):
+def set_start_times(context):
     context.clock = clock_.ManualClock()
     context.starts = {f'r{number}': 1000 + number for number in range(5)}
 
@@ -93,18 +93,18 @@
     )
 
 
-@then('they contend for a vacant lease in that order')
+@then('the routers contend for a vacant lease in that order')
 def check_contention_order(context):
     assert contention_order(context) == ['r0', 'r1', 'r2', 'r3', 'r4']
 
 
-@when('the first router is stopped and started again')
-def restart_first(context):
+@when('the first of the five routers is stopped and started again')
+def restart_first_router(context):
     context.starts['r0'] = 9000
 
 
-@then('it contends last')
-def contends_last(context):
+@then('the restarted router contends last')
+def check_contends_last(context):
     assert contention_order(context) == ['r1', 'r2', 'r3', 'r4', 'r0']
 
 
@@ -136,7 +136,7 @@
         self.duty = RecordingDuty()
         self.store = MemoryStore()
         self.store.objects = context.objects
-        self.store.is_down = 'store_out' in context
+        self.store.is_down = 'store_is_down' in context
         clock = context.clock
         self.lease = lease_.Lease(
             self.store, 'duties', name, f'{name}.{run}', 4000, 600, clock
@@ -171,7 +171,7 @@
         self._holder.run_duties()
 
 
-def start_all(context, run):
+def start_all_routers(context, run):
     context.objects = getattr(context, 'objects', {})
     context.runs = []
     context.runs += [
@@ -199,95 +199,104 @@
                 other.lease.receive_hint(hint)
 
 
-@given('the last of them held the lease when all were killed')
-def last_held(context):
-    start_all(context, 1)
+@given('the last of the routers held the lease when all of them were killed')
+def start_with_last_holding(context):
+    start_all_routers(context, 1)
     context.runs[-1].lease.attempt()
     context.hint = context.runs[-1].lease.hint()
     context.clock.advance(1000)
 
 
-@when('all start again, and {ms:d} ms pass')
-def start_all_again(context, ms):
-    start_all(context, 2)
+@when('all five routers start again, and {ms:d} ms pass')
+def restart_all_routers(context, ms):
+    start_all_routers(context, 2)
     advance(context, ms)
 
 
-@when('all start again with the former holder known, and {ms:d} ms pass')
-def start_with_known_holder(context, ms):
-    start_all(context, 2)
+@when(
+    'all five routers start again with the former holder known, and {ms:d} ms'
+    ' pass'
+)
+def restart_with_known_holder(context, ms):
+    start_all_routers(context, 2)
     for one in context.runs:
         one.lease.receive_hint(context.hint)
     advance(context, ms)
 
 
-@when('all start, and {ms:d} ms pass')
-def start_all_and_wait(context, ms):
-    start_all(context, 1)
+@when('all five routers start, and {ms:d} ms pass')
+def start_all_routers_and_wait(context, ms):
+    start_all_routers(context, 1)
     advance(context, ms)
 
 
 @when(
-    'beacons are sent every {ms:d} ms, and the holder is killed after a'
+    'beacons are sent every {ms:d} ms, and the lease holder is killed after a'
     ' renewal'
 )
 def kill_after_renewal(context, ms):
-    start_all(context, 1)
+    start_all_routers(context, 1)
     advance(context, ms, ms)
-    holder = current_holder(context)
+    holder = current_lease_holder(context)
     renewed = holder.lease.hint().revision + 1
     while holder.lease.hint().revision < renewed:
         advance(context, 200, 1 << 30)
     context.runs.remove(holder)
 
 
-@then('the next router holds the lease {ms:d} ms later')
-def next_holds(context, ms):
+@then('the second router holds the lease {ms:d} ms later')
+def check_second_holds(context, ms):
     advance(context, ms, 1400)
     held = [one.name for one in context.runs if one.lease.is_held()]
     assert held == ['r1'], held
 
 
-@when('all start, and the first router requires {count:d} upstreams')
-def first_requires(context, count):
-    start_all_and_wait(context, 3000)
+@when('all five routers start, and the first one requires {count:d} upstreams')
+def start_and_set_required(context, count):
+    start_all_routers_and_wait(context, 3000)
     first = context.runs[0]
     assert first.lease.is_held() and first.duty.received == [pb.DutiesLeft()]
     first.duty.required = count
 
 
 @when(
-    'it orders upstreams after {ms:d} ms, and is killed {later:d} ms after'
-    ' that'
+    'the first router orders upstreams after {ms:d} ms, and is killed'
+    ' {later:d} ms later'
 )
-def order_and_kill(context, ms, later):
+def order_and_kill_first(context, ms, later):
     advance(context, ms)
     context.runs[0].duty.state_version += 1
     advance(context, later)
     context.runs.pop(0)
 
 
-@then('the next holder knows the {count:d} required upstreams and the order')
-def next_knows(context, count):
-    state = state_of_next(context, 5000)
+@then(
+    'the next lease holder knows the {count:d} required upstreams and the'
+    ' pending order'
+)
+def check_next_holder_state(context, count):
+    state = state_received_by_next(context, 5000)
     assert state.needs['pool'] == count, state
     assert [order.coming for order in state.orders] == [5], state
 
 
-def state_of_next(context, ms):
+def state_received_by_next(context, ms):
     """Advance the time; return the state that the holder has received."""
     advance(context, ms)
-    (state,) = current_holder(context).duty.received
+    (state,) = current_lease_holder(context).duty.received
     return state
 
 
-def current_holder(context):
+def current_lease_holder(context):
     (holder,) = [one for one in context.runs if one.lease.is_held()]
     return holder
 
 
-@when('it is stopped, and the next holder before it runs its duties')
-def stop_two(context):
+@when(
+    'the first router is stopped, and so is the second before it runs its'
+    ' duties'
+)
+def stop_two_holders(context):
     advance(context, 2000)
     first, second = context.runs[:2]
     first.stop()
@@ -297,14 +306,14 @@
     del context.runs[:2]
 
 
-@then('the holder after them knows the {count:d} required upstreams')
-def third_knows(context, count):
-    state = state_of_next(context, 6000)
+@then('the third lease holder knows the {count:d} required upstreams')
+def check_third_holder_state(context, count):
+    state = state_received_by_next(context, 6000)
     assert state.needs['pool'] == count, state
 
 
 @when('the store is unavailable for {ms:d} ms')
-def store_unavailable(context, ms):
+def make_store_unavailable(context, ms):
     for one in context.runs:
         one.store.is_down = True
     advance(context, ms)
@@ -313,8 +322,8 @@
     advance(context, 1000)
 
 
-@then('the first router holds the lease again, and keeps its own state')
-def holds_again(context):
+@then('the first router holds the lease again and still has its own state')
+def check_first_holds_again(context):
     first = context.runs[0]
     assert first.lease.is_held() and first.lease.fencing == 2, (
         first.lease.fencing
@@ -323,7 +332,7 @@
 
 
 @then('the {which} router holds the lease with fencing number {number:d}')
-def check_holder(context, which, number):
+def check_holder_and_fencing(context, which, number):
     lease = context.runs[{'first': 0, 'last': -1}[which]].lease
     held = [(one.lease.is_held(), one.lease.fencing) for one in context.runs]
     assert lease.is_held() and lease.fencing == number, held
@@ -335,23 +344,23 @@
     assert max(calls) <= count, calls
 
 
-@given('the store is unavailable to all')
+@given('the store is unavailable to all routers')
 def store_unavailable_to_all(context):
-    context.store_out = True
+    context.store_is_down = True
 
 
 @then('the last router has not called the store')
-def last_not_called(context):
+def check_no_calls_of_last(context):
     assert not context.runs[-1].store.calls
 
 
 @then('the other routers have not called the store')
-def others_not_called(context):
+def check_no_calls_of_others(context):
     assert not any(one.store.calls for one in context.runs[1:])
 
 
-@then("the lease on the duties contains its holder's endpoint")
-def check_endpoint(context):
+@then("the stored lease on the duties contains its holder's endpoint")
+def check_stored_endpoint(context):
     def holder():
         routers = context.fleet.routers
         return next((one for one in routers if one.lease.is_held()), None)
@@ -363,8 +372,8 @@
     assert boot and net and address == found.beacons.address, stored
 
 
-@when('requests are sent while the lease holder is killed')
-def kill_holder(context):
+@when('the lease holder is killed, and requests are sent')
+def kill_holder_and_send_requests(context):
     fleet = context.fleet
     helpers.wait_until(lambda: fleet.cloud.reports, 'a first report')
     context.former = stop_steps.holder_of(context)
@@ -376,7 +385,7 @@
         green.sleep_ms(20)
 
 
-@then('further reports have a higher fencing number')
+@then('the next usage reports have a higher fencing number')
 def check_higher_fencing(context):
     helpers.wait_until(
         lambda: any(
@@ -389,10 +398,10 @@
 
 
 @when(
-    'the store delays its answers to the holder until another router holds'
-    ' the lease'
+    'the store delays its answers to the lease holder until another router'
+    ' holds the lease'
 )
-def delay_store(context):
+def delay_store_answers(context):
     fleet = context.fleet
     helpers.wait_until(lambda: fleet.cloud.reports, 'a first report')
     context.former = stop_steps.holder_of(context)
@@ -414,7 +423,7 @@
     def delayed_read(*args):
         if context.is_cut_off:
             helpers.wait_until(
-                lambda: has_next_reported(context), 'another holder'
+                lambda: has_next_holder_reported(context), 'another holder'
             )
             context.answered += 1
         return read(*args)
@@ -422,20 +431,20 @@
     store.read, store.write = delayed_read, failing_write
 
 
-def has_next_reported(context):
+def has_next_holder_reported(context):
     """Return whether the next holder has sent a report."""
     reports = context.fleet.cloud.reports
     return any(report.fencing > context.fencing for report in reports)
 
 
-@then('the former holder has received an answer from the store')
+@then('the former lease holder has received an answer from the store')
 def check_former_answered(context):
     helpers.wait_until(lambda: context.answered, 'an answer')
     green.sleep_ms(500)
 
 
 @given('a platform that receives slowly and never answers')
-def slow_platform(context):
+def platform_that_never_answers(context):
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(('127.0.0.1', 0))
@@ -444,7 +453,7 @@
     context.listener = listener
 
 
-@when('a report of {size:d} bytes times out after {ms:d} ms')
+@when('a usage report of {size:d} bytes times out after {ms:d} ms')
 def report_times_out(context, size, ms):
     host, port = context.listener.getsockname()
     cloud = cloud_api.PlatformCloud(f'{host}:{port}', ms, 'router-1')
@@ -453,8 +462,8 @@
     assert isinstance(failure, failures.Failure), failure
 
 
-@then('the platform never receives the whole report')
-def check_incomplete(context):
+@then('the platform never receives the whole usage report')
+def check_report_incomplete(context):
     conn, _ = context.listener.accept()
     conn.settimeout(3)
     received = 0
@@ -496,15 +505,18 @@
     context.usage = usage_.Usage(context.clock.wall, WINDOW_MS)
 
 
-@given('a usage reporter that was killed after storing window {window:d}')
-def killed_after_store(context, window):
+@given(
+    'a usage reporter that was killed after storing the counts'
+    ' of window {window:d}'
+)
+def reporter_killed_after_store(context, window):
     set_up_usage(context, window + 1)
     spec = {'window': window, 'counts': {'noor': 12}}
     context.store.write(usage_reporter.KIND, usage_reporter.NAME, spec, 0)
     context.usage.count_started('noor')
 
 
-@when('the next holder starts')
+@when('the next lease holder starts')
 def start_next_holder(context):
     context.reporter = make_reporter(context)
     context.reporter.start(None)
@@ -513,15 +525,18 @@
         context.clock.advance(WINDOW_MS // 2)
 
 
-@then('it sends window {first:d} as stored, and then window {second:d}')
-def check_sent(context, first, second):
+@then(
+    'the next holder sends window {first:d} with the stored counts, and then'
+    ' window {second:d}'
+)
+def check_sent_windows(context, first, second):
     sent = context.reports.sent
     assert sent[0] == (first, {'noor': 12}, 2), sent
     assert sent[1] == (second, {'noor': 1}, 2), sent
 
 
-@given('a usage reporter whose next write gets no answer')
-def lost_write_answer(context):
+@given('a usage reporter whose next write to the store gets no answer')
+def reporter_with_lost_answer(context):
     set_up_usage(context, 10)
     context.usage.count_started('noor')
     context.reporter = make_reporter(context)
@@ -529,8 +544,8 @@
     context.store.lose_replies = 1
 
 
-@when('two windows have ended')
-def two_windows_pass(context):
+@when('two usage windows have ended')
+def run_for_two_windows(context):
     for number in range(40):
         context.clock.advance(400)
         if number == 15:
@@ -538,14 +553,14 @@
         context.reporter.run(1)
 
 
-@then('each window was sent once, with the stored counts')
+@then('each usage window was sent once, with the stored counts')
 def check_sent_once(context):
     windows = [window for window, _, _ in context.reports.sent]
     assert windows == sorted(set(windows)) and 10 in windows, windows
     assert context.reports.sent[0] == (10, {'noor': 1}, 1)
 
 
-@given('a usage reporter that reported nothing for {count:d} windows')
+@given('a usage reporter that has sent no report for {count:d} windows')
 def reporter_with_gap(context, count):
     set_up_usage(context, 10)
     spec = {'window': 10, 'counts': {}}
@@ -553,8 +568,8 @@
     context.clock.advance(count * WINDOW_MS)
 
 
-@then('it reports only windows whose report can still be in time')
-def check_windows(context):
+@then('the next holder reports only windows whose report can still be in time')
+def check_reported_windows(context):
     windows = [window for window, _, _ in context.reports.sent]
     assert 10 in windows and min(set(windows) - {10}) >= 26, windows
 
@@ -572,8 +587,11 @@
     context.usage.count_started('noor')
 
 
-@then("the window's total includes the requests of both runs")
-def check_total(context):
+@then(
+    "the usage window's total includes the requests before and after the"
+    ' restart'
+)
+def check_window_total(context):
     assert context.usage.total(10) == {'noor': 8}, context.usage.total(10)
 
 
@@ -630,7 +648,7 @@
     'within {ms:d} ms all engines are reclaimable, and enough are left'
     ' after losing any failure domain'
 )
-def all_reclaimable(context, ms):
+def wait_until_all_reclaimable(context, ms):
     def reached():
         firm, reclaimable = count_engines(context)
         domains = [g.record.upstream.failure_domain for g in reclaimable]
@@ -645,20 +663,20 @@
 @when(
     'no reclaimable engines are available, and a failure domain is reclaimed'
 )
-def reclaim_without_capacity(context):
+def reclaim_domain_without_capacity(context):
     context.fleet.exhausted_domains.update(context.fleet.domains)
     _, reclaimable = count_engines(context)
     context.fleet.reclaim(reclaimable[0].record.upstream.failure_domain, 400)
 
 
 @then('firm engines replace them within {ms:d} ms')
-def check_firm(context, ms):
+def check_firm_replacements(context, ms):
     helpers.wait_until(
         lambda: count_engines(context)[0] > 0, 'a firm engine', ms
     )
 
 
-@then('nothing is ordered in {ms:d} ms')
-def nothing_ordered(context, ms):
+@then('no upstreams are ordered within {ms:d} ms')
+def check_nothing_ordered(context, ms):
     green.sleep_ms(ms)
     assert not context.fleet.cloud.orders, context.fleet.cloud.orders
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -68,8 +68,10 @@
     return exchange
 
 
-@when('its link is {mode}, and a new connection gets an answer')
-def start_fault(context, mode):
+@when(
+    'the link of the connection is {mode}, and a new connection gets an answer'
+)
+def begin_link_fault(context, mode):
     mode, _, affected = mode.partition(', ')
     context.fault = link_proxy.LinkFault(
         link_proxy.FaultMode(mode), affects_requests=affected == 'requests'
@@ -79,20 +81,23 @@
     new_exchange(context)
 
 
-@then('it receives nothing until the fault ends, and then it {ends}')
-def wait_for_fault_end(context, ends):
+@then(
+    'the first connection receives nothing until the fault ends, and then it'
+    ' {ends}'
+)
+def check_until_fault_end(context, ends):
     assert context.exchange.conn.is_clean()
     context.proxy.end_fault(context.fault)
-    context.execute_steps(f'Then it {ends}')
+    context.execute_steps(f'Then the first connection {ends}')
 
 
-@then('it gets its answer')
-def check_answer(context):
+@then('the first connection gets its answer')
+def check_first_answered(context):
     assert context.exchange.receive() == b'done:' + context.exchange.body
 
 
-@then('it is reset, recorded as {fault}')
-def check_reset(context, fault):
+@then('the first connection is reset, with the fault recorded as {fault}')
+def check_first_reset(context, fault):
     found = context.exchange.receive()
     assert isinstance(found, failures.Failure), found
     assert found.reason == 'broke_off', found
@@ -100,18 +105,18 @@
 
 
 @then(
-    'a new connection after the stop of its target is reset, recorded as'
-    ' {fault}'
+    "a new connection after the stop of the proxy's target is reset, with the"
+    ' fault recorded as {fault}'
 )
-def stop_target(context, fault):
+def check_reset_after_stop(context, fault):
     context.target.stop()
     context.exchange = Exchange(context.proxy)
     context.exchange.send()
-    check_reset(context, fault)
+    check_first_reset(context, fault)
 
 
 @then('the next connection is refused until the target listens again')
-def check_refused(context):
+def check_refused_until_restart(context):
     assert Exchange(context.proxy).failure.reason == 'no_connection'
     context.closing.append(context.target.restarted().stop)
     context.proxy.open()
@@ -119,10 +124,10 @@
 
 
 @then(
-    'a cut by a planned stop counts unless the proxy has recorded a fault'
-    ' of that request'
+    'an answer cut by a planned stop counts as such unless the proxy has'
+    ' recorded a fault of its request'
 )
-def check_excused(context):
+def check_faulty_request_excused(context):
     context.fleet = fleet_.Fleet()
     for request_id, count in (('', 1), ('another', 1), ('its', 0)):
         context.fleet.links.drop_reasons[request_id] = 'reset'
@@ -130,7 +135,7 @@
 
 
 def count_cuts(fleet, ended, drained):
-    """Return the number of cuts by planned stops for one broken answer."""
+    """Judge one broken answer; return how many cuts by planned stops count."""
     attempt = caller_.Attempt('its', ADDRESS, ended_at=ended)
     answer = caller_.Answer(failure=failures.unknown('broke_off'))
     answer.attempts.append(attempt)
@@ -141,10 +146,10 @@
 
 
 @then(
-    'an answer cut before the kill counts as cut by the stop, and one cut'
-    ' by the kill does not'
+    'an answer cut before the kill counts as cut by the planned stop, and one'
+    ' cut by the kill does not'
 )
-def check_kill_during_stop(context):
+def check_cuts_around_kill(context):
     context.fleet = fleet = fleet_.Fleet()
     driver = faults.FaultDriver(fleet, 0)
     fleet.add_router = lambda *args, **kwargs: None
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -33,7 +33,7 @@
 
 @given(
     'firm prices of {a:g}, {b:g}, {c:g} and {d:g}, and reclaimable prices'
-    ' of {ratio:g} times those'
+    ' of {ratio:g} times the firm ones'
 )
 def set_prices(context, a, b, c, d, ratio):
     context.limits = {}
@@ -56,7 +56,7 @@
 
 
 @given('{count:d} firm upstreams exist already')
-def existing_firm(context, count):
+def set_existing_firm(context, count):
     context.existing = capacity_plan.Mix({}, {'c': count})
 
 
@@ -68,20 +68,20 @@
 
 
 @then('the mix has {reclaimable:d} reclaimable and {firm:d} firm upstreams')
-def check_counts(context, reclaimable, firm):
+def check_mix_counts(context, reclaimable, firm):
     mix = context.mix
     found = sum(mix.reclaimable.values()), sum(mix.firm.values())
     assert found == (reclaimable, firm), mix
 
 
 @then('the mix includes these {count:d} firm upstreams')
-def mix_includes(context, count):
+def check_mix_includes(context, count):
     assert context.mix.firm['c'] >= count, context.mix
     assert context.mix.left_after_loss >= 3, context.mix
 
 
 @then(
-    'in {count:d} random markets the mix covers the need after any loss,'
+    'in {count:d} random markets the mix has enough upstreams after any loss,'
     ' and no valid mix is cheaper'
 )
 def random_markets(context, count):
@@ -153,7 +153,7 @@
     'of {reclaimable:d} reclaimable and {firm:d} firm upstreams, with'
     ' {needed:d} needed, the most expensive firm one is removed'
 )
-def most_expensive_removed(context, reclaimable, firm, needed):
+def check_most_expensive_removed(context, reclaimable, firm, needed):
     mix = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, reclaimable // 4), {'b': 1, 'c': firm - 1}
     )
@@ -164,10 +164,10 @@
 
 
 @then(
-    'a cached plan is used only for the same need, existing upstreams and'
-    ' market'
+    'a cached plan is used only for the same market, needed and existing'
+    ' upstreams'
 )
-def plan_cached(context):
+def check_plans_cached(context):
     cache = capacity_plan.PlanCache()
     existing = capacity_plan.Mix({'a': 1}, {'b': 1})
     scarce = dataclasses.replace(context.market, reclaimable_limits={'b': 0})
@@ -235,7 +235,7 @@
     '{needed:d} upstreams are needed, and one reclaimable per failure'
     ' domain and {firm:d} firm ones are live'
 )
-def needed_and_live(context, needed, firm):
+def set_needed_and_live(context, needed, firm):
     context.clock = clock_.ManualClock()
     context.tracker = order_tracker.OrderTracker(context.clock)
     context.orders = _RecordingOrders()
@@ -246,10 +246,10 @@
 
 
 @when(
-    'second reclaimable upstreams are ordered in "a", "b" and "d", and the'
-    ' one in "b" starts first'
+    'a second reclaimable upstream is ordered in each of "a", "b" and "d", and'
+    ' the one in "b" starts first'
 )
-def b_starts_first(context):
+def start_second_in_b_first(context):
     reconcile(context)
     ordered = {(d, count, kind) for d, count, kind in context.orders.accepted}
     assert ordered == {(d, 2, True) for d in 'abd'}, ordered
@@ -260,21 +260,21 @@
 @then(
     'one firm upstream is removed, which is not needed after any single loss'
 )
-def one_firm_removed(context):
+def check_one_firm_removed(context):
     assert context.orders.accepted == [('b', 1, False)], (
         context.orders.accepted
     )
     context.live_mix.firm['b'] = 1
 
 
-@when('the ones in "a" and "d" have started too')
-def rest_has_started(context):
+@when('the second upstreams in "a" and "d" have started too')
+def start_rest_of_order(context):
     context.live_mix.reclaimable.update(a=2, d=2)
     reconcile(context)
 
 
 @then('the last firm upstream is removed, and no reclaimable one')
-def last_firm_removed(context):
+def check_last_firm_removed(context):
     assert context.orders.accepted == [('b', 0, False)], (
         context.orders.accepted
     )
@@ -284,7 +284,7 @@
 
 
 @given('an order tracker')
-def an_order_tracker(context):
+def create_order_tracker(context):
     context.clock = clock_.ManualClock()
     context.tracker = order_tracker.OrderTracker(context.clock)
 
@@ -324,7 +324,7 @@
 @given(
     'a live event of {tokens:d} tokens per second that starts in {seconds:d} s'
 )
-def live_event(context, tokens, seconds):
+def configure_live_event(context, tokens, seconds):
     context.now = 1_700_000_000_000
     context.start = context.now + seconds * 1000
     context.event_config = pb.Config(
@@ -363,7 +363,7 @@
     'its upstreams are ordered {lead:d} ms before its start and released'
     ' {linger:d} ms after its end'
 )
-def check_reservation(context, lead, linger):
+def check_reservation_times(context, lead, linger):
     (reservation,) = event_plan.plan(context.event_config, context.now)
     assert reservation.order_at == context.start - lead, reservation
     ends = context.start + 600_000 + linger
@@ -417,8 +417,8 @@
         known.receive(f'r{other}', 1, demands[other].counts(), True)
 
 
-@then('both measure {rate:d} tokens per second')
-def both_measure(context, rate):
+@then('both routers measure a demand of {rate:d} tokens per second')
+def check_both_demand_rates(context, rate):
     for demand in context.demands:
         found = demand.rate('pool')
         assert abs(found - rate) < rate * 0.1, found
@@ -431,24 +431,26 @@
     context.demand.tick()
 
 
-@when('it receives a request for {tokens:d} tokens, and {ms:d} ms pass')
+@when(
+    'the router receives a request for {tokens:d} tokens, and {ms:d} ms pass'
+)
 def receive_request(context, tokens, ms):
     context.demand.count_request('pool', tokens)
     context.clock.advance(ms)
 
 
-@then('its mean request size is unknown')
-def mean_request_size_unknown(context):
+@then('the mean request size of the router is unknown')
+def check_request_size_unknown(context):
     assert not context.demand.mean_request_tokens('pool')
 
 
-@then('its mean request size is {tokens:d} tokens')
-def mean_request_size_is(context, tokens):
+@then('the mean request size of the router is {tokens:d} tokens')
+def check_mean_request_size(context, tokens):
     assert context.demand.mean_request_tokens('pool') == tokens
 
 
-@then('it measures {rate:d} tokens per second')
-def measures(context, rate):
+@then('the router measures a demand of {rate:d} tokens per second')
+def check_demand_rate(context, rate):
     assert context.demand.rate('pool') == rate
 
 
@@ -492,7 +494,7 @@
 
 
 @given('a scaler with {count:d} upstreams')
-def a_scaler(context, count):
+def create_scaler(context, count):
     context.clock = clock_.ManualClock()
     context.demand = _FixedDemand()
     policy = pb.Policy(tokens_per_second=RATED_SPEED, shortage_price=7)
@@ -539,17 +541,22 @@
     )
 
 
-@when('upstreams state limits of {a:d}, {b:d} and {c:d} requests per second')
+@when(
+    'upstreams state rate limits of {a:d}, {b:d} and {c:d} requests per second'
+)
 def state_limits(context, a, b, c):
     context.stated_limits = [a, b, c]
 
 
-@when('no upstream states a limit')
+@when('no upstream states a rate limit')
 def state_no_limits(context):
     context.stated_limits = []
 
 
-@given('{count:d} live upstreams state a limit of {rate:d} request per second')
+@given(
+    '{count:d} live upstreams state a rate limit of {rate:d} request per'
+    ' second'
+)
 def limit_live_upstreams(context, count, rate):
     for view in context.upstreams.live('pool')[:count]:
         context.upstream_limits.note_limit(view, rate)
@@ -557,13 +564,13 @@
 
 @given('a scaler at the start of a fleet with {count:d} upstreams')
 def scaler_at_startup(context, count):
-    a_scaler(context, count)
+    create_scaler(context, count)
     context.scaler.estimator.startup_complete = False
     context.demand.known = False
 
 
 @when('{count:d} upstreams have started, and no more for {ms:d} ms')
-def no_more_started(context, count, ms):
+def start_upstreams_and_wait(context, count, ms):
     context.live_count = count
     for number in range(count):
         add_upstream(context, f'u-{number}', 'fd-1', False)
@@ -588,8 +595,8 @@
     assert not context.scaler.estimator.startup_complete
 
 
-@then('the startup is over {ms:d} ms after that')
-def startup_is_over(context, ms):
+@then('the startup of the fleet is over {ms:d} ms after that')
+def check_startup_complete(context, ms):
     context.clock.advance(ms)
     context.scaler.estimator.track_startup(is_first_holder=True)
     assert context.scaler.estimator.startup_complete
@@ -644,8 +651,8 @@
 
 
 @given('a starting fleet with {count:d} firm upstreams in 4 failure domains')
-def starting_fleet(context, count):
-    a_scaler(context, count)
+def create_starting_fleet(context, count):
+    create_scaler(context, count)
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
@@ -657,7 +664,7 @@
 
 
 @when('the scaler runs until its reclaimable upstreams have started')
-def run_until_started(context):
+def run_until_reclaimable_started(context):
     for _ in range(12):
         context.scaler.run(1)
         context.clock.advance(250)
@@ -672,8 +679,8 @@
     'a new lease holder with {reclaimable:d} reclaimable upstreams in each'
     ' failure domain'
 )
-def new_holder(context, reclaimable):
-    a_scaler(context, 0)
+def create_new_holder(context, reclaimable):
+    create_scaler(context, 0)
     context.demand.known = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
@@ -687,13 +694,16 @@
 
 
 @given('the previous holder required {count:d} upstreams')
-def previous_required(context, count):
+def set_previous_required(context, count):
     context.state.needs['pool'] = count
     context.scaler.start(context.state)
 
 
-@given('it ordered {count:d} more in "{domain}", which start within {ms:d} ms')
-def previous_ordered(context, count, domain, ms):
+@given(
+    'the previous holder ordered {count:d} more upstreams in "{domain}",'
+    ' which start within {ms:d} ms'
+)
+def add_previous_order(context, count, domain, ms):
     live = live_by_domain(context)[domain]
     context.state.orders.add(
         service='pool',
@@ -707,19 +717,19 @@
 
 
 @given('the state of the previous holder is {ms:d} ms old')
-def age_state(context, ms):
+def age_previous_state(context, ms):
     context.clock.advance(ms)
     context.scaler.start(context.state)
 
 
 @then('no order was for fewer than {count:d} upstreams in "{domain}"')
-def no_smaller_order(context, count, domain):
+def check_no_smaller_order(context, count, domain):
     ordered = [n for d, n, _ in context.orders.accepted if d == domain]
     assert all(n >= count for n in ordered), context.orders.accepted
 
 
-@when('it runs for {ms:d} ms, with little demand reported so far')
-def run_for(context, ms):
+@when('the new holder runs for {ms:d} ms, with little demand reported so far')
+def run_with_little_demand(context, ms):
     context.demand.value = 100.0
     for _ in range(ms // 250):
         context.scaler.run(2)
@@ -727,12 +737,12 @@
 
 
 @when('the demand is measured, as that of 2 upstreams')
-def demand_measured(context):
+def measure_demand_of_two(context):
     measure_demand(context, 2)
 
 
 @then('no upstream was removed')
-def nothing_removed(context):
+def check_nothing_removed(context):
     counts = live_by_domain(context)
     for domain, count, reclaimable in context.orders.accepted:
         assert not reclaimable or count >= counts[domain], (domain, count)
@@ -745,8 +755,8 @@
     )
 
 
-@then('its first run orders {count:d} more upstreams')
-def ordered_at_first_run(context, count):
+@then('the first run of the new holder orders {count:d} more upstreams')
+def check_first_run_orders(context, count):
     context.scaler.run(2)
     counts = live_by_domain(context)
     wanted = {d: n for d, n, reclaimable in context.orders.accepted}
@@ -754,8 +764,8 @@
     assert more == count, context.orders.accepted
 
 
-@then('it has removed {count:d} upstreams after {ms:d} ms')
-def removed_after(context, count, ms):
+@then('the new holder has removed {count:d} upstreams after {ms:d} ms')
+def check_removed_after(context, count, ms):
     before = sum(live_by_domain(context).values())
     for _ in range(ms // 250):
         context.scaler.run(2)
@@ -764,35 +774,35 @@
     assert before - after == count, (before, after)
 
 
-@then('it has ordered reclaimable upstreams first')
-def reclaimable_first(context):
+@then('the scaler has ordered reclaimable upstreams first')
+def check_reclaimable_ordered_first(context):
     assert all(kind for _, _, kind in context.first_orders[:4]), (
         context.first_orders
     )
 
 
 @then(
-    'it kept {count:d} firm upstreams until these had started, and none'
-    ' after that'
+    'the scaler kept {count:d} firm upstreams until the reclaimable ones had'
+    ' started, and none after that'
 )
-def kept_firm(context, count):
-    remaining = remaining_firm(context.first_orders)
+def check_kept_firm(context, count):
+    remaining = remaining_firm_counts(context.first_orders)
     assert sum(remaining.values()) == count, (
         remaining,
         context.orders.accepted,
     )
-    remaining = remaining_firm(context.orders.accepted)
+    remaining = remaining_firm_counts(context.orders.accepted)
     assert not sum(remaining.values()), (remaining, context.orders.accepted)
 
 
-def remaining_firm(orders):
+def remaining_firm_counts(orders):
     remaining = {'fd-1': 3, 'fd-2': 2, 'fd-3': 2, 'fd-4': 2}
     remaining.update({d: count for d, count, kind in orders if not kind})
     return remaining
 
 
 @when('the demand falls from that of {high:d} upstreams to that of {low:d}')
-def demand_falls(context, high, low):
+def lower_demand(context, high, low):
     context.demand.value = demand_for(high)
     assert estimate(context) == high
     context.demand.value = demand_for(low)
@@ -802,13 +812,13 @@
     'the estimate is still {high:d} upstreams after {ms:d} ms, and {low:d}'
     ' after {later:d} ms'
 )
-def estimate_falls(context, high, ms, low, later):
+def check_estimate_falls(context, high, ms, low, later):
     assert estimate(context, ms) == high
     assert estimate(context, later - ms) == low
 
 
 @when('the demand rises to that of {high:d} upstreams')
-def demand_rises(context, high):
+def raise_demand(context, high):
     context.demand.value = demand_for(high)
 
 
@@ -817,7 +827,7 @@
     assert estimate(context) == high
 
 
-def full_estimate(context):
+def estimate_with_reserve(context):
     return context.scaler.estimator.estimate(
         'pool', context.live_count, 0, RATED_SPEED, 0.03
     )
@@ -836,14 +846,14 @@
     '{needed:d} upstreams are needed, and {held:d} are held while'
     ' reclaimable ones are available'
 )
-def needed_and_held(context, needed, held):
-    found = full_estimate(context)
+def check_count_and_reserve(context, needed, held):
+    found = estimate_with_reserve(context)
     assert (found.count, found.reserve) == (needed, held), found
 
 
 @then('{held:d} upstreams are held while reclaimable ones are available')
 def check_reserve(context, held):
-    assert full_estimate(context).reserve == held
+    assert estimate_with_reserve(context).reserve == held
 
 
 @given(
@@ -861,8 +871,8 @@
 
 
 @then(
-    'its 0.9 quantile is about {rate:d}, and its 0.97 quantile is more'
-    ' than twice that'
+    'the 0.9 quantile of the demand is about {rate:d}, and the 0.97 quantile'
+    ' is more than twice that'
 )
 def check_quantiles(context, rate):
     assert context.demand.quantile('pool', 0.9) <= rate * 1.2
@@ -880,23 +890,23 @@
 
 
 @then('{count:d} upstreams are expected, not {other:d}')
-def expected_not(context, count, other):
+def check_expected_count(context, count, other):
     found = context.tracker.expected(KEY, context.live_count)
     assert found == count, found
 
 
 @when('one upstream has started')
-def one_started(context):
+def start_one_upstream(context):
     context.live_count += 1
 
 
-@given('a limit of {count:d} upstreams in each failure domain')
-def limit_domains(context, count):
+@given('a maximum of {count:d} upstreams in each failure domain')
+def set_domain_maximum(context, count):
     context.scaler_config.services[0].scale_max = count
 
 
 @when('the scaler runs once for the demand of {count:d} upstreams')
-def run_once(context, count):
+def run_scaler_once(context, count):
     context.demand.value = demand_for(count)
     context.scaler.run(1)
 
@@ -904,8 +914,8 @@
 @then(
     'no failure domain has orders for more than {count:d} upstreams in total'
 )
-def within_limit(context, count):
-    remaining = remaining_firm(context.orders.accepted)
+def check_orders_within_maximum(context, count):
+    remaining = remaining_firm_counts(context.orders.accepted)
     for domain, wanted, reclaimable in context.orders.accepted:
         firm = remaining[domain] if reclaimable else 0
         assert wanted + firm <= count, context.orders.accepted
@@ -915,20 +925,20 @@
     '{needed:d} upstreams are needed, {count:d} reclaimable ones are live'
     ' in each failure domain, and no more are available'
 )
-def more_than_needed(context, needed, count):
-    needed_and_live(context, needed, 0)
+def set_more_than_needed(context, needed, count):
+    set_needed_and_live(context, needed, 0)
     context.live_mix.reclaimable.update(dict.fromkeys(DOMAINS, count))
     context.tracker.record_refused(('pool', 'a', True))
 
 
 @then('no reclaimable upstream is removed')
-def no_reclaimable_removed(context):
+def check_no_reclaimable_removed(context):
     reconcile(context)
     assert not context.orders.accepted, context.orders.accepted
 
 
-@then('ten times the demand needs less than ten times the upstreams')
-def less_spare_capacity(context):
+@then('ten times the demand requires less than ten times the upstreams')
+def check_spare_capacity(context):
     context.demand.value = demand_for(5)
     few = estimate(context)
     context.demand.value *= 10
@@ -936,7 +946,7 @@
 
 
 @when(
-    'its engines are measured to prefill {times:g} times as fast as expected'
+    'the engines are measured to prefill {times:g} times as fast as expected'
 )
 def measure_speed(context, times):
     speed = RATED_SPEED * required_capacity._MAX_SPEED_FACTOR / 1000
@@ -944,7 +954,7 @@
 
 
 @then('fewer than {count:d} upstreams are needed for the demand of {same:d}')
-def fewer_needed(context, count, same):
+def check_fewer_needed(context, count, same):
     context.demand.value = demand_for(same)
     assert estimate(context) < count, estimate(context)
 
@@ -952,7 +962,7 @@
 @then(
     'as many upstreams are needed as with {times:g} times the expected speed'
 )
-def same_estimate(context, times):
+def check_same_estimate(context, times):
     found = estimate(context)
     measure_speed(context, times)
     assert found == estimate(context)
@@ -961,7 +971,7 @@
 @given(
     'engines that prefill {speed:g} tokens per ms, with some slower requests'
 )
-def measure_requests(context, speed):
+def add_prefill_samples(context, speed):
     context.prefill_rates = prefill_rate.PrefillRates()
     draws = random.Random(5)
     for number in range(60):
@@ -980,7 +990,7 @@
 
 
 @then('fewer than 12 samples give no measurement')
-def no_measurement(context):
+def check_no_measurement(context):
     empty = prefill_rate.PrefillRates()
     for _ in range(11):
         empty.add_sample('pool', 5000, 100)
@@ -991,8 +1001,8 @@
     'with {needed:d} upstreams needed and a reserve of {reserve:d},'
     ' {count:d} reclaimable and no firm ones are ordered'
 )
-def reserve_ordered(context, needed, reserve, count):
-    needed_and_live(context, needed, 0)
+def check_reserve_ordered(context, needed, reserve, count):
+    set_needed_and_live(context, needed, 0)
     context.live_mix = capacity_plan.Mix(
         dict.fromkeys(DOMAINS, 0), dict.fromkeys(DOMAINS, 0)
     )
@@ -1005,7 +1015,7 @@
 @given(
     'two routers that measured prefill rates of {a:d} and {b:d} tokens per ms'
 )
-def two_measurements(context, a, b):
+def set_two_prefill_rates(context, a, b):
     context.demand = demand_.Demand(clock_.ManualClock())
     for name, speed in (('r-a', a), ('r-b', b)):
         context.demand.set_peer_prefill_rates(name, {'pool': float(speed)})
--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -186,39 +186,37 @@
 
 
 @then('the command line lists 2 routers and 4 engines')
-def check_lists(context):
+def check_listed_nodes(context):
     assert is_fleet_complete(context)
     found = command(context, 'resolve', context.addresses[0]).stdout
     assert set(found.split()) == set(context.addresses), found
 
 
-@when('the document is changed with the command line')
-def change_document(context):
+@when('the configuration is changed with the command line')
+def change_config(context):
     status = command(context, 'config', 'status').stdout
     context.base = re.search(r'router-1\s+\d+\s+(\d+)', status)[1]
-    context.run = apply_document(
-        context, '# one\n', '--comment', 'first change'
-    )
+    context.run = apply_config(context, '# one\n', '--comment', 'first change')
 
 
-def apply_document(context, text, *args):
+def apply_config(context, text, *args):
     path = f'{context.folder}/document.ini'
     with open(path, 'w') as file:
         file.write(shape_.DOCUMENT + text)
     return command(context, 'config', 'apply', path, *args)
 
 
-@then('the change is committed and in force at 2 routers')
-def check_in_force(context):
+@then('the configuration change is committed and in force at 2 routers')
+def check_change_in_force(context):
     assert context.run.returncode == 0, context.run
     assert 'in force at 2 routers' in context.run.stdout, context.run
     history = command(context, 'config', 'history').stdout
     assert 'first change' in history, history
 
 
-@when('the document is changed again, based on the previous version')
-def change_from_previous(context):
-    context.run = apply_document(context, '# two\n', '--base', context.base)
+@when('the configuration is changed again, based on the previous version')
+def change_config_from_previous(context):
+    context.run = apply_config(context, '# two\n', '--base', context.base)
 
 
 @then('the command exits with 3 and shows the conflicting change')
@@ -236,8 +234,8 @@
     )  # fmt: skip
 
 
-@then('the event is listed and planned')
-def check_event(context):
+@then('the command line lists the event and its plan')
+def check_event_listed(context):
     assert context.run.returncode == 0, context.run
     assert 'opening' in command(context, 'event', 'list').stdout
     plan = command(context, 'event', 'plan').stdout
@@ -250,8 +248,8 @@
     assert context.run.returncode == 0, context.run
 
 
-@then('no event is listed')
-def check_no_event(context):
+@then('the command line lists no event')
+def check_no_event_listed(context):
     assert not command(context, 'event', 'list').stdout.strip()
 
 
@@ -314,11 +312,11 @@
 
 
 @when('the other router receives SIGTERM')
-def terminate_other(context):
+def terminate_other_router(context):
     context.other.send_signal(signal.SIGTERM)
 
 
-@then('it exits with 0 after its drain')
+@then('the terminated router exits with 0 after its drain')
 def check_drained_exit(context):
     assert context.other.wait(timeout=20) == 0
     assert 'event=drain_over' in log_of(context.other)
@@ -335,8 +333,8 @@
     router.send_signal(signal.SIGHUP)
 
 
-@then('it reloads the settings and continues to serve')
-def check_reloaded(context):
+@then('the router reloads the settings and continues to serve')
+def check_settings_reloaded(context):
     wait_for_log(context.routers[0], 'event=settings_reloaded')
     assert context.routers[0].poll() is None
     send_request(context)
@@ -344,13 +342,13 @@
 
 
 @when('a router is suspended')
-def suspend(context):
+def suspend_router(context):
     context.suspended = context.routers[1]
     context.suspended.send_signal(signal.SIGSTOP)
 
 
 @then('the directory lists only the other router within 5 s')
-def check_only_other(context):
+def check_only_other_listed(context):
     wait_for(
         lambda: command(
             context, 'resolve', context.addresses[0]
@@ -360,7 +358,7 @@
 
 
 @when('the suspended router is resumed')
-def resume(context):
+def resume_router(context):
     context.suspended.send_signal(signal.SIGCONT)
 
 
@@ -402,7 +400,7 @@
     conn.close()
 
 
-@then('its answer lists both routers')
+@then('the answer of the router lists both routers')
 def check_answer_lists_both(context):
     assert set(context.listed) == set(context.addresses), context.listed
 
@@ -447,10 +445,10 @@
 
 
 @then(
-    'one serves, and the other exits with 1 and reports that the address'
+    'one router serves, and the other exits with 1 and logs that the address'
     ' is in use'
 )
-def check_one_exits(context):
+def check_one_serves_one_exits(context):
     exited = wait_for(
         lambda: [r for r in context.routers if r.poll() is not None],
         'a router that exits',
@@ -464,14 +462,14 @@
 
 
 @given('a fleet with one router in a separate process')
-def fleet_of_process(context):
+def fleet_with_router_process(context):
     shape = shape_.FleetShape(routers=1, domains=1, services=0)
     context.processes = process_fleet.ProcessFleet(shape, 0, context.folder)
     context.closing.append(context.processes.stop)
     context.processes.start()
 
 
-@when('it is killed, and another program binds its ports at 127.0.0.1')
+@when('the router is killed, and another program binds its ports at 127.0.0.1')
 def kill_and_bind_ports(context):
     [context.killed] = context.processes.routers
     context.killed.stop()
@@ -487,8 +485,8 @@
         other.listen()
 
 
-@then('it restarts at its address')
-def check_restarted(context):
+@then('the killed router restarts at its address')
+def check_router_restarted(context):
     context.processes.restart_router(context.killed)
     [router] = context.processes.running_routers()
     assert router.address == context.killed.address, router.address
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -115,7 +115,7 @@
         'groups',
     ),
     Mutation(
-        'announce renewals only by beacons',
+        'notify contenders of renewals only by beacons',
         DUTIES + 'duty_holder.py',
         'self._notify(successors[:_MAX_NOTIFIED])',
         'pass',
@@ -889,7 +889,7 @@
         'limits',
     ),
     Mutation(
-        'keep no firm upstreams for a loss',
+        'order no firm upstreams for the loss of an upstream',
         DUTIES + 'service_reconciler.py',
         'return max(1, self._needed - max(0, max_reclaimable - 1))',
         'return 1',
@@ -1169,14 +1169,14 @@
         'crashes',
     ),
     Mutation(
-        'ignore upstream limits in the need calculation',
+        'ignore the rate limits of upstreams in the estimate',
         DUTIES + 'required_capacity.py',
         'return round(sum(max(0, 1 - limit / capacity) for limit in limits))',
         'return 0',
         'planner',
     ),
     Mutation(
-        'pass no upstream limits to the need calculation',
+        'pass no rate limits of upstreams to the estimator',
         DUTIES + 'scaler.py',
         'self._live_limits(service),',
         '(),',
