--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -72,7 +72,7 @@
 
 
 def contention_order(context):
-    """Return the routers in the order in which they contend."""
+    """Return the routers in the order in which they contend for the lease."""
     found = {}
     for me in context.starts:
         members = members_.Members(member_of(context, me), context.clock, 1000)
@@ -281,7 +281,7 @@
 
 
 def state_received_by_next(context, ms):
-    """Advance the time; return the state that the holder has received."""
+    """Advance the time; return the state that the lease holder received."""
     advance(context, ms)
     (state,) = current_lease_holder(context).duty.received
     return state
@@ -631,6 +631,7 @@
 
 
 def count_engines(context):
+    """Return the number of live firm engines, and the reclaimable ones."""
     live = [
         guest
         for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -188,7 +188,7 @@
 
 
 class _RecordingOrders:
-    """Accepts every order and records it."""
+    """Accepts and records every order for upstreams."""
 
     def __init__(self):
         self.accepted = []
@@ -212,7 +212,7 @@
 
 
 def reconcile(context, needed=5, reserve=5):
-    """Reconcile the service once, as the scaler does."""
+    """Order and remove upstreams of the service once, as the scaler does."""
     service = make_service(DOMAINS)
     context.orders.accepted.clear()
     reconciler = service_reconciler.ServiceReconciler(
@@ -412,9 +412,9 @@
 
 
 def exchange_counts(demands, tallies):
-    for number, known in enumerate(tallies):
+    for number, tally in enumerate(tallies):
         other = 1 - number
-        known.receive(f'r{other}', 1, demands[other].counts(), True)
+        tally.receive(f'r{other}', 1, demands[other].counts(), True)
 
 
 @then('both routers measure a demand of {rate:d} tokens per second')
@@ -459,7 +459,7 @@
 
 
 def demand_for(count):
-    """Return a rate that `count` upstreams carry and one less cannot."""
+    """Return a demand that `count` upstreams carry, but one fewer can't."""
     root = (
         math.sqrt(required_capacity._LOAD_MARGIN**2 + 4 * count)
         - required_capacity._LOAD_MARGIN
@@ -469,9 +469,11 @@
 
 
 class _FixedDemand:
+    """Demand whose measurements a test sets."""
+
     def __init__(self):
         self.value = 0.0
-        self.known = True
+        self.is_measured = True
 
         self.peak = 0.0
         self.speed = None
@@ -484,7 +486,7 @@
         return max(self.value, self.peak)
 
     def has_full_window(self, service):
-        return self.known
+        return self.is_measured
 
     def prefill_rate(self, service):
         return self.speed
@@ -566,7 +568,7 @@
 def scaler_at_startup(context, count):
     create_scaler(context, count)
     context.scaler.estimator.startup_complete = False
-    context.demand.known = False
+    context.demand.is_measured = False
 
 
 @when('{count:d} upstreams have started, and no more for {ms:d} ms')
@@ -605,7 +607,7 @@
 @when('the demand is measured as that of {count:d} upstreams')
 def measure_demand(context, count):
     context.demand.value = demand_for(count)
-    context.demand.known = True
+    context.demand.is_measured = True
 
 
 def add_upstream(context, name, domain, reclaimable, state=upstreams_.LIVE):
@@ -627,7 +629,7 @@
 
 
 class _Orders:
-    """Accepts and records orders, and removes upstreams at once."""
+    """Accepts and records orders, and removes excess upstreams at once."""
 
     def __init__(self, context):
         self._context = context
@@ -653,7 +655,7 @@
 @given('a starting fleet with {count:d} firm upstreams in 4 failure domains')
 def create_starting_fleet(context, count):
     create_scaler(context, count)
-    context.demand.known = False
+    context.demand.is_measured = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
@@ -681,7 +683,7 @@
 )
 def create_new_holder(context, reclaimable):
     create_scaler(context, 0)
-    context.demand.known = False
+    context.demand.is_measured = False
     context.orders = context.scaler._orders = _Orders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -82,7 +82,7 @@
     )
 
 
-def command(context, *args, timeout=30):
+def run_command(context, *args, timeout=30):
     return subprocess.run(
         [f'{BIN}/peridotmast', '--router', context.peers[0], *args],
         capture_output=True,
@@ -124,8 +124,8 @@
 
 
 def is_fleet_complete(context):
-    listed = command(context, 'upstream', 'list').stdout
-    nodes = command(context, 'node', 'list').stdout
+    listed = run_command(context, 'upstream', 'list').stdout
+    nodes = run_command(context, 'node', 'list').stdout
     return listed.count('engine') == 4 and nodes.count(' ready ') == 2
 
 
@@ -154,7 +154,7 @@
 
 @when('a request is sent with the command line')
 def send_request(context):
-    context.run = command(context, *send_args(context, 12))
+    context.run = run_command(context, *send_args(context, 12))
     context.sent = getattr(context, 'sent', 0) + 1
 
 
@@ -188,13 +188,13 @@
 @then('the command line lists 2 routers and 4 engines')
 def check_listed_nodes(context):
     assert is_fleet_complete(context)
-    found = command(context, 'resolve', context.addresses[0]).stdout
+    found = run_command(context, 'resolve', context.addresses[0]).stdout
     assert set(found.split()) == set(context.addresses), found
 
 
 @when('the configuration is changed with the command line')
 def change_config(context):
-    status = command(context, 'config', 'status').stdout
+    status = run_command(context, 'config', 'status').stdout
     context.base = re.search(r'router-1\s+\d+\s+(\d+)', status)[1]
     context.run = apply_config(context, '# one\n', '--comment', 'first change')
 
@@ -203,14 +203,14 @@
     path = f'{context.folder}/document.ini'
     with open(path, 'w') as file:
         file.write(shape_.DOCUMENT + text)
-    return command(context, 'config', 'apply', path, *args)
+    return run_command(context, 'config', 'apply', path, *args)
 
 
 @then('the configuration change is committed and in force at 2 routers')
 def check_change_in_force(context):
     assert context.run.returncode == 0, context.run
     assert 'in force at 2 routers' in context.run.stdout, context.run
-    history = command(context, 'config', 'history').stdout
+    history = run_command(context, 'config', 'history').stdout
     assert 'first change' in history, history
 
 
@@ -228,7 +228,7 @@
 @when('an event is declared with the command line')
 def declare_event(context):
     start = int(time.time() * 1000) + 3_600_000
-    context.run = command(
+    context.run = run_command(
         context, 'event', 'declare', 'opening', '--start-ms', str(start),
         '--tokens-per-second', '90000', '--model', oracle.MODEL,
     )  # fmt: skip
@@ -237,27 +237,27 @@
 @then('the command line lists the event and its plan')
 def check_event_listed(context):
     assert context.run.returncode == 0, context.run
-    assert 'opening' in command(context, 'event', 'list').stdout
-    plan = command(context, 'event', 'plan').stdout
+    assert 'opening' in run_command(context, 'event', 'list').stdout
+    plan = run_command(context, 'event', 'plan').stdout
     assert 'for opening' in plan and 'in all' in plan, plan
 
 
 @when('the event is cancelled with the command line')
 def cancel_event(context):
-    context.run = command(context, 'event', 'cancel', 'opening')
+    context.run = run_command(context, 'event', 'cancel', 'opening')
     assert context.run.returncode == 0, context.run
 
 
 @then('the command line lists no event')
 def check_no_event_listed(context):
-    assert not command(context, 'event', 'list').stdout.strip()
+    assert not run_command(context, 'event', 'list').stdout.strip()
 
 
 @when('a request is looked up by its id')
 def look_up_request(context):
     text = log_of(context.routers[0]) + log_of(context.routers[1])
     request_id = re.findall(r'event=answered .*request=(\S+)', text)[-1]
-    context.run = command(context, 'request', 'show', request_id)
+    context.run = run_command(context, 'request', 'show', request_id)
 
 
 @then('the command line shows the upstream of the request')
@@ -350,7 +350,7 @@
 @then('the directory lists only the other router within 5 s')
 def check_only_other_listed(context):
     wait_for(
-        lambda: command(
+        lambda: run_command(
             context, 'resolve', context.addresses[0]
         ).stdout.split() == [context.addresses[0]],
         'the suspended router is not listed', 5,
@@ -365,7 +365,7 @@
 @then('the directory lists both routers again')
 def check_both_listed(context):
     wait_for(
-        lambda: set(command(
+        lambda: set(run_command(
             context, 'resolve', context.addresses[0]
         ).stdout.split()) == set(context.addresses),
         'both routers are listed', 10,
--- a/src/peridotmast/duties/duty.py
+++ b/src/peridotmast/duties/duty.py
@@ -25,7 +25,13 @@
         """
 
     def run(self, fencing: int) -> None:
-        """Do the work that is due, with `fencing` in each platform call."""
+        """Do the work that is due.
+
+        Parameters
+        ----------
+        fencing : int
+            Fencing number of the lease, sent with each call to the platform.
+        """
 
     def save(self, state: pb.DutiesLeft) -> None:
         """Write the state that the next holder needs into `state`."""
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -27,8 +27,8 @@
 renewal and another one that only saves the state for the next holder."""
 
 _MAX_NOTIFIED = 3
-"""Number of contenders that are notified of each renewal at once: several, as
-some may be lost together with the holder."""
+"""Number of contenders, the first ones in order, that are notified of each
+renewal at once: several, as some may be lost together with the holder."""
 
 _READ_DELAY_MS = 600
 """Time without a known holder after which a router reads the lease from the
@@ -52,8 +52,8 @@
 
     After all routers were killed at once, no running router knows the holder.
     Each restarted router then reads the lease once. If the previous run at its
-    endpoint was the holder, it takes over the lease without waiting for its
-    turn.
+    endpoint was the holder, the restarted router takes over the lease without
+    waiting for its turn.
 
     Parameters
     ----------
--- a/src/peridotmast/duties/order_tracker.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -28,7 +28,7 @@
 @dataclasses.dataclass
 class _Pending:
     live: int
-    """Number of live upstreams at the last call of `expected`."""
+    """Number of live upstreams when `coming` was last updated."""
     coming: int
     """Number of ordered upstreams that have not started yet."""
     expires_at: int
--- a/src/peridotmast/duties/scaler.py
+++ b/src/peridotmast/duties/scaler.py
@@ -1,4 +1,4 @@
-"""The duty that scales services to their demand, with reserves for losses."""
+"""The duty that scales services to their demand and a reserve for losses."""
 
 from __future__ import annotations
 
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -163,7 +163,7 @@
         return removed
 
     def _firm_needed(self, mix: capacity_plan.Mix) -> int:
-        """Return how many upstreams firm orders must leave after a loss.
+        """Return the upstreams that must be left after a loss, for firm ones.
 
         A reclaim is announced about one boot time in advance, so that the
         upstreams of a domain are missing for a few seconds only. Firm
@@ -254,7 +254,7 @@
         return True
 
     def _order_up_to(self, domain: str, reclaimable: bool, count: int) -> bool:
-        """Order up to a total of `count`; return whether that succeeded."""
+        """Order upstreams up to `count` in total; return false on failure."""
         key = self._key(domain, reclaimable)
         counts = self._live.reclaimable if reclaimable else self._live.firm
         if reclaimable:
--- a/src/peridotmast/duties/usage_reporter.py
+++ b/src/peridotmast/duties/usage_reporter.py
@@ -13,6 +13,7 @@
 
 KIND = 'peridotmast-duties'
 NAME = 'usage'
+"""Kind and name of the store object with the counts of the last window."""
 
 _COLLECT_MS = 1500
 """Time from the end of a window until its counts are complete: the other
@@ -37,7 +38,7 @@
 
 
 class UsageReporter:
-    """Reports usage windows in order, with the counts in the store.
+    """Reports the usage of each window, in order and as it was stored.
 
     Two reports of one window must not differ, and a holder may be killed
     after it has sent a report. The counts are therefore written to the store
@@ -127,7 +128,8 @@
         revision = self._stored.revision if self._stored else 0
         result = self._store.write(KIND, NAME, spec, revision)
         if isinstance(result, failures.Failure):
-            # The write may still take effect: read the store before the next.
+            # The write may still take effect, so the store is read again
+            # before the next write.
             self._is_current = False
             self._log.info(
                 'usage_write_failed', window=window, reason=result.reason
--- a/src/peridotmast/loop_hub.py
+++ b/src/peridotmast/loop_hub.py
@@ -25,7 +25,13 @@
         return True
 
     def add_timer(self, timer: ty.Any) -> float:
-        """Schedule `timer` on the loop; return when it is due, in seconds."""
+        """Schedule `timer` on the loop.
+
+        Returns
+        -------
+        float
+            Time at which `timer` is due, in seconds on the hub's clock.
+        """
         if timer.seconds > 0:
             timer.handle = self.loop.call_later(
                 timer.seconds, self._run_timer, timer
