--- a/features/duties.feature
+++ b/features/duties.feature
@@ -171,7 +171,7 @@
     Given a fleet of 3 routers whose scaling is "planner"
     And within 8000 ms all engines are reclaimable, and enough are left after losing any failure domain
     When no reclaimable engines are available, and a failure domain is reclaimed
-    Then firm engines replace them within 8000 ms
+    Then firm engines replace the reclaimed ones within 8000 ms
 
   Scenario: Without scaling no upstreams are ordered
     Given a fleet of 2 routers whose scaling is "fixed"
--- a/features/planner.feature
+++ b/features/planner.feature
@@ -32,7 +32,7 @@
     Given firm prices of 1.0, 0.8, 1.25 and 0.9, and reclaimable prices of 0.22 times the firm ones
     Then of 4 reclaimable and 2 firm upstreams, with 3 needed, the most expensive firm one is removed
 
-  Scenario: Plans are cached
+  Scenario: Capacity plans are cached
     Given firm prices of 1.0, 0.8, 1.25 and 0.9, and reclaimable prices of 0.22 times the firm ones
     Then a cached plan is used only for the same market, needed and existing upstreams
 
@@ -54,10 +54,10 @@
     When 2 upstreams are ordered that boot in 4000 ms
     Then 2 upstreams are expected at once, and 0 after 7000 ms
 
-  Scenario: Upstreams for a live event are ordered in time
+  Scenario: Upstreams for a live event are ordered before it starts
     Given a live event of 96000 tokens per second that starts in 120 s
-    Then its upstreams are ordered 54000 ms before its start and released 60000 ms after its end
-    And the text of the plan states its cost and its reason
+    Then the event's upstreams are ordered 54000 ms before the event and released 60000 ms after it
+    And the text of the event plan states the cost and the redundancy
 
   Scenario: Each router measures the demand of the requests to all routers
     Given two routers that received requests for 30000 and 60000 tokens in 6 s
@@ -174,7 +174,7 @@
     Given an order tracker
     When 2 upstreams are ordered in addition to 3, and these 3 are lost
     Then 2 upstreams are expected, not 5
-    When one upstream has started
+    When one of the ordered upstreams has started
     Then 2 upstreams are expected, not 5
 
   Scenario: Orders stay within the maximum number of upstreams of a failure domain
@@ -195,7 +195,7 @@
   Scenario: Engines with a faster measured prefill carry more demand
     Given a scaler with 6 upstreams
     When the engines are measured to prefill 3 times as fast as expected
-    Then fewer than 5 upstreams are needed for the demand of 6
+    Then fewer than 5 upstreams are needed for the demand of 6 at the expected speed
 
   Scenario: Prefill rates that a removed router has measured are discarded
     Given two routers that measured prefill rates of 20 and 60 tokens per ms
@@ -211,7 +211,7 @@
   Scenario: The prefill rate is measured from undisturbed requests
     Given engines that prefill 40 tokens per ms, with some slower requests
     Then the measured prefill rate is 40, within a tenth
-    And fewer than 12 samples give no measurement
+    And fewer than 12 samples give no measured prefill rate
 
   Scenario: Upstreams for the reserve are ordered as reclaimable ones only
     Given firm prices of 1.0, 0.8, 1.25 and 0.9, and reclaimable prices of 0.22 times the firm ones
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -670,7 +670,7 @@
     context.fleet.reclaim(reclaimable[0].record.upstream.failure_domain, 400)
 
 
-@then('firm engines replace them within {ms:d} ms')
+@then('firm engines replace the reclaimed ones within {ms:d} ms')
 def check_firm_replacements(context, ms):
     helpers.wait_until(
         lambda: count_engines(context)[0] > 0, 'a firm engine', ms
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -360,8 +360,8 @@
 
 
 @then(
-    'its upstreams are ordered {lead:d} ms before its start and released'
-    ' {linger:d} ms after its end'
+    "the event's upstreams are ordered {lead:d} ms before the event and"
+    ' released {linger:d} ms after it'
 )
 def check_reservation_times(context, lead, linger):
     (reservation,) = event_plan.plan(context.event_config, context.now)
@@ -379,7 +379,7 @@
     assert not event_plan.plan(context.event_config, ends)
 
 
-@then('the text of the plan states its cost and its reason')
+@then('the text of the event plan states the cost and the redundancy')
 def check_plan_text(context):
     reservations = event_plan.plan(context.event_config, context.now)
     text = '\n'.join(event_plan.explain(reservations))
@@ -897,8 +897,8 @@
     assert found == count, found
 
 
-@when('one upstream has started')
-def start_one_upstream(context):
+@when('one of the ordered upstreams has started')
+def start_one_ordered(context):
     context.live_count += 1
 
 
@@ -955,7 +955,10 @@
     context.demand.speed = speed * times
 
 
-@then('fewer than {count:d} upstreams are needed for the demand of {same:d}')
+@then(
+    'fewer than {count:d} upstreams are needed for the demand of {same:d} at'
+    ' the expected speed'
+)
 def check_fewer_needed(context, count, same):
     context.demand.value = demand_for(same)
     assert estimate(context) < count, estimate(context)
@@ -991,7 +994,7 @@
     assert abs(found - speed) < 0.1 * speed, found
 
 
-@then('fewer than 12 samples give no measurement')
+@then('fewer than 12 samples give no measured prefill rate')
 def check_no_measurement(context):
     empty = prefill_rate.PrefillRates()
     for _ in range(11):
