--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -116,7 +116,7 @@
         'groups',
     ),
     Mutation(
-        'announce renewals only by beacons',
+        'notify contenders of renewals only by beacons',
         DUTIES + 'duty_holder.py',
         'self._notify(successors[:_MAX_NOTIFIED])',
         'pass',
@@ -528,9 +528,9 @@
         'duties',
     ),
     Mutation(
-        'succeed a holder that other routers still know',
+        'take over the lease of a holder that other routers still know',
         DUTIES + 'duty_holder.py',
-        'self._may_succeed = False\n            self._vacant_since = 0',
+        'self._may_take_over = False\n            self._vacant_since = 0',
         'self._vacant_since = 0',
         'duties',
     ),
@@ -1171,14 +1171,14 @@
         'crashes',
     ),
     Mutation(
-        'ignore upstream limits in the need calculation',
+        'ignore the rate limits of upstreams in the estimate',
         DUTIES + 'required_capacity.py',
         'return round(sum(max(0, 1 - limit / capacity) for limit in limits))',
         'return 0',
         'planner',
     ),
     Mutation(
-        'pass no upstream limits to the need calculation',
+        'pass no rate limits of upstreams to the estimator',
         DUTIES + 'scaler.py',
         'self._live_limits(service),',
         '(),',
