--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -51,13 +51,14 @@
     And 3 crashes of it are recorded
     And their upstream has no failures and a closed circuit breaker
 
-  Scenario: Broken connections to upstreams that answer others are not crashes
+  Scenario: Broken connections to upstreams that answer other requests are not crashes
     Given a crash tracker
-    When the answer to one request breaks off at 5 upstreams that answer others
+    When the answer to one request breaks off at 5 upstreams that answer other requests
     Then it is not refused
 
   Scenario: A blocked request has a short retry time just after its last crash
-    # Connections reset at three upstreams count as crashes until these answer others.
+    # Connections reset at three upstreams count as crashes until these upstreams answer
+    # other requests.
     Given a crash tracker
     When one request crashes 3 upstreams
     Then it is refused with a retry time of 1000 ms
--- a/features/duties.feature
+++ b/features/duties.feature
@@ -63,13 +63,13 @@
     Then <count> requests of "noor" are counted as started
 
     Examples:
-      | what                            | path    | count |
-      | a 500 of its own                | /once/x | 1     |
-      | a 503 that does not say not run | /once/x | 1     |
-      | a reset                         | /once/x | 1     |
-      | nothing and a close             | /chat/x | 1     |
-      | a refusal that says not run     | /once/x | 0     |
-      | another upstream's name         | /once/x | 0     |
+      | what                               | path    | count |
+      | a 500 of its own                   | /once/x | 1     |
+      | a 503 without a not-run statement  | /once/x | 1     |
+      | a reset                            | /once/x | 1     |
+      | nothing and a close                | /chat/x | 1     |
+      | a refusal with a not-run statement | /once/x | 0     |
+      | another upstream's name            | /once/x | 0     |
 
   Scenario: A request whose answer is lost counts in the window in which it was sent
     Given a fleet of 1 routers with one scripted engine
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -85,7 +85,7 @@
     Then 6 of the members watch each kind
 
   Scenario: In a large fleet only a few routers watch the store
-    Given 40 members that hear each other
+    Given 40 members that receive beacons from each other
     Then 6 of the members watch each kind
     When half of the members fall silent
     Then 6 of the remaining members watch each kind
@@ -109,7 +109,7 @@
     Given a fleet of 2 routers
     When a caller sends a request to one router and an operator looks it up at the other
     Then the operator gets the upstream, the status and the duration
-    And the operator gets the data behind the choice of the upstream
+    And the operator gets the data that the choice of the upstream was based on
 
   Scenario: Metrics and health are reported
     Given a fleet of 1 routers
--- a/features/groups.feature
+++ b/features/groups.feature
@@ -7,7 +7,7 @@
     And a router that is not a head sends at most 4 beacons a second
 
   Scenario: The number of messages of a member does not depend on the size of the fleet
-    Then at 20, 80 and 330 routers a member sends and receives as many beacons a second
+    Then at 20, 80 and 330 routers a member sends and receives the same number of beacons a second
 
   Scenario: The counts of each router reach every other exactly once
     Given 40 routers that know each other's names
@@ -112,7 +112,7 @@
   # at once exceeds the queue of a link of 10 to 20 Mbit/s, and both members were last
   # in the order of the round, so that their beacons were lost in each round.
   Scenario: A head's round is sent in bursts of a few beacons
-    Given a head whose round is 28 beacons of 5000 bytes
+    Given a head that sends 28 beacons of 5000 bytes per round
     When the head sends the round
     Then at most 21500 bytes are sent at once, and 1440000 bytes in a second
 
@@ -196,7 +196,7 @@
   Scenario: A fleet that starts at once keeps to the limit afterwards
     Given 40 routers that have just started
     When the limit is set to 2000 tokens a second with a burst of 4000
-    Then of 8000 tokens a second, requested at all routers, at most 22000 are admitted in 8000 ms
+    Then of 8000 tokens requested per second at all routers, at most 22000 are admitted in 8000 ms
 
   # Guards against refusals within the limit after a start: in the 2.5 s after all of
   # 195 routers had lost power, 875 requests were refused for team limits that were all
@@ -207,26 +207,26 @@
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 61000 tokens a second, in requests of 6000, over 2000 ms at most 20 in 100 are refused
+    Then of 61000 tokens requested per second, 6000 per request, over 2000 ms at most 20 in 100 are refused
 
   Scenario: Heads together lend no more than the limit
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 880000 tokens a second, in requests of 6000, at most 378000 are admitted in 2000 ms
+    Then of 880000 tokens requested per second, 6000 per request, at most 378000 are admitted in 2000 ms
 
   Scenario: A team over its limit at a starting fleet still gets its limit
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 388000 tokens a second, in requests of 6000, at most 1089000 are admitted in 8000 ms
+    Then of 388000 tokens requested per second, 6000 per request, at most 1089000 are admitted in 8000 ms
 
   Scenario: Members of an unreachable head refuse requests over their own share
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
     And the heads receive no requests for tokens
-    Then of 61000 tokens a second, in requests of 6000, at most 110000 are admitted in 1000 ms
+    Then of 61000 tokens requested per second, 6000 per request, at most 110000 are admitted in 1000 ms
 
   Scenario: A small fleet that starts at once gives a team a single burst
     Given 12 routers that have just started
@@ -239,14 +239,14 @@
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
     And 12 more routers join with the same limit
-    Then at once at most 40000 tokens are admitted by the new routers, in requests of 100
+    Then the new routers admit at most 40000 tokens at once, in requests of 100
 
   Scenario: New routers keep to their share with long requests
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
     And 12 more routers join with the same limit
-    Then at once at most 40000 tokens are admitted by the new routers, in requests of 20000
+    Then the new routers admit at most 40000 tokens at once, in requests of 20000
 
   # Guards against overshoot when spends are known late: a team that requested six times
   # its limit at 58 routers got a fifth more than rate and burst allow in 8 s. All
@@ -257,7 +257,7 @@
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
-    Then of 2028000 tokens a second, in requests of 9000, at most 3346200 are admitted in any 8 s
+    Then of 2028000 tokens requested per second, 9000 per request, at most 3346200 are admitted in any 8 s
     And at least the limit is admitted in total
 
   # Guards against overshoot when heads are killed: a team that requested many times its
@@ -271,14 +271,14 @@
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
     And 3 heads and 14 others are killed after 3000 ms and restarted 3000 ms later
-    Then of 2028000 tokens a second, in requests of 9000, at most 3346200 are admitted in any 8 s
+    Then of 2028000 tokens requested per second, 9000 per request, at most 3346200 are admitted in any 8 s
 
   Scenario: A team that requests half of its limit is not refused meanwhile
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
     And 3 heads and 14 others are killed after 3000 ms and restarted 3000 ms later
-    Then of 169000 tokens a second, in requests of 9000, none is refused
+    Then of 169000 tokens requested per second, 9000 per request, none is refused
 
   # A head whose beacons were lost for a moment then reports all that was missed: the
   # estimate for that time must not be deducted from the limit as well.
--- a/features/incarnation.feature
+++ b/features/incarnation.feature
@@ -17,7 +17,7 @@
     When another router reports its work at the run started at 2000
     Then "a" has the reported work
 
-  Scenario: A peer that is behind does not restore the earlier run
+  Scenario: A peer with an outdated record does not restore the earlier run
     Given an upstream "a" whose run started at 1000
     And a peer that knows that run
     When the entry of "a" changes to a run started at 2000
@@ -25,9 +25,9 @@
     Then "a" may get new work and is the run started at 2000
 
   Scenario: A report of another run is not used for this one
-    Given an engine whose report is of the run started at 2000
-    Then requested for the run started at 1000 the report has no time of leaving
-    And requested for the run started at 2000 the report has a time of leaving
+    Given an engine that reports on its run started at 2000
+    Then a report for the run started at 1000 has no time of leaving
+    And a report for the run started at 2000 has a time of leaving
 
   Scenario: A resumable stream continues at another upstream
     Given a fleet of 1 routers whose routes have a target gap of 20000 ms
@@ -36,13 +36,13 @@
 
   Scenario: A stream also continues if its connection stays silent
     Given a fleet of 1 routers whose routes have a target gap of 20000 ms
-    When a caller streams 200 tokens from "/chat/x" and its upstream restarts behind a silent connection
+    When a caller streams 200 tokens from "/chat/x" and its upstream restarts while the connection stays silent
     Then its events are complete and in order
 
   Scenario: A non-idempotent request is never reported as not run
     Given a fleet of 1 routers
     And every upstream of "booking" takes 60000 ms for a request
-    When a caller requests "/holds/seat" and its upstream restarts behind a silent connection
+    When a caller requests "/holds/seat" and its upstream restarts while the connection stays silent
     Then the answer does not claim that the request did not run, and it ran once
 
   Scenario: The next request reaches the later run
--- a/features/limits.feature
+++ b/features/limits.feature
@@ -110,19 +110,19 @@
     When the home of a prefix has 40000 tokens waiting for prefill
     Then requests with this prefix go to other engines
 
-  Scenario Outline: Urgency of a request by its rank and by the slack of its target
-    Then a prompt of <tokens> tokens with a target of <target> ms and rank <rank> has urgency level <level>
+  Scenario Outline: Urgency of a request by its priority, length and latency target
+    Then a prompt of <tokens> tokens with a target of <target> ms and priority <priority> has urgency level <level>
 
     Examples:
-      | tokens | target | rank | level |
-      | 500    | 400    | 2    | 2     |
-      | 3600   | 800    | 1    | 2     |
-      | 17000  | 800    | 1    | 3     |
-      | 39000  | 800    | 1    | 5     |
-      | 500    | 600    | 0    | 0     |
-      | 39000  | 800    | 4    | 9     |
-
-  Scenario: Faster engines leave more slack
+      | tokens | target | priority | level |
+      | 500    | 400    | 2        | 2     |
+      | 3600   | 800    | 1        | 2     |
+      | 17000  | 800    | 1        | 3     |
+      | 39000  | 800    | 1        | 5     |
+      | 500    | 600    | 0        | 0     |
+      | 39000  | 800    | 4        | 9     |
+
+  Scenario: A prompt is more urgent if the engines prefill faster
     Then a prompt of 17000 tokens is more urgent at a prefill rate of 100 tokens per ms than at 20
 
   Scenario: The start and the prefill of a long prompt are reported at once
--- a/features/odd_upstreams.feature
+++ b/features/odd_upstreams.feature
@@ -9,18 +9,18 @@
     Then the status is <status>, and the upstream ran the request at most once
 
     Examples:
-      | what                            | status |
-      | bytes that are no answer        | 502    |
-      | half of the body                | 502    |
-      | nothing and a close             | 502    |
-      | a reset                         | 502    |
-      | a success without a seal        | 502    |
-      | a 503 that does not say not run | 502    |
-      | two lengths                     | 502    |
-      | a length and chunks             | 502    |
-      | an odd chunk                    | 502    |
-      | a 404 of its own                | 404    |
-      | a body that ends with the connection | 200 |
+      | what                                 | status |
+      | bytes that are no answer             | 502    |
+      | half of the body                     | 502    |
+      | nothing and a close                  | 502    |
+      | a reset                              | 502    |
+      | a success without a seal             | 502    |
+      | a 503 without a not-run statement    | 502    |
+      | two lengths                          | 502    |
+      | a length and chunks                  | 502    |
+      | an odd chunk                         | 502    |
+      | a 404 of its own                     | 404    |
+      | a body that ends with the connection | 200    |
 
   Scenario: A second answer after the first is given to nobody
     Given the upstream answers with "its answer and another one"
@@ -34,7 +34,7 @@
     Then each caller receives the answer to its own request
 
   Scenario: A refusal without a run is passed on as a promise
-    Given the upstream answers with "a refusal that says not run"
+    Given the upstream answers with "a refusal with a not-run statement"
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 503 with a retry time
 
--- a/features/spread.feature
+++ b/features/spread.feature
@@ -164,9 +164,9 @@
     And 2000 ms pass on the links
     Then no call has failed, and each router knows all others
 
-  Scenario: Routers that have read the fleet from the store call no seed
+  Scenario: Routers that have read their state from the store call no seed
     Given 80 routers on links of 625 bytes per ms
     When all but 3 routers, which know the whole fleet, join through these at once
-    And each router has read the platform and the fleet from the store
+    And each router has read all of its state from the store
     And 2000 ms pass on the links
     Then no router has called a seed
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -164,7 +164,7 @@
 
 
 @then('the caller is told that the engine failed')
-def told_engine_failed(context):
+def caller_told_engine_failed(context):
     assert not context.answer.complete, context.answer
     assert context.answer.failure.reason == 'engine_failed: 500'
     [attempt] = context.answer.attempts
--- a/features/steps/crash_model.py
+++ b/features/steps/crash_model.py
@@ -76,7 +76,7 @@
     def send_updates(self, name):
         if name == self.isolated:
             return
-        updates = self.trackers[name].updates()
+        updates = self.trackers[name].updates_for_peers()
         for other, tracker in self.trackers.items():
             if other not in (name, self.isolated):
                 tracker.merge_updates(updates)
@@ -146,12 +146,12 @@
         for _ in range(2):
             for name in self.trackers:
                 self.send_updates(name)
-        self.stored_blocks = self.trackers[self.holder].blocked()
+        self.stored_blocks = self.trackers[self.holder].blocked_requests()
         self.check_block()
 
     def check_block(self):
         """Check that a block lasts for the retention period."""
-        blocked = any(t.blocked() for t in self.trackers.values())
+        blocked = any(t.blocked_requests() for t in self.trackers.values())
         idle = self.clock.now() - self.last_arrival
         if self.blocked and not blocked:
             assert idle >= crash_tracker_.RETENTION_MS, 'unblocked too early'
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -185,7 +185,7 @@
         context.fleet.restart(router)
     helpers.wait_until(
         lambda: all(
-            router.serving.crashes.blocked()
+            router.serving.crashes.blocked_requests()
             for router in context.fleet.serving()
         ),
         'the block is restored',
@@ -265,7 +265,7 @@
 
 @then('{count:d} crashes of it are recorded')
 def recorded_crashes(context, count):
-    [blocked] = context.fleet.routers[0].serving.crashes.blocked()
+    [blocked] = context.fleet.routers[0].serving.crashes.blocked_requests()
     assert len(blocked.crashes) == count, blocked
 
 
@@ -297,7 +297,7 @@
 
 @when(
     'the answer to one request breaks off at {count:d} upstreams that answer'
-    ' others'
+    ' other requests'
 )
 def answers_break_off(context, count):
     for number in range(count):
@@ -326,7 +326,7 @@
 
 
 @when('one request crashes {count:d} upstreams while they answer another one')
-def crashes_upstreams_answering_another(context, count):
+def crash_upstreams_while_answering_another(context, count):
     for number in range(count):
         context.clock.advance(1000)
         name = f'i-{number}'
@@ -341,7 +341,7 @@
     'one request crashes {count:d} upstreams while they answer it, each with'
     ' another request queued'
 )
-def crashes_upstreams_answering_it(context, count):
+def crash_upstreams_while_answering_it(context, count):
     for number in range(count):
         context.clock.advance(1000)
         name = f'i-{number}'
@@ -362,7 +362,7 @@
     [router] = context.fleet.serving()
     return [
         crash.was_answering
-        for suspect in router.serving.crashes.updates()
+        for suspect in router.serving.crashes.updates_for_peers()
         for crash in suspect.crashes
     ]
 
@@ -421,7 +421,7 @@
 @then('it is refused, also by a router that receives the update')
 def refused_by_both(context):
     other = crash_tracker_.CrashTracker(context.clock, 'router-2')
-    other.merge_updates(context.tracker.updates())
+    other.merge_updates(context.tracker.updates_for_peers())
     context.other_tracker = other
     assert context.tracker.retry_after_ms(crash_model.CRASHING)
     assert other.retry_after_ms(crash_model.CRASHING)
@@ -431,7 +431,7 @@
 def answered_completely(context):
     context.clock.advance(100)
     context.other_tracker.note_success(crash_model.CRASHING)
-    context.tracker.merge_updates(context.other_tracker.updates())
+    context.tracker.merge_updates(context.other_tracker.updates_for_peers())
 
 
 @then('neither router refuses it')
@@ -455,7 +455,7 @@
 
 @then('an update contains at most {most:d} of them')
 def update_is_bounded(context, most):
-    updates = context.tracker.updates()
+    updates = context.tracker.updates_for_peers()
     assert len(updates) <= most, len(updates)
     assert crash_model.CRASHING in {update.fingerprint for update in updates}
 
--- a/features/steps/duty_steps.py
+++ b/features/steps/duty_steps.py
@@ -151,7 +151,7 @@
             (self.duty,),
             clock,
             self._notify,
-            clock.wall,
+            clock.wall_time,
         )
 
     def _notify(self, successors):
@@ -377,7 +377,7 @@
 
 
 @then('further reports have a higher fencing number')
-def check_higher_fencing(context):
+def check_fencing_number_increased(context):
     helpers.wait_until(
         lambda: any(
             report.fencing > context.fencing
@@ -484,7 +484,7 @@
         context.reports,
         context.store,
         WINDOW_MS,
-        context.clock.wall,
+        context.clock.wall_time,
         invariants.Invariants(registry, fatal=True),
     )
 
@@ -493,7 +493,7 @@
     context.store = MemoryStore()
     context.reports = RecordingSink()
     context.clock = clock_.ManualClock(window * WINDOW_MS)
-    context.usage = usage_.Usage(context.clock.wall, WINDOW_MS)
+    context.usage = usage_.Usage(context.clock.wall_time, WINDOW_MS)
 
 
 @given('a usage reporter that was killed after storing window {window:d}')
@@ -521,7 +521,7 @@
 
 
 @given('a usage reporter whose next write gets no answer')
-def lost_write_answer(context):
+def next_write_answer_lost(context):
     set_up_usage(context, 10)
     context.usage.count_started('noor')
     context.reporter = make_reporter(context)
@@ -560,10 +560,10 @@
 
 
 @given('the usage counts of a router that was killed and started again')
-def usage_of_restarted(context):
+def usage_of_restarted_router(context):
     set_up_usage(context, 10)
     for incarnation, count in ((1, 3), (2, 4)):
-        other = usage_.Usage(context.clock.wall, WINDOW_MS)
+        other = usage_.Usage(context.clock.wall_time, WINDOW_MS)
         for _ in range(count):
             other.count_started('noor')
         # Beacons repeat their counts; only the latest must be counted.
@@ -584,8 +584,8 @@
         super().__init__()
         self.offset = 0
 
-    def wall(self):
-        return super().wall() + self.offset
+    def wall_time(self):
+        return super().wall_time() + self.offset
 
 
 ELAPSED_MS = 1000
@@ -600,7 +600,7 @@
     walls = [0, 3, -2, 3_600_000]
     for number, offset in enumerate(walls):
         context.fleet_clock.record_peer(
-            f'router-{number}', context.own.boot() + offset
+            f'router-{number}', context.own.boot_time() + offset
         )
     context.own.offset = -3_600_000
     context.own.advance(ELAPSED_MS)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -330,7 +330,7 @@
 
 
 @then('all have the status {status:d}')
-def all_status(context, status):
+def all_have_status(context, status):
     found = {answer.status for answer in context.answers}
     assert found == {status}, found
 
@@ -342,7 +342,7 @@
 
 @then('all have the status {status:d} and ran exactly {count:d} times')
 def all_ran(context, status, count):
-    all_status(context, status)
+    all_have_status(context, status)
     runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert set(runs) == {count}, runs
 
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -56,14 +56,14 @@
     def now(self):
         return self._clock.now()
 
-    def boot(self):
-        return self._clock.boot()
+    def boot_time(self):
+        return self._clock.boot_time()
 
-    def wall(self):
-        return self._clock.wall() + self.off
+    def wall_time(self):
+        return self._clock.wall_time() + self.off
 
 
-class Node:
+class SimulatedRouter:
     """The parts of one router that exchange counts, without a network."""
 
     def __init__(self, number, clock, limited=True):
@@ -72,7 +72,7 @@
         self.spawned = []
         me = pb.Member(
             name=self.name,
-            incarnation=clock.wall() + number,
+            incarnation=clock.wall_time() + number,
             beacon_address=f'10.0.{number // 250}.{1 + number % 250}:7',
             state=members_.ALIVE,
             ready=True,
@@ -133,7 +133,7 @@
             fleet_clock=self.time,
             outage=types.SimpleNamespace(is_suspected=lambda: False),
             is_watching=lambda what: False,
-            refresh=lambda what: None,
+            restart_outdated_watches=lambda what: None,
             check_store=lambda: None,
         )
 
@@ -166,13 +166,16 @@
                 node.serving.quota.adopt_levels({'noor': BURST})
 
     def add(self, count):
-        added = [Node(next(self.numbers), self.clock) for _ in range(count)]
+        added = [
+            SimulatedRouter(next(self.numbers), self.clock)
+            for _ in range(count)
+        ]
         for node in added:
             self.link(node)
         self.nodes.update({node.name: node for node in added})
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.members.learn(copy_of(other.members.me))
+                node.members.merge_entry(copy_of(other.members.me))
 
     def link(self, node):
         """Deliver a router's requests and answers on tokens at once."""
@@ -343,8 +346,8 @@
 
 
 @then(
-    'at {a:d}, {b:d} and {c:d} routers a member sends and receives as many'
-    ' beacons a second'
+    'at {a:d}, {b:d} and {c:d} routers a member sends and receives the'
+    ' same number of beacons a second'
 )
 def check_equal_rates(context, a, b, c):
     found = set()
@@ -517,7 +520,7 @@
             node.name,
             new_upstream_count(node),
         )
-        assert 'ask_upstreams' not in node.spawned, node.name
+        assert 'fetch_upstreams' not in node.spawned, node.name
 
 
 @then(
@@ -528,7 +531,7 @@
     node = context.missing
     assert new_upstream_count(node) == count, new_upstream_count(node)
     assert node.table.revision == 1, node.table.revision
-    assert 'ask_upstreams' in node.spawned
+    assert 'fetch_upstreams' in node.spawned
     assert new_upstream_count(context.watcher) == all_
 
 
@@ -540,7 +543,7 @@
                 node.name,
                 new_upstream_count(node),
             )
-            assert 'ask_upstreams' in node.spawned, node.name
+            assert 'fetch_upstreams' in node.spawned, node.name
 
 
 @when('a head is killed')
@@ -559,7 +562,7 @@
 def announce_leaving_member(context):
     node = context.simulated.member()
     context.ended = node.name
-    node.members.change_me(state=members_.LEAVING, ready=False)
+    node.members.update_own_entry(state=members_.LEAVING, ready=False)
     context.simulated.deliver(
         node, node.peering.updates.build(), node.members.peers()
     )
@@ -576,7 +579,7 @@
 def announce_leaving_head(context, ms):
     fleet = context.simulated
     node = fleet.heads()[0]
-    node.members.change_me(state=members_.LEAVING, ready=False)
+    node.members.update_own_entry(state=members_.LEAVING, ready=False)
     announce(fleet, node)
     fleet.run(ms)
     context.ended = node.name
@@ -587,16 +590,16 @@
 def restart_head(context, ms):
     fleet = context.simulated
     fleet.run(ms)
-    node = fleet.nodes[context.ended] = next_run(fleet, context.ended)
+    node = fleet.nodes[context.ended] = make_next_run(fleet, context.ended)
     for other in fleet.nodes.values():
         other.peering.tick()
     announce(fleet, node)
 
 
-@given('a head whose round is {count:d} beacons of {size:d} bytes')
+@given('a head that sends {count:d} beacons of {size:d} bytes per round')
 def head_round_of(context, count, size):
     members = members_.Members(pb.Member(name='me'), clock_.ManualClock(), 1)
-    members.learn(pb.Member(name='peer', beacon_address='127.0.0.1:9'))
+    members.merge_entry(pb.Member(name='peer', beacon_address='127.0.0.1:9'))
     draws = random.Random(0)
     names = [draws.randbytes(size // 2).hex()]
     beacon = pb.Beacon(member=members.me, alive=names)
@@ -814,7 +817,7 @@
     name = sorted(fleet.nodes)[3]
     del fleet.nodes[name]
     fleet.clock.advance(10)
-    context.restarted = fleet.nodes[name] = next_run(fleet, name)
+    context.restarted = fleet.nodes[name] = make_next_run(fleet, name)
 
 
 @when('the same limit is set at that router')
@@ -844,7 +847,7 @@
 
 
 @then(
-    'of {rate:d} tokens a second, requested at all routers, at most {most:d}'
+    'of {rate:d} tokens requested per second at all routers, at most {most:d}'
     ' are admitted in {ms:d} ms'
 )
 def request_evenly(context, rate, most, ms):
@@ -863,10 +866,10 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
+    'of {rate:d} tokens requested per second, {tokens:d} per request, at most'
     ' {most:d} are admitted in any {seconds:d} s'
 )
-def check_admitted_in_any(context, rate, tokens, most, seconds):
+def check_admitted_in_any_window(context, rate, tokens, most, seconds):
     draws = random.Random(0)
     rounds = 1000 // ROUND_MS
     passed = [
@@ -897,24 +900,25 @@
 
     def start():
         for name in ended:
-            fleet.nodes[name] = next_run(fleet, name)
+            fleet.nodes[name] = make_next_run(fleet, name)
             fleet.nodes[name].set_limit(*context.limit)
 
     now = fleet.clock.now()
     fleet.events = {now + ms: kill, now + ms + later: start}
 
 
-def next_run(fleet, name):
+def make_next_run(fleet, name):
     """Return the next run of a router that has ended."""
-    node = Node(int(name[-3:]), fleet.clock, limited=False)
+    node = SimulatedRouter(int(name[-3:]), fleet.clock, limited=False)
     fleet.link(node)
     for other in fleet.nodes.values():
-        node.members.learn(copy_of(other.members.me))
+        node.members.merge_entry(copy_of(other.members.me))
     return node
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, none is refused'
+    'of {rate:d} tokens requested per second, {tokens:d} per request, none'
+    ' is refused'
 )
 def none_refused(context, rate, tokens):
     draws = random.Random(0)
@@ -942,7 +946,8 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, over {ms:d} ms'
+    'of {rate:d} tokens requested per second, {tokens:d} per request, over'
+    ' {ms:d} ms'
     ' at most {share:d} in 100 are refused'
 )
 def check_refused_share(context, rate, tokens, ms, share):
@@ -953,7 +958,7 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
+    'of {rate:d} tokens requested per second, {tokens:d} per request, at most'
     ' {most:d} are admitted in {ms:d} ms'
 )
 def check_admitted(context, rate, tokens, most, ms):
@@ -988,7 +993,7 @@
 
 
 @when('each router admits its share before any beacon arrives')
-def admit_shares(context):
+def admit_own_shares(context):
     context.passed = admit_all(context.simulated.nodes.values())
 
 
@@ -1000,8 +1005,8 @@
 
 
 @then(
-    'at once at most {most:d} tokens are admitted by the new routers, in'
-    ' requests of {tokens:d}'
+    'the new routers admit at most {most:d} tokens at once, in requests of'
+    ' {tokens:d}'
 )
 def check_admitted_at_once(context, most, tokens):
     passed = admit_all(context.joined, tokens)
@@ -1137,7 +1142,7 @@
 @then('each of the {count:d} routers knows the limit')
 def all_know_limit(context, count):
     nodes = context.simulated.nodes.values()
-    known = [node.serving.limits.updates() for node in nodes]
+    known = [node.serving.limits.updates_for_peers() for node in nodes]
     assert len(known) == count and all(known), known
 
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -78,7 +78,7 @@
         for n in range(4)
     ]
     among = candidates.Candidates('router-1', [view, *others])
-    return [among.homes(f'part-{n}')[0].name for n in range(200)]
+    return [among.ranked_homes(f'part-{n}')[0].name for n in range(200)]
 
 
 @when('the entry of "a" changes to a run started at {born:d}')
@@ -144,7 +144,7 @@
     context.upstreams.merge_all(context.known)
 
 
-@given('an engine whose report is of the run started at {born:d}')
+@given('an engine that reports on its run started at {born:d}')
 def reporting_engine(context, born):
     app = web.WebApp('engine', 1 << 16)
     body = {names.BORN: born, names.LEAVES_MS: 700}
@@ -159,18 +159,12 @@
     return control.remaining_ms(context.server.address, born)
 
 
-@then(
-    'requested for the run started at {born:d} the report has no time of'
-    ' leaving'
-)
+@then('a report for the run started at {born:d} has no time of leaving')
 def has_no_leaving_time(context, born):
     assert isinstance(leaves_ms(context, born), failures.Failure)
 
 
-@then(
-    'requested for the run started at {born:d} the report has a time of'
-    ' leaving'
-)
+@then('a report for the run started at {born:d} has a time of leaving')
 def has_leaving_time(context, born):
     assert leaves_ms(context, born) == 700
 
@@ -191,7 +185,7 @@
 
 @when(
     'a caller streams {tokens:d} tokens from "{path}" and its upstream'
-    ' restarts behind a silent connection'
+    ' restarts while the connection stays silent'
 )
 def stream_and_restart_silently(context, tokens, path):
     def act(guest):
@@ -202,8 +196,8 @@
 
 
 @when(
-    'a caller requests "{path}" and its upstream restarts behind a silent'
-    ' connection'
+    'a caller requests "{path}" and its upstream restarts while the'
+    ' connection stays silent'
 )
 def request_and_restart_silently(context, path):
     task = green.spawn(
--- a/features/steps/lease_model.py
+++ b/features/steps/lease_model.py
@@ -110,7 +110,7 @@
     @stateful.invariant()
     def one_acts(self):
         acting = [
-            Order(self.clock.boot(), name, lease.fencing)
+            Order(self.clock.boot_time(), name, lease.fencing)
             for name, lease in self.leases.items()
             if lease.may_act()
         ]
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -268,8 +268,8 @@
 
 @when('the VM of both runs is suspended for {ms:d} ms')
 def suspend_vm(context, ms):
-    boot = context.clock.boot
-    context.clock.boot = lambda: boot() + ms
+    boot = context.clock.boot_time
+    context.clock.boot_time = lambda: boot() + ms
 
 
 @when('the {name} contender attempts a takeover')
@@ -307,7 +307,7 @@
     context.store = store = MemoryStore()
     leases, killed, orders, taken_over = {}, {}, [], 0
     for step in range(150):
-        now = context.clock.boot()
+        now = context.clock.boot_time()
         endpoint = draws.choice(sorted(names))
         if endpoint not in leases or draws.random() < 0.1:
             leases[endpoint] = make_contender(
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -42,7 +42,7 @@
     context.admitted = collections.Counter()
     context.refused = 0
     set_limit(context, rate, burst)
-    exchange(context)
+    exchange_spending(context)
 
 
 def set_limit(context, rate, burst):
@@ -50,7 +50,7 @@
         quota.configure([pb.Team(name='noor', rate=rate, burst=burst)])
 
 
-def exchange(context):
+def exchange_spending(context):
     """Send the spending of each router to all others, except isolated ones."""
     for number in range(len(context.quotas)):
         for other, sender in enumerate(context.quotas):
@@ -124,7 +124,7 @@
                     context.admitted[number] += tokens
         context.clock.advance(STEP_MS)
         if step % (BEACON_MS // STEP_MS) == 0:
-            exchange(context)
+            exchange_spending(context)
 
 
 @then('between {least:d} and {most:d} tokens are admitted in total')
@@ -535,11 +535,11 @@
 
 
 @then(
-    'a prompt of {tokens:d} tokens with a target of {target:d} ms and rank'
-    ' {rank:d} has urgency level {level:d}'
+    'a prompt of {tokens:d} tokens with a target of {target:d} ms and'
+    ' priority {priority:d} has urgency level {level:d}'
 )
-def has_urgency_level(context, tokens, target, rank, level):
-    found = urgency.level(rank, tokens, target, None)
+def has_urgency_level(context, tokens, target, priority, level):
+    found = urgency.level(priority, tokens, target, None)
     assert found == level, found
 
 
@@ -586,7 +586,7 @@
     )
 
 
-def place_all(context, is_reported):
+def place_prompts(context, is_reported):
     """Place prompts on routers in turn; return the number per engine.
 
     Parameters
@@ -619,7 +619,7 @@
 
 @when('each router places {count:d} prompts without data from the others')
 def place_without_reports(context, count):
-    context.placed = place_all(context, is_reported=False)
+    context.placed = place_prompts(context, is_reported=False)
 
 
 @then('no engine receives more than {most:d} of the {all_:d} prompts')
@@ -633,7 +633,7 @@
     ' less'
 )
 def each_engine_receives(context, each):
-    placed = place_all(context, is_reported=True)
+    placed = place_prompts(context, is_reported=True)
     assert len(placed) == 20
     assert all(abs(n - each) <= 1 for n in placed.values()), placed
 
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -505,7 +505,7 @@
         context.demand,
         context.upstream_limits,
         context.clock,
-        context.clock.wall,
+        context.clock.wall_time,
     )
     context.scaler.estimator.startup_complete = True
     context.service = pb.Service(name='pool')
@@ -535,12 +535,12 @@
 
 
 @when('upstreams state limits of {a:d}, {b:d} and {c:d} requests per second')
-def state_limits(context, a, b, c):
+def set_stated_limits(context, a, b, c):
     context.stated_limits = [a, b, c]
 
 
 @when('no upstream states a limit')
-def state_no_limits(context):
+def clear_stated_limits(context):
     context.stated_limits = []
 
 
@@ -677,7 +677,7 @@
         for number in range(reclaimable):
             add_upstream(context, f'{domain}-{number}', domain, True)
     context.initial_count = reclaimable * len(START_DOMAINS)
-    context.state = pb.DutiesLeft(at_ms=context.clock.wall())
+    context.state = pb.DutiesLeft(at_ms=context.clock.wall_time())
     context.scaler.start(context.state)
 
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -107,7 +107,7 @@
         self.failed_calls = []
         self._sleepers = []
         self._order = itertools.count()
-        self.nodes = [Node(self, number) for number in range(count)]
+        self.nodes = [SimulatedRouter(self, number) for number in range(count)]
         self.by_address = {node.address: node for node in self.nodes}
 
     def sleep_ms(self, ms):
@@ -183,7 +183,7 @@
         return objects.StoredObject(name, spec['version'], spec)
 
 
-class Node:
+class SimulatedRouter:
     """The parts of a router that request and serve configurations."""
 
     def __init__(self, simulation, number):
@@ -226,7 +226,7 @@
             config=self.config,
             upstream_table=table,
             is_watching=lambda what: False,
-            refresh=lambda *what: None,
+            restart_outdated_watches=lambda *what: None,
         )
         self.catch_up = catch_up_.CatchUp(
             simulation.clock, knowledge, self, self._spawn
@@ -285,7 +285,7 @@
             node is not self
             and node.address not in self._simulation.unreachable
         ):
-            self.catch_up.compare(node.beacon())
+            self.catch_up.fetch_if_behind(node.beacon())
 
     def join(self, seeds):
         self._spawn('join', self.catch_up.join, seeds)
@@ -339,7 +339,7 @@
 
 
 @then("no router's link has carried more than {most:d} bytes")
-def links_transferred_at_most(context, most):
+def no_link_transferred_more(context, most):
     found = max(context.simulation.transferred.values())
     assert found <= most, found
 
@@ -532,14 +532,16 @@
 def no_more_beacons(context):
     answer = None
 
-    def is_final():
+    def is_answered_as_unknown():
         nonlocal answer
         answer = helpers.send_request(
             context.fleet.routers[0].address, '/nowhere/x'
         )
         return answer.status == 404
 
-    helpers.wait_until(is_final, 'the reported version is forgotten')
+    helpers.wait_until(
+        is_answered_as_unknown, 'the reported version is forgotten'
+    )
 
 
 @then('a request to an unknown route is answered with 404')
@@ -559,13 +561,13 @@
     seeds, others = simulation.nodes[:count], simulation.nodes[count:]
     for seed in seeds:
         for node in simulation.nodes:
-            seed.members.learn(node.members.me)
+            seed.members.merge_entry(node.members.me)
     for node in others:
         node.join([seed.address for seed in seeds])
 
 
-@when('each router has read the platform and the fleet from the store')
-def fleet_read_from_store(context):
+@when('each router has read all of its state from the store')
+def state_read_from_store(context):
     for node in context.simulation.nodes:
         node.knowledge.is_synced_with_store = True
 
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -465,7 +465,7 @@
 
 @then('the router that does not watch calls the peer')
 def non_watcher_calls(context):
-    assert context.spawned[0] == ['ask_config'], context.spawned
+    assert context.spawned[0] == ['fetch_config'], context.spawned
 
 
 @then('the router that watches does not call the peer')
@@ -475,7 +475,7 @@
 
 @then('the router that watches calls the peer too')
 def watcher_calls(context):
-    assert context.spawned[1] == ['ask_config'], context.spawned
+    assert context.spawned[1] == ['fetch_config'], context.spawned
 
 
 @when('an engine announces that it is leaving')
@@ -542,7 +542,7 @@
     )
 
 
-@given('{count:d} members that hear each other')
+@given('{count:d} members that receive beacons from each other')
 def many_members(context, count):
     clock = clock_.ManualClock()
     everyone = [
@@ -566,7 +566,7 @@
     for me in context.everyone:
         members = members_.Members(me, context.clock, 1000)
         for other in context.everyone:
-            members.learn(other)
+            members.merge_entry(other)
         context.members.append(members)
 
 
@@ -631,7 +631,9 @@
     assert {step.router for step in context.steps} == {'router-1'}
 
 
-@then('the operator gets the data behind the choice of the upstream')
+@then(
+    'the operator gets the data that the choice of the upstream was based on'
+)
 def operator_gets_choice(context):
     texts = ' '.join(step.text for step in context.steps)
     for part in ('revision=', 'among=2', 'home=False', 'running=0'):
--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -265,7 +265,7 @@
 
 
 @then('the watch has restarted and received the change')
-def restarted(context):
+def watch_restarted(context):
     context.stepping.wait()
     context.watch.step()
     assert context.store.watches == 2
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -358,15 +358,15 @@
         member=pb.Member(name='r2', peer_address='10.0.0.2:1'),
         upstreams_revision=9,
     )
-    catch_up.compare(beacon)
+    catch_up.fetch_if_behind(beacon)
     context.clock.advance(1000)
-    catch_up.compare(beacon)
+    catch_up.fetch_if_behind(beacon)
     assert context.fleet_state.upstream_table.get('a') is not None
 
 
 @when('a peer announces a newer state of the configuration')
 def newer_configuration(context):
-    context.fleet_state.refresh('config')
+    context.fleet_state.restart_outdated_watches('config')
 
 
 @then('the router restarts the watch on the {what}')
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -117,7 +117,7 @@
 
 
 @given(
-    'a fleet of {count:d} routers that know the limit of {rate} of its one'
+    'a fleet of {count:d} routers that know the limit of {rate} of their only'
     ' engine'
 )
 def fleet_knows_limit(context, count, rate):
@@ -133,7 +133,7 @@
 def know_rate(context, rate):
     """Yield for each router whether it knows this rate; 0 means no rate."""
     for router in context.fleet.serving():
-        updates = router.serving.limits.updates()
+        updates = router.serving.limits.updates_for_peers()
         known = [x.rate for x in updates if x.HasField('rate')]
         yield known == ([rate] if rate else [])
 
@@ -190,7 +190,7 @@
 def exchange_updates(context, times=3):
     for _ in range(times):
         for sender, receiver in (context.pair, context.pair[::-1]):
-            updates = sender.updates()
+            updates = sender.updates_for_peers()
             context.clock.advance(2)
             receiver.merge_updates(updates)
 
@@ -228,7 +228,7 @@
 
 @then('they know limits of {a:g} and {b:g}')
 def know_different(context, a, b):
-    rates = [limits.updates()[0].rate for limits in context.pair]
+    rates = [limits.updates_for_peers()[0].rate for limits in context.pair]
     assert rates == [a, b], rates
 
 
@@ -250,7 +250,9 @@
 def limits_bounded(context, kept, sent):
     limits = context.pair[0]
     assert len(limits) <= kept, len(limits)
-    assert len(limits.updates()) == sent, len(limits.updates())
+    assert len(limits.updates_for_peers()) == sent, len(
+        limits.updates_for_peers()
+    )
 
 
 @given('{count:d} routers under load that share a limit of {rate:g}')
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -176,7 +176,7 @@
     'a reset': reset_only,
     'a reset a window later': delayed_reset,
     'a success without a seal': no_seal,
-    'a 503 that does not say not run': bare_503,
+    'a 503 without a not-run statement': bare_503,
     'two lengths': two_lengths,
     'a length and chunks': length_and_chunks,
     'an odd chunk': malformed_chunk,
@@ -186,7 +186,7 @@
     'its answer and another one': answer_and_another,
     'its answer and another one at once': answer_and_another_at_once,
     'an old answer and then its own': stale_answer_first,
-    'a refusal that says not run': refused_not_run,
+    'a refusal with a not-run statement': refused_not_run,
     "another upstream's name": other_upstream_name,
 }
 
--- a/features/upstream_limits.feature
+++ b/features/upstream_limits.feature
@@ -15,12 +15,12 @@
     And no engine receives more than 8 of them in 4 s
 
   Scenario: A limit that an upstream no longer states is lifted on all routers
-    Given a fleet of 2 routers that know the limit of 2 of its one engine
+    Given a fleet of 2 routers that know the limit of 2 of their only engine
     When it no longer states a limit
     Then within 5 s no router knows a limit
 
   Scenario Outline: A malformed limit is ignored
-    Given a fleet of 1 routers that know the limit of 2 of its one engine
+    Given a fleet of 1 routers that know the limit of 2 of their only engine
     When it states the limit "<text>"
     Then the router keeps the limit of 2
 
--- a/src/peridotmast/cli/router.py
+++ b/src/peridotmast/cli/router.py
@@ -47,7 +47,7 @@
     tasks = green.Tasks(
         lambda name, exc: log.error('task_failed', task=name, error=repr(exc))
     )
-    tasks.every('settings', _SETTINGS_MS, watch.reload_if_changed)
+    tasks.run_every('settings', _SETTINGS_MS, watch.reload_if_changed)
     _program.on_reload(watch.reload_if_changed)
     log.info('stopping', signal=_program.wait_for_stop())
     router.drain()
--- a/src/peridotmast/clock.py
+++ b/src/peridotmast/clock.py
@@ -15,10 +15,10 @@
     def now(self) -> Millis:
         """Return monotonic time, which is never adjusted, in ms."""
 
-    def boot(self) -> Millis:
+    def boot_time(self) -> Millis:
         """Return monotonic time including suspension of the VM, in ms."""
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return ms since 1970, which may be adjusted."""
 
 
@@ -29,11 +29,11 @@
         """Return monotonic time in ms."""
         return Millis(time.monotonic_ns() // 1_000_000)
 
-    def boot(self) -> Millis:
+    def boot_time(self) -> Millis:
         """Return time since the VM's boot including suspension, in ms."""
         return Millis(time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000)
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return ms since 1970."""
         return Millis(time.time_ns() // 1_000_000)
 
@@ -62,20 +62,20 @@
         self._excluded_ms = 0
 
     def now(self) -> Millis:
-        """Return monotonic time without stalls, in ms."""
+        """Return monotonic time minus the time of all stalls, in ms."""
         now = self._clock.now()
         elapsed = now - self._last_read_at
         self._excluded_ms += max(0, elapsed - self._max_gap_ms)
         self._last_read_at = now
         return Millis(now - self._excluded_ms)
 
-    def boot(self) -> Millis:
+    def boot_time(self) -> Millis:
         """Return time since the VM's boot, including stalls, in ms."""
-        return self._clock.boot()
+        return self._clock.boot_time()
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return ms since 1970."""
-        return self._clock.wall()
+        return self._clock.wall_time()
 
 
 class ManualClock:
@@ -94,11 +94,11 @@
         """Return the time that was set, in ms."""
         return Millis(self._now)
 
-    def boot(self) -> Millis:
+    def boot_time(self) -> Millis:
         """Return the time that was set, in ms."""
         return Millis(self._now)
 
-    def wall(self) -> Millis:
+    def wall_time(self) -> Millis:
         """Return the time that was set, in ms."""
         return Millis(self._now)
 
--- a/src/peridotmast/compression.py
+++ b/src/peridotmast/compression.py
@@ -6,8 +6,8 @@
 
 _COMPRESSION_LEVEL = 1
 """Compressed messages mostly consist of repeated names, addresses and routes.
-Higher levels save at most a tenth of the size, and take a third more processor
-time to twice as much."""
+Higher levels save at most a tenth of the size, and take 1.3 to 2 times the
+processor time."""
 
 
 class DecompressionError(ValueError):
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -29,21 +29,22 @@
 
 _BURST_BYTES = 16 << 10
 _PAUSE_MS = 15
-"""Bytes of a round that are sent at once, and the pause after them: together
-less than the slowest link, 10 Mbit/s, transfers. A head's round is up to
-160 kB."""
+"""Bytes of a round that are sent in one burst, and the pause after each burst.
+The resulting rate is below the capacity of the slowest link, 10 Mbit/s. The
+beacons of a group head's round have up to 160 kB."""
 
 
 Round = ty.Iterable[tuple[pb.Beacon, ty.Sequence[members_.Peer]]]
-"""Beacons and the peers that each goes to."""
+"""Beacons to send, each with its recipients."""
 
 
 class Beacons:
     """Sends this router's beacons to its peers and receives theirs.
 
-    Datagrams, since a beacon only carries state: the next one replaces a lost
-    one, a silent connection can't delay them, and one costs a twentieth of a
-    call's processor time (20 us against 400 us, `peridotmast-load slopes`).
+    Beacons are datagrams. A lost beacon need not be resent, since the next one
+    contains the newer state, and no unresponsive connection can delay it. A
+    datagram takes a twentieth of the processor time of a gRPC call (20 us
+    against 400 us, `peridotmast-load slopes`).
 
     Parameters
     ----------
@@ -52,9 +53,9 @@
     members : members.Members
         The peers to send to.
     due : callable
-        Returns the beacons of a round, each with the peers that it goes to.
-    build_news : callable
-        Returns the short beacon that tells peers of changes in between rounds.
+        Returns the beacons of a round, each with its recipients.
+    build_update : callable
+        Returns the short beacon that reports changes between two rounds.
     on_beacon : callable
         Called with each valid beacon that arrives.
     secret : bytes
@@ -66,13 +67,13 @@
         address: str,
         members: members_.Members,
         due: ty.Callable[[], Round],
-        build_news: ty.Callable[[], pb.Beacon],
+        build_update: ty.Callable[[], pb.Beacon],
         on_beacon: ty.Callable[[pb.Beacon], None],
         secret: bytes = b'',
     ) -> None:
         self._members = members
         self._due = due
-        self._build_news = build_news
+        self._build_update = build_update
         self._on_beacon = on_beacon
         self._secret = secret
         self._log = logs.get('beacons', router=members.me.name)
@@ -101,8 +102,8 @@
     def send_round(self) -> None:
         """Send the beacons that are due, in bursts of limited size.
 
-        A full link drops the last datagrams of a round sent at once, so the
-        same members would miss theirs each time.
+        If a whole round were sent at once, a full link would drop its last
+        datagrams, and the same members would miss their beacon in each round.
         """
         sent = self.sent_bytes
         for beacon, peers in list(self._due()):
@@ -121,14 +122,14 @@
         for peer in peers:
             self._send_to(data, peer.member.beacon_address)
 
-    def send_news(self) -> None:
+    def send_updates(self) -> None:
         """Send changes at this router to all peers immediately.
 
-        By way of heads, a change takes a second or two to spread in a large
-        fleet. These beacons of 100 bytes reach all peers at once, and there
-        are only a few hundred changes an hour.
+        In a large fleet, a change that is relayed by group heads takes one to
+        two seconds to reach all routers. These beacons of 100 bytes are sent
+        to each peer directly. There are only a few hundred changes an hour.
         """
-        self.send(self._build_news(), self._members.peers())
+        self.send(self._build_update(), self._members.peers())
 
     def _send_to(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(':')
@@ -137,7 +138,7 @@
         try:
             self._sock.sendto(data, (host.strip('[]'), int(port)))
         except OSError as exc:
-            # Same as a loss in the network: the next beacon follows soon.
+            # Treated like a loss in the network: the next beacon follows soon.
             self._log.debug('beacon_send_failed', to=address, error=str(exc))
             return
         self.sent += 1
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -184,7 +184,7 @@
         self.offer_product(result.revision, spec, 'commit')
         return result.revision
 
-    def refresh(self, routes: bool) -> ty.Union[int, failures.Failure]:
+    def read_from_store(self, routes: bool) -> ty.Union[int, failures.Failure]:
         """Read the platform's object or the product document once.
 
         Returns
@@ -210,7 +210,7 @@
         """Read the outcome of a commit whose reply was lost or a failure."""
         unknown = failures.FailureKind.OUTCOME_UNKNOWN
         for _ in range(_RESOLVE_READS):
-            if not isinstance(self.refresh(False), failures.Failure):
+            if not isinstance(self.read_from_store(False), failures.Failure):
                 if self.product.document.get('nonce') == nonce:
                     return self.product.version
                 break
--- a/src/peridotmast/coordination/fleet_clock.py
+++ b/src/peridotmast/coordination/fleet_clock.py
@@ -7,7 +7,7 @@
 
 from peridotmast import clock as clock_
 
-_KEEP_MS = 10_000
+_READING_VALID_MS = 10_000
 """How long a peer's reading is used; clocks drift little in that time."""
 
 _UPDATE_MS = 250
@@ -37,12 +37,12 @@
 
     def record_peer(self, peer: str, wall_ms: int) -> None:
         """Record the time of day that a peer has just sent."""
-        boot = self._clock.boot()
+        boot = self._clock.boot_time()
         self._offsets[peer] = (wall_ms - boot, boot)
 
-    def follow_head(self, now_ms: int) -> None:
+    def adopt_head_time(self, now_ms: int) -> None:
         """Adopt the fleet's time from a head, which receives more clocks."""
-        boot = self._clock.boot()
+        boot = self._clock.boot_time()
         self._head_offset = (now_ms - boot, boot)
         self._update_at = 0
 
@@ -52,7 +52,7 @@
 
     def now(self) -> int:
         """Return the fleet's time, in ms since 1970."""
-        boot = self._clock.boot()
+        boot = self._clock.boot_time()
         if boot >= self._update_at:
             self._update(boot)
         return boot + self._median
@@ -61,13 +61,16 @@
         self._offsets = {
             peer: (offset, at)
             for peer, (offset, at) in self._offsets.items()
-            if boot - at < _KEEP_MS
+            if boot - at < _READING_VALID_MS
         }
         self._update_at = boot + _UPDATE_MS
-        if self._head_offset and boot - self._head_offset[1] < _KEEP_MS:
+        if (
+            self._head_offset
+            and boot - self._head_offset[1] < _READING_VALID_MS
+        ):
             self._median = self._head_offset[0]
             return
-        own_offset = self._clock.wall() - boot
+        own_offset = self._clock.wall_time() - boot
         offsets = [
             own_offset,
             *(offset for offset, _ in self._offsets.values()),
--- a/src/peridotmast/coordination/fleet_counts.py
+++ b/src/peridotmast/coordination/fleet_counts.py
@@ -11,7 +11,7 @@
 Apply = ty.Callable[[Counts], None]
 
 
-_OWN = -1
+_OWN_GROUP = -1
 """Key of this router's own group among the heads."""
 
 
@@ -45,7 +45,7 @@
         self._reported.pop(reporter, None)
 
     def retain(self, reporters: ty.Collection[str]) -> None:
-        """Drop the baselines of all reporters but these."""
+        """Drop the baselines of all reporters that are not in `reporters`."""
         self._reported = {
             r: v for r, v in self._reported.items() if r in reporters
         }
@@ -104,7 +104,8 @@
     ) -> None:
         """Process the sum of another group, from its head."""
         if self._heads.get(group) != head:
-            # Another head has reported the group in between, or none has.
+            # The last report on this group came from another head, or this
+            # is the first one.
             self._heads[group] = head
             self._groups.drop(head)
         increments = self._groups.update(head, run, counts)
@@ -116,8 +117,8 @@
         self, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
         """Process the sum over all other routers, from this group's head."""
-        if self._heads.get(_OWN) != head:
-            self._heads[_OWN] = head
+        if self._heads.get(_OWN_GROUP) != head:
+            self._heads[_OWN_GROUP] = head
             self._fleet.drop(head)
         increments = self._fleet.update(head, run, counts)
         if counted:
@@ -136,7 +137,9 @@
             _add(total, counts)
         return dict(total)
 
-    def totals_without(self, members: ty.Iterable[str]) -> ty.Iterator[Counts]:
+    def totals_excluding_each(
+        self, members: ty.Iterable[str]
+    ) -> ty.Iterator[Counts]:
         """Yield for each member the sum over all routers but that member."""
         fleet_total = collections.Counter(self.group_total())
         _add(fleet_total, self._elsewhere)
@@ -158,7 +161,7 @@
         self._heads = {}
 
     def retain(self, routers: ty.Collection[str]) -> None:
-        """Merge the counts of all routers but these into a single sum."""
+        """Merge the counts of routers not in `routers` into a single sum."""
         self._routers.retain(routers)
         for router in self._by_router.keys() - set(routers):
             _add(self._departed, self._by_router.pop(router))
--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -25,18 +25,18 @@
 a few calls and not one each."""
 
 _PEER_AHEAD_SILENT_MS = 2000
-"""Least silence of a watch before a peer's newer state restarts it: while the
-store rejects this router's calls every restart fails, and the received part
-of an answer would have to be sent again."""
+"""Minimum time without data after which a watch is restarted because a peer
+has newer state. Earlier restarts would be of no use while the store rejects
+this router's calls, and would discard the received part of an answer."""
 
 _OUTAGE_SILENT_MS = 500
 _MAX_OUTAGE_SILENT_MS = 4000
-"""Least silence of a watch before an outage restarts it: the watch was begun
-while the store was out, or may have been. Doubled at each restart until
-something arrives, so that an answer that takes long is received even while
-calls fail and succeed in turn."""
+"""Minimum time without data after which a watch is restarted because the store
+had an outage when the watch started, or may have had one. The time is doubled
+at each restart until data arrives, so that a slow answer is received even
+while calls alternately fail and succeed."""
 
-_IDLE_MS = 500
+_ROLE_CHECK_MS = 500
 """Time between two checks whether this router is to watch."""
 
 
@@ -112,7 +112,7 @@
     def step(self) -> None:
         """Make one call to the store, and pause after it if necessary."""
         if self._listed and not self._should_watch():
-            green.sleep_ms(_IDLE_MS)
+            green.sleep_ms(_ROLE_CHECK_MS)
             return
         failure = self._watch() if self._listed else self._list()
         if failure is None:
@@ -133,17 +133,17 @@
         self._backoff_ms = min(_MAX_BACKOFF_MS, self._backoff_ms * 2)
 
     def on_peer_ahead(self) -> None:
-        """Restart the watch: a peer has changes that it did not return.
+        """Restart the watch, as a peer has changes that it has not returned.
 
         A connection on which the store once failed may stay silent for the
-        whole wait of the watch. A watch whose answer is arriving goes on: on
+        whole wait of the watch. A watch whose answer is arriving continues: on
         a slow link the answer may take longer than a peer's beacon.
         """
-        self._restart_watch('watch_overtaken', _PEER_AHEAD_SILENT_MS)
+        self._restart_watch('watch_outdated', _PEER_AHEAD_SILENT_MS)
 
     def on_outage(self) -> None:
-        """Restart the watch: the store may have lost it in an outage."""
-        if self._restart_watch('watch_doubted', self._outage_silent_ms):
+        """Restart the watch, which the store may have lost in an outage."""
+        if self._restart_watch('watch_suspected_lost', self._outage_silent_ms):
             self._outage_silent_ms = min(
                 _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
             )
--- a/src/peridotmast/coordination/lease.py
+++ b/src/peridotmast/coordination/lease.py
@@ -111,7 +111,7 @@
     @property
     def remaining_ms(self) -> int:
         """Time until this run's lease expires, in ms; 0 if not held."""
-        return max(0, self._expires_at - self._clock.boot())
+        return max(0, self._expires_at - self._clock.boot_time())
 
     def hint(self) -> ty.Optional[pb.LeaseHint]:
         """Return the hint for other contenders; None if not held here."""
@@ -131,7 +131,7 @@
         same renewal the one that expires first is more accurate. Hints on
         earlier renewals are ignored.
         """
-        expires_at = self._clock.boot() + hint.left_ms
+        expires_at = self._clock.boot_time() + hint.left_ms
         if hint.revision < self._hint.revision:
             return
         if hint.revision == self._hint.revision:
@@ -141,7 +141,7 @@
 
     def is_held_elsewhere(self) -> bool:
         """Return whether a received hint has not expired."""
-        return self._clock.boot() < self._hint_expires_at
+        return self._clock.boot_time() < self._hint_expires_at
 
     def known_holder(self) -> ty.Optional[pb.LeaseHint]:
         """Return the holder known to this router; None if there is none."""
@@ -153,7 +153,7 @@
         return pb.LeaseHint(
             holder=self._hint.holder,
             fencing=self._hint.fencing,
-            left_ms=self._hint_expires_at - self._clock.boot(),
+            left_ms=self._hint_expires_at - self._clock.boot_time(),
             revision=self._hint.revision,
         )
 
@@ -187,11 +187,11 @@
 
     def attempt(self) -> Outcome:
         """Acquire or renew the lease if that is allowed."""
-        began = self._clock.boot()
+        began = self._clock.boot_time()
         if not self._is_read:
             failure = self._read()
             if failure is not None:
-                return self._unreached()
+                return self._outcome_without_answer()
         spec = self._next_spec()
         if spec is None:
             return Outcome.TAKEN
@@ -202,7 +202,7 @@
             # The write may be done already, or later: read before the next.
             self._is_read = False
             lost = result.kind is failures.FailureKind.CONFLICT
-            return Outcome.TAKEN if lost else self._unreached()
+            return Outcome.TAKEN if lost else self._outcome_without_answer()
         self._record_write(result, spec, began, was_own)
         return Outcome.HELD
 
@@ -221,7 +221,7 @@
         self._expires_at = 0
         current = self._current()
         # No earlier holder has acted since this run acquired the lease.
-        held_ms = self._clock.boot() - self._acquired_at
+        held_ms = self._clock.boot_time() - self._acquired_at
         former = {
             router: ms + held_ms
             for router, ms in _former_holders(current).items()
@@ -242,7 +242,7 @@
         if isinstance(stored, failures.Failure):
             return stored
         if self._stored is None or stored.revision != self._stored.revision:
-            self._first_seen_at = self._clock.boot()
+            self._first_seen_at = self._clock.boot_time()
         self._stored = stored
         self._is_read = True
         return None
@@ -281,12 +281,13 @@
             return True
         if self._may_take_over(current):
             return True
-        # If duties return to a router by way of others, its last orders and
-        # the new ones look like those of two concurrent holders.
+        # If the duties moved to other routers and soon back to this one, its
+        # earlier and its new orders would look like those of two concurrent
+        # holders.
         held_recently = self._router in _former_holders(current)
         if current.get('released') and not held_recently:
             return True
-        now = self._clock.boot()
+        now = self._clock.boot_time()
         length = max(int(current.get('length-ms') or 0), self.length_ms)
         if now - self._first_seen_at >= length:
             return True
@@ -297,7 +298,7 @@
     def _next_handover(
         self, current: objects.Json, keeps: bool
     ) -> ty.Optional[objects.Json]:
-        """Return the state to write: at first the one received, unchanged."""
+        """Return the state to write; at first that of the previous holder."""
         if keeps and self.fencing:
             return self.make_handover()
         return current.get('left') or {}
@@ -334,7 +335,7 @@
         was_own: bool,
     ) -> None:
         self._stored = objects.StoredObject(self._name, result.revision, spec)
-        self._first_seen_at = self._clock.boot()
+        self._first_seen_at = self._clock.boot_time()
         self._is_read = True
         self._expires_at = began + self.length_ms
         fencing = int(spec['fencing'])
@@ -344,17 +345,17 @@
             self.received_handover = None if was_own else spec['left']
             self._log.info('lease_taken', fencing=fencing)
 
-    def _unreached(self) -> Outcome:
+    def _outcome_without_answer(self) -> Outcome:
         return Outcome.HELD if self.is_held() else Outcome.UNREACHED
 
 
 def _former_holders(spec: objects.Json) -> dict[str, int]:
-    """Return the former holders of a lease, and how long ago each acted.
+    """Return the former holders of a lease, and when each last held it.
 
-    In ms from the latest time at which a router can have acted to when the
-    current holder acquired the lease, or released it; routers for which that
-    exceeds a lease's length are left out. Routers of an older version write a
-    single name.
+    The value is the time, in ms, from the latest moment at which the router
+    can have acted as the holder until the current holder acquired or released
+    the lease. Routers for which this time exceeds the length of the lease are
+    left out. Older versions store only the name of one router.
     """
     former = spec.get('before') or {}
     if isinstance(former, str):
--- a/src/peridotmast/coordination/members.py
+++ b/src/peridotmast/coordination/members.py
@@ -13,21 +13,23 @@
 LEAVING = pb.MEMBER_STATE_LEAVING
 
 _GROUPED_SILENCE_FACTOR = 1.2
-"""Factor on the silence timeout in a fleet with groups: beacons are sent half
-as often there, and two of three may be lost."""
+"""Factor by which the silence timeout is longer in a fleet with groups, where
+beacons are sent half as often. Two of three beacons may be lost in that
+time."""
 
 _REPORTED_SILENCE_FACTOR = 2.2
-"""The same for members known only from a head's reports: if the head fails,
-its successor takes over within the timeout above and reports within this."""
+"""Factor for members that are known only from the reports of a group head. If
+the head fails, its successor takes over within the timeout above and reports
+the members within this longer one."""
 
 _STARTING_MS = 1500
-"""How long a peer that was never heard counts as starting: three rounds of a
-large fleet."""
+"""How long a peer that was not seen alive yet counts as starting: three rounds
+of a large fleet."""
 
 _DISCOVERED_MS = 5000
-"""How long a peer that was never heard counts as possibly running."""
+"""How long a peer that has sent no beacon yet counts as possibly running."""
 
-_FORGET_MS = 60_000
+_SILENT_RETENTION_MS = 60_000
 """How long a silent member is kept: longer than any network partition that
 heals, since no other router would report the member after one."""
 
@@ -85,13 +87,13 @@
         """Increases when a peer is added or removed."""
         self._log = logs.get('members', router=me.name)
 
-    def change_me(self, **values: ty.Any) -> None:
+    def update_own_entry(self, **values: ty.Any) -> None:
         """Change this router's own entry and raise its revision."""
         for name, value in values.items():
             setattr(self.me, name, value)
         self.me.revision += 1
 
-    def learn(self, member: pb.Member) -> None:
+    def merge_entry(self, member: pb.Member) -> None:
         """Merge an entry that did not come from the member itself."""
         if member.name == self.me.name:
             return
@@ -116,7 +118,7 @@
         """
         if member.name == self.me.name:
             return False
-        self.learn(member)
+        self.merge_entry(member)
         peer = self._peers[member.name]
         if _version_of(member) < _version_of(peer.member):
             return False
@@ -187,21 +189,21 @@
         ]
 
     def serving(self) -> list[pb.Member]:
-        """Return the members that callers may be sent to, this one too."""
+        """Return the members, also this one, that callers may be sent to."""
         live = [self.me, *(peer.member for peer in self.live_peers())]
         return [m for m in live if m.ready and m.state == ALIVE]
 
-    def sharer_count(self) -> int:
-        """Return how many routers share the fleet's limits, this one too.
+    def limit_sharer_count(self) -> int:
+        """Return how many routers share the fleet's limits, with this one.
 
         A peer counts until it is removed or announces that it is leaving: a
         silent one may still serve callers on the other side of a network
         partition. While this router starts, peers that it has discovered but
-        not heard yet count as well.
+        not seen alive yet count as well.
         """
-        return len(self.sharer_names())
+        return len(self.limit_sharer_names())
 
-    def sharer_names(self) -> list[str]:
+    def limit_sharer_names(self) -> list[str]:
         """Return the names of all routers counted, including this one."""
         return [
             self.me.name,
@@ -214,7 +216,7 @@
         ]
 
     def is_newly_discovered(self, peer: Peer) -> bool:
-        """Return whether a peer that was never heard may be running."""
+        """Return whether a peer that has sent no beacon yet may be running."""
         limit = self.clock.now() - _DISCOVERED_MS
         return not peer.last_beacon_at and peer.discovered_at > limit
 
@@ -222,8 +224,8 @@
         """Return the names of peers whose first beacon is still expected.
 
         When the whole fleet starts at once, groups are formed with these
-        peers included; otherwise each router would take itself for a head
-        until it heard one that ranks before it.
+        peers included. Otherwise, each router would act as a head until it
+        received a beacon from a router that ranks before it.
         """
         limit = self.clock.now() - _STARTING_MS
         return {
@@ -238,7 +240,7 @@
         for name in sorted(self._live_names - live):
             self._live_names.discard(name)
             self._log.info('peer_silent', peer=name)
-        limit = self.clock.now() - _FORGET_MS
+        limit = self.clock.now() - _SILENT_RETENTION_MS
         expired = [
             name
             for name, peer in self._peers.items()
--- a/src/peridotmast/coordination/registry.py
+++ b/src/peridotmast/coordination/registry.py
@@ -81,7 +81,7 @@
         for stored in listing.objects:
             member = _parse(stored)
             if member is not None:
-                self._members.learn(member)
+                self._members.merge_entry(member)
         return listing
 
 
--- a/src/peridotmast/coordination/report_gaps.py
+++ b/src/peridotmast/coordination/report_gaps.py
@@ -18,8 +18,8 @@
 """Name and run of a reporting router."""
 
 Estimate = ty.Callable[[float, int], dict[str, int]]
-"""Returns the estimated tokens by team that a share of the fleet has spent
-since a time, in ms."""
+"""Function that estimates the tokens spent, by team. Its arguments are the
+share of the fleet that spent them, and the start of the time span in ms."""
 
 
 @dataclasses.dataclass
@@ -39,21 +39,22 @@
 
 
 class ReportGaps:
-    """Estimates spends while the reports of a part of the fleet are missing.
+    """Estimates spent tokens while reports from part of the fleet are missing.
 
-    When a head ends, the counts that its members add until its successor
-    reports are lost, and the members receive no counts meanwhile. Routers
-    that miss reports assume that the missing part spends its share. If the
-    same head reports again, its counts include the gap, so the estimate is
-    reversed; another head only reports what is counted from then on, so the
-    estimate stays.
+    When a group head stops, the tokens that its members spend until its
+    successor reports are never reported, and the members receive no reports
+    in this time. Routers without these reports assume that each missing part
+    of the fleet spends its share of the limits. If the same head reports
+    again, its counts include the missing time, so the estimate is reversed.
+    If another head reports, its counts start from then on, so the estimate
+    is kept.
 
     Parameters
     ----------
     clock : clock.Clock
         Times silence.
     estimate : callable
-        Returns the estimate for a share of the fleet since a time.
+        Estimates the tokens spent by a share of the fleet; see `Estimate`.
     """
 
     def __init__(self, clock: clock_.Clock, estimate: Estimate) -> None:
--- a/src/peridotmast/coordination/store_prober.py
+++ b/src/peridotmast/coordination/store_prober.py
@@ -20,11 +20,11 @@
 class StoreProber:
     """Probes a store that is out until it answers.
 
-    A router that watches the store retries anyway. One that does not may
-    have no more calls to make: after a failed one it would consider the store
-    out until the failure is too old, and all peers would rely on its report.
-    They would send work to upstreams that have left, as to upstreams whose
-    entries may come back.
+    A router that watches the store retries its calls anyway. A router without
+    a watch may have no further calls to make. After a failed call, it would
+    report an outage until the failure expires, and all peers would rely on
+    its report: they would treat the entries of upstreams that have left as
+    missing only because of the outage, and send requests to these upstreams.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
         self._calls = 0
 
     def tick(self) -> None:
-        """Probe the store if it is out and was not called since last tick."""
+        """Probe the store if it is out and had no call since the last tick."""
         is_quiet = self._store.calls == self._calls
         if self._outage.is_out and is_quiet:
             self._store.probe()
--- a/src/peridotmast/coordination/upstream_feed.py
+++ b/src/peridotmast/coordination/upstream_feed.py
@@ -93,7 +93,7 @@
             self._merge_entry(stored)
             return
         state = upstreams_.LAPSED if after_outage else upstreams_.GONE
-        self._merge(_record_of(stored, state))
+        self._merge(_empty_record(stored, state))
 
     def _merge_entry(self, stored: objects.StoredObject) -> None:
         try:
@@ -105,7 +105,7 @@
                 revision=stored.revision,
                 error=str(exc)[:_MAX_LOGGED],
             )
-            record = _record_of(stored, upstreams_.UNREADABLE)
+            record = _empty_record(stored, upstreams_.UNREADABLE)
         self._merge(record)
 
     def _merge(self, record: pb.UpstreamRecord) -> None:
@@ -125,7 +125,7 @@
         )
 
 
-def _record_of(
+def _empty_record(
     stored: objects.StoredObject, state: pb.UpstreamState
 ) -> pb.UpstreamRecord:
     """Return a record with only the name, state and revision of an entry."""
--- a/src/peridotmast/coordination/watchers.py
+++ b/src/peridotmast/coordination/watchers.py
@@ -18,17 +18,18 @@
 
 
 _OUTAGE_FACTOR = 2
-"""Factor on the number of watchers while the store does not answer some
-router: a store that rejects a third of the routers rejects all of six once in
-700 times, and all of twelve once in half a million. Not more, since each
-watcher retries again and again during an outage."""
+"""Factor by which there are more watchers while the store does not answer some
+router. If the store rejects a third of the routers, the probability that it
+rejects all watchers is 1 in 700 with six watchers, and 1 in 500,000 with
+twelve. The factor is not larger, since each watcher retries repeatedly during
+an outage."""
 
 
 class Watchers:
     """Selects watchers by rendezvous hashing over the live routers.
 
-    No agreement is needed: when a watcher falls silent the next one in order
-    replaces it, and a router that hears no peer watches for itself.
+    No agreement is needed: when a watcher falls silent, the next router in
+    order replaces it. A router without live peers watches the store itself.
 
     Parameters
     ----------
@@ -43,11 +44,11 @@
 
     def all_watch(self) -> bool:
         """Return whether the fleet is so small that every router watches."""
-        return len(self._candidates()) < _ALL_WATCH_BELOW
+        return len(self._candidate_names()) < _ALL_WATCH_BELOW
 
     def should_watch(self, kind: str) -> bool:
         """Return whether this router is to watch `kind`."""
-        candidates = self._candidates()
+        candidates = self._candidate_names()
         if len(candidates) < _ALL_WATCH_BELOW:
             return True
         purpose = f'watch|{kind}'
@@ -56,7 +57,7 @@
         factor = _OUTAGE_FACTOR if self.is_outage_suspected() else 1
         return before < factor * _WATCHERS
 
-    def _candidates(self) -> set[str]:
+    def _candidate_names(self) -> set[str]:
         """Return the names of the peers that are live or starting."""
         live = {peer.member.name for peer in self._members.live_peers()}
         return live | self._members.starting_names()
--- a/src/peridotmast/duties/crash_blocks.py
+++ b/src/peridotmast/duties/crash_blocks.py
@@ -38,4 +38,4 @@
 
     def save(self, state: pb.DutiesLeft) -> None:
         """Store the blocked requests for the next holder."""
-        state.crash_suspects.extend(self._crashes.blocked())
+        state.crash_suspects.extend(self._crashes.blocked_requests())
--- a/src/peridotmast/duties/duty_holder.py
+++ b/src/peridotmast/duties/duty_holder.py
@@ -151,7 +151,7 @@
 
     def _must_save_state(self) -> bool:
         """Return whether changed state must be saved for the next holder."""
-        may_retry = self._clock.boot() - self._renewed_at >= _RETRY_MS
+        may_retry = self._clock.boot_time() - self._renewed_at >= _RETRY_MS
         return may_retry and self._state_version() != self._saved_version
 
     def _renew(self) -> None:
@@ -161,7 +161,7 @@
         order the same upstreams again nor cancel those that are booting.
         """
         remaining_ms, version = self._lease.remaining_ms, self._state_version()
-        self._renewed_at = self._clock.boot()
+        self._renewed_at = self._clock.boot_time()
         self._lease.attempt()
         if self._lease.remaining_ms > remaining_ms:
             self._saved_version = version
@@ -178,11 +178,11 @@
         else:
             return
         if outcome is not lease_.Outcome.HELD:
-            self._retry_at = self._clock.boot() + _RETRY_MS
+            self._retry_at = self._clock.boot_time() + _RETRY_MS
 
     def _may_contend(self) -> bool:
         turn = self._vacant_since + self._rank() * _CONTEND_STAGGER_MS
-        return self._clock.boot() >= max(turn, self._retry_at)
+        return self._clock.boot_time() >= max(turn, self._retry_at)
 
     def _may_read_lease(self) -> bool:
         turn = (
@@ -190,7 +190,7 @@
             + _READ_DELAY_MS
             + self._rank() * _READ_STAGGER_MS
         )
-        now = self._clock.boot()
+        now = self._clock.boot_time()
         return self._may_succeed and now >= max(turn, self._retry_at)
 
     def _is_vacant(self) -> bool:
@@ -199,12 +199,12 @@
         if not me.ready or me.state != members_.ALIVE:
             return False
         if self._lease.is_held_elsewhere():
-            # A router that runs longer knows more of the usage to report.
+            # A router that has run longer has more usage counts to report.
             self._may_succeed = False
             self._vacant_since = 0
             return False
         if not self._vacant_since:
-            self._vacant_since = self._clock.boot()
+            self._vacant_since = self._clock.boot_time()
         return True
 
     def _rank(self) -> int:
--- a/src/peridotmast/duties/order_tracker.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -17,8 +17,8 @@
 
 _MIN_RETRY_MS = 1500
 _MAX_RETRY_MS = 4000
-"""Shortest and longest pause before an order is retried that was refused for
-lack of capacity: each call is paid for, but so is each second in which more
+"""Minimum and maximum pause before an order that was refused for lack of
+capacity is retried. Each call is billed, but so is the time in which more
 expensive upstreams serve instead."""
 
 _UNKNOWN_RETRY_MS = 1000
--- a/src/peridotmast/duties/required_capacity.py
+++ b/src/peridotmast/duties/required_capacity.py
@@ -46,9 +46,10 @@
 of equal size; prompts vary more, from 200 to 40,000 tokens."""
 
 _STALE_LOAD_MARGIN = 2.0
-"""The same if routers learn late of each other's requests, so that load is
-spread unevenly: at 80 routers, 0.9 served 0.70 of the requests in time, while
-a fixed rate that gave as many upstreams as 2.0 does served 0.76."""
+"""Margin used instead if routers learn late of each other's requests, so that
+the load is spread unevenly. With 80 routers, a margin of 0.9 served 0.70 of
+the requests in time; a fixed rate that led to as many upstreams as a margin of
+2.0 served 0.76."""
 
 _STARTUP_QUIET_MS = 1500
 """Time without a new firm upstream after which the fleet's startup is over and
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -13,7 +13,7 @@
 
 
 class OrderSink(ty.Protocol):
-    """Destination of orders for upstreams."""
+    """Receives orders to start or remove upstreams."""
 
     def order(
         self,
--- a/src/peridotmast/embedded/fleet.py
+++ b/src/peridotmast/embedded/fleet.py
@@ -233,7 +233,9 @@
         self.lose(guest, keep_entry=True)
         record = pb.UpstreamRecord()
         record.CopyFrom(guest.record)
-        record.upstream.born = max(record.upstream.born + 1, self.clock.wall())
+        record.upstream.born = max(
+            record.upstream.born + 1, self.clock.wall_time()
+        )
         return self._admit(record, guest.upstream.again())
 
     def reclaim(self, domain: str, notice_ms: int) -> list[guest_.Guest]:
@@ -329,7 +331,7 @@
                 failure_domain=domain,
                 service=service,
                 slots=slots,
-                born=self.clock.wall(),
+                born=self.clock.wall_time(),
             ),
             state=pb.UPSTREAM_STATE_LIVE,
             reclaimable=reclaimable,
--- a/src/peridotmast/green.py
+++ b/src/peridotmast/green.py
@@ -224,7 +224,7 @@
 """The poller of this process."""
 
 
-def throw_into(task: ty.Any, exc: BaseException) -> None:
+def raise_in_task(task: ty.Any, exc: BaseException) -> None:
     """Raise `exc` in the waiting `task`; called from the loop."""
     task.throw(exc)
 
@@ -310,12 +310,12 @@
         self._running.add(task)
         task.link(self._running.discard)
 
-    def every(
+    def run_every(
         self, name: str, period_ms: float, func: ty.Callable[[], ty.Any]
     ) -> None:
         """Call `func` repeatedly, with a pause of `period_ms` between calls.
 
-        An error in one call is reported, and the calls go on.
+        An error in one call is reported, and the calls continue.
         """
         self.spawn(name, self._run_periodically, name, period_ms, func)
 
--- a/src/peridotmast/load/event.py
+++ b/src/peridotmast/load/event.py
@@ -109,7 +109,7 @@
 
     def _declare(self) -> None:
         event = EVENT.format(
-            start=self.fleet.clock.wall() + int(_LEAD_S * 1000),
+            start=self.fleet.clock.wall_time() + int(_LEAD_S * 1000),
             duration=int(_OPEN_S * 1000),
             load=_ENGINE_TOKENS * _PEAK,
         )
--- a/src/peridotmast/router/beacon_rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -131,11 +131,11 @@
     def _base_beacon(self) -> pb.Beacon:
         """Return a beacon with the contents common to all rounds."""
         beacon = update_beacons.base_beacon(self._fleet_state)
-        beacon.wall_ms = self._clock.wall()
+        beacon.wall_ms = self._clock.wall_time()
         beacon.outage_felt = self._fleet_state.outage.is_suspected()
         beacon.untold = self._quota.needs_levels()
-        beacon.crash_suspects.extend(self._crashes.updates())
-        beacon.upstream_limits.extend(self._limits.updates())
+        beacon.crash_suspects.extend(self._crashes.updates_for_peers())
+        beacon.upstream_limits.extend(self._limits.updates_for_peers())
         hint, other = self._lease.hint(), self._random_peer()
         if hint is not None:
             beacon.lease.CopyFrom(hint)
@@ -173,7 +173,7 @@
 
     def _head_round(self, groups: groups_.GroupSnapshot) -> beacons_.Round:
         """Yield a head's beacons for the other heads and for its members."""
-        heard = {peer.member.name for peer in self._members.live_peers()}
+        live = {peer.member.name for peer in self._members.live_peers()}
         members = [peer.member.name for peer in groups.members()]
         base = self._base_beacon()
         base.wall_ms = self._fleet_state.fleet_clock.now()
@@ -188,10 +188,10 @@
         beacon = pb.Beacon()
         beacon.CopyFrom(base)
         beacon.group.CopyFrom(self._totals.group())
-        beacon.alive.extend(name for name in members if name in heard)
+        beacon.alive.extend(name for name in members if name in live)
         beacon.outage_felt |= self._outages.has_recent_from_member()
         yield from self._with_levels(beacon, groups.other_heads())
-        base.alive.extend(heard)
+        base.alive.extend(live)
         base.outage_felt |= self._outages.has_recent()
         peers = {peer.member.name: peer for peer in groups.members()}
         for name, totals in self._totals.totals_for_members(list(peers)):
@@ -201,5 +201,5 @@
             yield from self._with_levels(beacon, [peers[name]])
 
     def _random_peer(self) -> ty.Optional[pb.Member]:
-        heard = self._members.live_peers()
-        return self._random.choice(heard).member if heard else None
+        live = self._members.live_peers()
+        return self._random.choice(live).member if live else None
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -78,7 +78,7 @@
         self._fetching: set[str] = set()
         self._log = logs.get('catch_up', router=fleet_state.members.me.name)
 
-    def compare(self, beacon: pb.Beacon) -> None:
+    def fetch_if_behind(self, beacon: pb.Beacon) -> None:
         """Schedule a call to the sender of `beacon` if it is ahead."""
         address = beacon.member.peer_address
         self.config_fetcher.record_versions(
@@ -122,8 +122,9 @@
     def join(self, seeds: ty.Iterable[str]) -> None:
         """Learn the members and the state from the seed addresses.
 
-        Skipped if the store has answered: its state is newer, and reading it
-        does not put a whole starting fleet on the links of three seeds.
+        Skipped if the state has been read from the store. The store has the
+        newest state, and the links of the three seeds would be overloaded if
+        all routers of a starting fleet called them.
         """
         green.sleep_ms(_STORE_FIRST_MS)
         if self._fleet_state.is_synced_with_store:
@@ -172,7 +173,7 @@
             )
             return False
         for member in reply.members:
-            self._members.learn(member)
+            self._members.merge_entry(member)
         return True
 
     def _merge(
@@ -186,7 +187,7 @@
         Parameters
         ----------
         revision : int
-            Revision up to which the peer knows all records.
+            Revision up to which the peer has all records.
         """
         newer = [record for record in records if self._table.merge(record)]
         self._table.revision = max(self._table.revision, revision)
@@ -228,11 +229,11 @@
         if now - since < grace_ms or subject in self._fetching:
             return
         self._fetching.add(subject)
-        self._spawn(f'ask_{subject}', self._run_fetch, subject, fetch)
+        self._spawn(f'fetch_{subject}', self._run_fetch, subject, fetch)
 
     def _run_fetch(self, subject: str, fetch: ty.Callable[[], bool]) -> None:
         try:
             if fetch():
-                self._fleet_state.refresh(subject)
+                self._fleet_state.restart_outdated_watches(subject)
         finally:
             self._fetching.discard(subject)
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -12,7 +12,7 @@
 from peridotmast import logs
 from peridotmast.schema import peridotmast_pb2 as pb
 
-_RATE = 250
+_MAX_RATE = 250
 """Average rate at which copies are sent, in bytes a millisecond: less than
 half of the slowest link (625 bytes a millisecond), which also carries answers
 to callers."""
@@ -27,12 +27,12 @@
 
 
 class ConfigCopies:
-    """Serves the parts of the configuration that a peer lacks.
+    """Serves outdated peers the newer parts of the configuration.
 
-    A link that carries many copies at once delivers none of them in time and
-    delays answers to callers: eleven copies of 0.33 MB kept a router on
-    5 Mbit/s from answering for six seconds. A router therefore sends few
-    copies at a time and names the peers that already hold one.
+    If a router sends many copies at once, none of them arrives in time, and
+    its answers to callers are delayed: with eleven copies of 0.33 MB, a router
+    on a link of 5 Mbit/s did not answer for six seconds. A router therefore
+    limits the rate of copies, and names other peers that have one.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
             if req.peer_address:
                 self._holders.append(req.peer_address)
         self._log.info(
-            'config_given' if not wait_ms else 'config_put_off',
+            'config_sent' if not wait_ms else 'config_deferred',
             peer=req.peer_address,
             version=routes.version,
             known=req.known_version,
@@ -129,10 +129,10 @@
     def _wait_ms(self) -> int:
         """Return the time until another copy may be sent, in ms; 0 if now."""
         now = self._clock.now()
-        refilled = (now - self._refilled_at) * _RATE
+        refilled = (now - self._refilled_at) * _MAX_RATE
         self._budget = min(_BURST_BYTES, self._budget + refilled)
         self._refilled_at = now
-        return 0 if self._budget > 0 else 1 + int(-self._budget / _RATE)
+        return 0 if self._budget > 0 else 1 + int(-self._budget / _MAX_RATE)
 
 
 def _serialized(part: config_feed_.ConfigPart) -> bytes:
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -108,7 +108,7 @@
     """A peer that has a newer version, by its own or by others' messages."""
 
     versions: _Versions
-    heard_at: int
+    last_report_at: int
     """Time of the latest message about its versions, in ms."""
     not_before: int = 0
     """Time before which the peer is not called, in ms."""
@@ -183,7 +183,7 @@
         self._newest_reported = self._newest_reported.merged(versions)
         peer = self._peers_ahead.setdefault(address, _KnownPeer(versions, now))
         peer.versions = peer.versions.merged(versions)
-        peer.heard_at = now
+        peer.last_report_at = now
 
     def is_behind(self) -> bool:
         """Return whether a newer version is believed to be in force."""
@@ -196,9 +196,9 @@
         while self._newest_reported.is_ahead_of(self._versions_to_skip()):
             address = self._choose_peer()
             if address:
-                self._spawn('ask_peer', self.fetch_from, address)
+                self._spawn('fetch_from_peer', self.fetch_from, address)
             if self._clock.now() >= read_at and not self._is_reading_store:
-                self._spawn('ask_store', self._fetch_from_store)
+                self._spawn('fetch_from_store', self._fetch_from_store)
                 read_at = self._next_store_read_at()
             pause = (
                 _POLL_INTERVAL_MS
@@ -257,7 +257,7 @@
         self._peers_ahead = {
             address: peer
             for address, peer in self._peers_ahead.items()
-            if peer.heard_at > now - _PEER_EXPIRY_MS
+            if peer.last_report_at > now - _PEER_EXPIRY_MS
             and peer.versions.is_ahead_of(to_skip)
         }
         due = [
@@ -319,14 +319,14 @@
         )
 
     def _fetch_from_store(self) -> None:
-        """Read the outdated part from the store, which overrides peers."""
+        """Read the outdated part from the store; ignore contradicted peers."""
         known, claimed = self._versions_in_force(), self._newest_reported
         part = 'routes' if claimed.routes > known.routes else 'own'
         # Only claims that were made before the store was read.
         claims = {a: peer.versions for a, peer in self._peers_ahead.items()}
         self._is_reading_store = True
         try:
-            stored = self._config.refresh(part == 'routes')
+            stored = self._config.read_from_store(part == 'routes')
         finally:
             self._is_reading_store = False
         outcome = 'answered'
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -71,7 +71,7 @@
             started_at + _ACCEPT_ALL_MS,
             started_at + self._grace_ms - _EXIT_RESERVE_MS,
         )
-        self._members.change_me(state=members_.LEAVING, ready=False)
+        self._members.update_own_entry(state=members_.LEAVING, ready=False)
         self._announce()
         self._close_idle()
         self._log.info('drain_started', in_work=self._gateway.in_flight)
@@ -82,7 +82,7 @@
         # No request may start between the last check and the end.
         self._gateway.close()
         self._log.info(
-            'drain_over',
+            'drain_finished',
             in_work=self._gateway.in_flight,
             ms=self._clock.now() - started_at,
         )
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -42,14 +42,15 @@
 count as missed."""
 
 _MIN_CLOCK_GAP_MS = 500
-"""Lower bound of the same time for short beacon intervals: twice the 250 ms at
-which a router checks its peers in any case."""
+"""Lower bound of the maximum gap with short beacon intervals: twice the 250 ms
+at which a router checks its peers in any case."""
 
 _REGISTER_RETRY_MS = 1000
 
 _UNREGISTERED_WAIT_MS = 1500
 """Time after which a router that could not register in the store chooses the
-watchers by the peers that it hears, and watches itself if it hears none."""
+watchers among its live peers, and watches the store itself if there are
+none."""
 
 _STORE_CHECK_MS = 500
 """Interval of checks of a store that has failed. A check probes the store if
@@ -88,7 +89,7 @@
         """The platform's store."""
         me = pb.Member(
             name=cfg.name,
-            incarnation=clock.wall(),
+            incarnation=clock.wall_time(),
             failure_domain=cfg.failure_domain,
             region=cfg.region,
             state=members_.ALIVE,
@@ -173,11 +174,11 @@
             tasks.spawn(f'watch_{kind}', watch.run)
         self._spawn = tasks.spawn
         # Changes during an outage are lost on connections that stay open: a
-        # watch waiting on one of them would hear nothing for 25 s.
+        # watch waiting on one of them would receive nothing for 25 s.
         self.outage.on_recovery = self._restart_watches
         tasks.spawn('register', self._register)
         check = store_prober.StoreProber(self.store, self.outage)
-        tasks.every('check_store', _STORE_CHECK_MS, check.tick)
+        tasks.run_every('check_store', _STORE_CHECK_MS, check.tick)
 
     def is_watching(self, part: str) -> bool:
         """Return whether this router watches a part of the state itself.
@@ -189,10 +190,10 @@
         """
         return all(map(self.watchers.should_watch, _KINDS_OF_PART[part]))
 
-    def refresh(self, part: str) -> None:
-        """Restart the watches that missed a change which a peer had.
+    def restart_outdated_watches(self, part: str) -> None:
+        """Restart the watches that have missed a change known to a peer.
 
-        Watches of other kinds go on, since the change was not theirs.
+        Watches of other kinds continue, as the change is not in their scope.
 
         Parameters
         ----------
@@ -204,9 +205,9 @@
                 watch.on_peer_ahead()
 
     def check_store(self) -> None:
-        """Check whether the store answers here, since it fails for a peer.
+        """Check whether the store answers this router, as it fails for a peer.
 
-        Calls that are already waiting may neither fail nor be answered.
+        A new call is made, as waiting calls may neither fail nor be answered.
         """
         self._restart_watches()
         if any(
@@ -222,8 +223,8 @@
     def _must_watch(self, kind: str) -> bool:
         """Return whether this router must watch a kind.
 
-        A router that knows no peers yet does not watch: when a whole fleet
-        starts, each router would take the fleet for a small one.
+        A router that knows no peers yet does not watch: otherwise, when a
+        whole fleet starts, all routers would watch, as in a small fleet.
         """
         is_waiting = (
             self._clock.now() - self._created_at < _UNREGISTERED_WAIT_MS
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -71,7 +71,7 @@
             req.base_version,
             caller.name or 'operator',
             req.comment,
-            self._clock.wall(),
+            self._clock.wall_time(),
         )
         if isinstance(result, failures.Failure):
             return self._commit_failed(result)
@@ -188,7 +188,7 @@
     ) -> pb.PlanReply:
         """Explain which capacity is ordered for the events, when and why."""
         self._require_role(caller, READ)
-        plan = event_plan.plan(self._feed.config, self._clock.wall())
+        plan = event_plan.plan(self._feed.config, self._clock.wall_time())
         return pb.PlanReply(lines=event_plan.explain(plan))
 
     def local_steps(self, req: pb.RequestShowRequest) -> pb.RequestShowReply:
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -60,7 +60,7 @@
     ) -> pb.JoinReply:
         """Add a starting router to the members and return all of them."""
         self._require_router(caller)
-        self._members.learn(req.member)
+        self._members.merge_entry(req.member)
         peers = [peer.member for peer in self._members.peers()]
         reply = pb.JoinReply(members=[self._members.me, *peers])
         if not req.takes_packed:
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -108,9 +108,9 @@
         """Builds the beacons that are sent in rounds."""
         self._gaps = report_gaps_.ReportGaps(clock, serving.quota.max_spends)
         self._role = _Role(False, False, 1)
-        self._group_heard_at: dict[int, int] = {}
+        self._group_reported_at: dict[int, int] = {}
         serving.quota.count_routers = serving.retry_budget.routers = (
-            members.sharer_count
+            members.limit_sharer_count
         )
         serving.quota.has_stale_peer_data = self.has_delayed_totals
         serving.crashes.relays_updates = self.has_delayed_totals
@@ -141,7 +141,7 @@
         """Return crash and upstream limit updates for all peers."""
         crashes, limits = self._serving.crashes, self._serving.limits
         beacon = self.updates.build_serving(
-            crashes.updates(), limits.updates()
+            crashes.updates_for_peers(), limits.updates_for_peers()
         )
         return [(beacon, self._members.peers())]
 
@@ -167,9 +167,9 @@
             self.updates.receive(beacon)
             return
         if beacon.HasField('other'):
-            self._members.learn(beacon.other)
+            self._members.merge_entry(beacon.other)
         for changed in beacon.changed:
-            self._members.learn(changed)
+            self._members.merge_entry(changed)
         self._apply_totals(beacon)
         if beacon.outage_felt:
             self._outages.record(member.name, beacon.HasField('own'))
@@ -178,15 +178,17 @@
             self._serving.quota.adopt_levels(
                 {level.team: level.tokens for level in beacon.levels}
             )
-        self._catch_up.compare(beacon)
+        self._catch_up.fetch_if_behind(beacon)
 
     def tick(self) -> None:
         """Expire the state of routers and groups that have fallen silent."""
         self._members.tick()
-        heard = self._members.live_peers()
+        live = self._members.live_peers()
         quota = self._serving.quota
-        self._serving.limits.set_routers(self._members.sharer_names())
-        quota.known_share = (1 + len(heard)) / self._members.sharer_count()
+        self._serving.limits.set_routers(self._members.limit_sharer_names())
+        quota.known_share = (
+            1 + len(live)
+        ) / self._members.limit_sharer_count()
         quota.startup_wait_ms = (
             quota_.LARGE_FLEET_STARTUP_WAIT_MS
             if self.has_delayed_totals()
@@ -194,21 +196,23 @@
         )
         quota.tick()
         oldest = self._clock.now() - _GROUP_TIMEOUT_MS
-        self._group_heard_at = {
+        self._group_reported_at = {
             group: at
-            for group, at in self._group_heard_at.items()
+            for group, at in self._group_reported_at.items()
             if at >= oldest
         }
         self._outages.discard_before(oldest)
         groups, split = self._current_groups(), self._groups.is_grouped()
         if split:
-            self._totals.add_estimates(self._gaps.tick(self._shares(groups)))
+            self._totals.add_estimates(
+                self._gaps.tick(self._fleet_shares(groups))
+            )
         self._totals.prune(
             {p.member.name for p in self._members.peers()},
             groups.live_member_names()
             if split
-            else {peer.member.name for peer in heard},
-            self._group_heard_at,
+            else {peer.member.name for peer in live},
+            self._group_reported_at,
             split and not groups.is_head,
         )
 
@@ -218,8 +222,8 @@
 
     def is_outage_suspected(self) -> bool:
         """Return whether missing entries may be due to a store outage."""
-        is_heard = self._outages.has_recent()
-        return is_heard or self._fleet_state.outage.is_suspected()
+        is_reported = self._outages.has_recent()
+        return is_reported or self._fleet_state.outage.is_suspected()
 
     def _apply_load(self, news: pb.LoadNews) -> None:
         peer = self._members.get(news.router)
@@ -229,7 +233,7 @@
             self._table.set_peer_load(news.router, news.load)
 
     def _apply_totals(self, beacon: pb.Beacon) -> None:
-        """Apply those totals of a peer that this router must take from it."""
+        """Apply the totals that this router takes from the beacon's sender."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_grouped()
@@ -241,42 +245,44 @@
         if beacon.HasField('group'):
             clock.record_peer(name, beacon.wall_ms)
             group = groups.group_of(name)
-            self._group_heard_at[group] = self._clock.now()
+            self._group_reported_at[group] = self._clock.now()
             covered = () if beacon.others_alive else groups.names_in(group)
             self._members.apply_head_report(beacon.alive, covered)
             counted = split and groups.is_head
             self._totals.update_group(name, run, group, beacon.group, counted)
             if counted:
-                self._close_gap(_group_source(group), (name, run), groups)
+                self._add_gap_estimates(
+                    _group_source(group), (name, run), groups
+                )
         if beacon.HasField('others') and self._accepts(name):
             covered = () if beacon.others_alive else self._members.peer_names()
             self._members.apply_head_report(beacon.alive, covered)
             counted = split and not groups.is_head
             if counted:
-                clock.follow_head(beacon.wall_ms)
+                clock.adopt_head_time(beacon.wall_ms)
             self._totals.update_fleet(name, run, beacon.others, counted)
             if counted:
-                self._close_gap(_FLEET_SOURCE, (name, run), groups)
+                self._add_gap_estimates(_FLEET_SOURCE, (name, run), groups)
 
-    def _close_gap(
+    def _add_gap_estimates(
         self,
         source: str,
         reporter: tuple[str, int],
         groups: groups_.GroupSnapshot,
     ) -> None:
-        """Record a report from a source and add estimates for the gap."""
-        share = self._shares(groups).get(source, 0.0)
+        """Record a report, and add the estimate for the time before it."""
+        share = self._fleet_shares(groups).get(source, 0.0)
         self._totals.add_estimates(
             self._gaps.on_report(source, reporter, share)
         )
 
-    def _shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
+    def _fleet_shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
         """Return the share of the fleet that each source reports on.
 
-        Only routers that are heard are included: what the missing ones might
-        spend is deducted from the limits elsewhere.
+        Only live routers are included: what the others might spend is
+        accounted for by `Quota.known_share`.
         """
-        fleet_size = self._members.sharer_count()
+        fleet_size = self._members.limit_sharer_count()
         if not groups.is_head:
             return {
                 _FLEET_SOURCE: len(self._members.live_peers()) / fleet_size
@@ -342,7 +348,7 @@
             )
         if role != previous:
             self._totals.change_source()
-            self._gaps.reset(self._shares(groups) if split else ())
+            self._gaps.reset(self._fleet_shares(groups) if split else ())
             self._log.info(
                 'role',
                 groups=role.groups,
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -236,7 +236,7 @@
             If an address cannot be listened on.
         """
         self._start_rpc()
-        self.members.change_me(
+        self.members.update_own_entry(
             address=self.address,
             chat_address=self.chat_address,
             peer_address=self.peer_address,
@@ -319,19 +319,19 @@
         )
 
     def _start_tasks(self) -> None:
-        every = self._tasks.every
+        every = self._tasks.run_every
         self.fleet_state.start(
             self._tasks, self._peering.is_outage_suspected, self._send_changes
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
-        every('keep_house', _HOUSEKEEPING_MS, self._run_housekeeping)
+        every('housekeeping', _HOUSEKEEPING_MS, self._run_housekeeping)
         every('lease', _LEASE_TICK_MS, self._duty_holder.keep_lease)
         every('duties', _DUTY_TICK_MS, self._duty_holder.run_duties)
 
     def _announce(self) -> None:
         """Send this router's changed entry to the peers at once."""
-        self.beacons.send_news()
+        self.beacons.send_updates()
         self.beacons.send_round()
 
     def _send_lease(self, successors: ty.Sequence[pb.Member]) -> None:
@@ -359,7 +359,7 @@
     def _send_changes(self) -> None:
         """Send changes to the peers that do not watch the store themselves."""
         if not self.fleet_state.watchers.all_watch():
-            self.beacons.send_news()
+            self.beacons.send_updates()
 
     def _configure(self, config: pb.Config) -> None:
         if self.config.routes.version:
@@ -379,7 +379,7 @@
         me = self.members.me
         can_route = self.fleet_state.has_config_and_upstreams
         if can_route and not me.ready and me.state == members_.ALIVE:
-            self.members.change_me(ready=True)
+            self.members.update_own_entry(ready=True)
             self._announce()
             self._log.info('ready', config=self.config.routes.version)
 
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -29,7 +29,7 @@
 from peridotmast import tracing
 from peridotmast.wire import pool as pool_
 
-_MOVE_TIMEOUT_MS = 1000
+_KV_MOVE_TIMEOUT_MS = 1000
 """Bound on moving the KV memory of a stream to another engine."""
 
 
@@ -121,7 +121,7 @@
             clock,
             self._relay,
             self.placement,
-            engine_control.EngineControl(_MOVE_TIMEOUT_MS),
+            engine_control.EngineControl(_KV_MOVE_TIMEOUT_MS),
             self.decisions,
             spawn,
             bounds.drain_ms,
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -25,7 +25,7 @@
 
 
 class SharedTotals:
-    """Counts of this router, of the routers it hears, and of the whole fleet.
+    """Counts of this router, of its live peers, and of the whole fleet.
 
     Parameters
     ----------
@@ -54,12 +54,12 @@
         self._group_loads: dict[int, list[pb.UpstreamLoad]] = {}
 
     def own(self) -> pb.Totals:
-        """Return this router's own counts and load."""
+        """Return the counts and the load of this router alone."""
         return pb.Totals(
-            spends=_spends(self._quota.spent()),
+            spends=_spend_messages(self._quota.spent()),
             loads=self._table.local_loads(),
             usage=self._usage.counts(),
-            demand=_demand(
+            demand=_demand_messages(
                 self._demand.counts(), self._demand.own_prefill_rates()
             ),
         )
@@ -67,10 +67,10 @@
     def group(self) -> pb.Totals:
         """Return the totals of this router's group, for a head."""
         return pb.Totals(
-            spends=_spends(self._spends.group_total()),
-            loads=_to_messages(_summed(self._members_loads())),
+            spends=_spend_messages(self._spends.group_total()),
+            loads=_load_messages(_sum_loads(self._members_loads())),
             usage=self._usage.group_counts(),
-            demand=_demand(
+            demand=_demand_messages(
                 self._offered.group_total(), self._prefill_speeds()
             ),
         )
@@ -83,24 +83,26 @@
         The sum over all is computed once, and each member's own part is
         subtracted: separate sums would cost time quadratic in the group size.
         """
-        loads = _summed([*self._members_loads(), *self._group_loads.values()])
+        loads = _sum_loads(
+            [*self._members_loads(), *self._group_loads.values()]
+        )
         speeds = self._prefill_speeds()
         rows = zip(
             members,
-            self._spends.totals_without(members),
-            self._offered.totals_without(members),
+            self._spends.totals_excluding_each(members),
+            self._offered.totals_excluding_each(members),
             self._usage.others_counts(members),
             strict=True,
         )
         for member, spent, offered, used in rows:
-            own = _summed([self._loads.get(member, ())])
+            own = _sum_loads([self._loads.get(member, ())])
             yield (
                 member,
                 pb.Totals(
-                    spends=_spends(spent),
-                    loads=_to_messages(loads, except_for=own),
+                    spends=_spend_messages(spent),
+                    loads=_load_messages(loads, except_for=own),
                     usage=used,
-                    demand=_demand(offered, speeds),
+                    demand=_demand_messages(offered, speeds),
                 ),
             )
 
@@ -115,8 +117,8 @@
             Whether this router takes the peer's counts from this message.
             Otherwise they are only kept in case this router becomes the head.
         """
-        self._spends.receive(router, run, _by_team(totals), counted)
-        self._offered.receive(router, run, _by_service(totals), counted)
+        self._spends.receive(router, run, _tokens_by_team(totals), counted)
+        self._offered.receive(router, run, _tokens_by_service(totals), counted)
         self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
@@ -127,9 +129,11 @@
         self, head: str, run: int, group: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Update the totals of another group from its head."""
-        self._spends.receive_group(group, head, run, _by_team(totals), counted)
+        self._spends.receive_group(
+            group, head, run, _tokens_by_team(totals), counted
+        )
         self._offered.receive_group(
-            group, head, run, _by_service(totals), counted
+            group, head, run, _tokens_by_service(totals), counted
         )
         self._usage.merge_group(group, totals.usage)
         self._group_loads[group] = list(totals.loads)
@@ -141,15 +145,17 @@
         self, head: str, run: int, totals: pb.Totals, counted: bool
     ) -> None:
         """Update the totals of all other routers from this router's head."""
-        self._spends.receive_fleet(head, run, _by_team(totals), counted)
-        self._offered.receive_fleet(head, run, _by_service(totals), counted)
+        self._spends.receive_fleet(head, run, _tokens_by_team(totals), counted)
+        self._offered.receive_fleet(
+            head, run, _tokens_by_service(totals), counted
+        )
         self._usage.merge_fleet(totals.usage)
         if counted:
             self._table.set_peer_loads(_FLEET_NAME, totals.loads)
             self._update_prefill_speeds(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
-        """Add what others may have spent while nobody reported it."""
+        """Add estimated spends of routers whose reports are missing."""
         if spends:
             self._spends.add_estimate(spends)
 
@@ -167,7 +173,7 @@
     def prune(
         self,
         known: ty.Collection[str],
-        heard: ty.Collection[str],
+        live: ty.Collection[str],
         groups: ty.Collection[int],
         follows: bool,
     ) -> None:
@@ -177,7 +183,7 @@
         ----------
         known : collection of str
             Routers whose counts are kept.
-        heard : collection of str
+        live : collection of str
             Routers whose own reports of their load are kept.
         groups : collection of int
             Groups whose load is kept.
@@ -187,7 +193,7 @@
         self._spends.retain(known)
         self._offered.retain(known)
         self._demand.retain_routers(known)
-        self._loads = {r: v for r, v in self._loads.items() if r in heard}
+        self._loads = {r: v for r, v in self._loads.items() if r in live}
         self._group_loads = {
             g: v for g, v in self._group_loads.items() if g in groups
         }
@@ -215,11 +221,11 @@
     return f'|group-{group}'
 
 
-def _spends(spent: dict[str, int]) -> list[pb.TeamSpend]:
+def _spend_messages(spent: dict[str, int]) -> list[pb.TeamSpend]:
     return [pb.TeamSpend(team=t, tokens=n) for t, n in spent.items()]
 
 
-def _demand(
+def _demand_messages(
     counts: dict[str, int], speeds: dict[str, float]
 ) -> list[pb.ServiceDemand]:
     return [
@@ -230,15 +236,15 @@
     ]
 
 
-def _by_team(totals: pb.Totals) -> dict[str, int]:
+def _tokens_by_team(totals: pb.Totals) -> dict[str, int]:
     return {spend.team: spend.tokens for spend in totals.spends}
 
 
-def _by_service(totals: pb.Totals) -> dict[str, int]:
+def _tokens_by_service(totals: pb.Totals) -> dict[str, int]:
     return {demand.service: demand.tokens for demand in totals.demand}
 
 
-def _summed(parts: ty.Iterable[Loads]) -> _LoadSums:
+def _sum_loads(parts: ty.Iterable[Loads]) -> _LoadSums:
     """Return the sum of some loads by upstream and run."""
     found: _LoadSums = {}
     for load in (load for part in parts for load in part):
@@ -252,7 +258,7 @@
     return found
 
 
-def _to_messages(
+def _load_messages(
     sums: _LoadSums, except_for: ty.Optional[_LoadSums] = None
 ) -> _LoadList:
     """Return load entries for a message, less the load of one router."""
--- a/src/peridotmast/router/update_beacons.py
+++ b/src/peridotmast/router/update_beacons.py
@@ -67,7 +67,7 @@
     def receive(self, beacon: pb.Beacon) -> None:
         """Apply a peer's update beacon."""
         self._catch_up.merge_upstreams(beacon)
-        self._catch_up.compare(beacon)
+        self._catch_up.fetch_if_behind(beacon)
 
 
 def base_beacon(fleet_state: fleet_state_.FleetState) -> pb.Beacon:
--- a/src/peridotmast/serving/candidates.py
+++ b/src/peridotmast/serving/candidates.py
@@ -63,10 +63,10 @@
         self._points = [point for point, _, _ in ring]
         self._ring = [view for _, _, view in ring]
 
-    def homes(self, prefix: str) -> list[upstream_view.UpstreamView]:
-        """Return the homes of a prompt prefix, in order of preference.
+    def ranked_homes(self, prefix: str) -> list[upstream_view.UpstreamView]:
+        """Return the upstreams that may be the home of a prompt prefix.
 
-        Each upstream is the home while those before it are not usable.
+        The home is the first one that is usable.
 
         Parameters
         ----------
--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -177,7 +177,7 @@
         if self._add_crash(suspect, view.run, crash):
             suspect.changed_at = now
         self._log.info(
-            'crash_noted',
+            'crash_recorded',
             fingerprint=fingerprint,
             upstream=view.name,
             born=view.born,
@@ -244,7 +244,7 @@
         self.notify_peers()
         return 0
 
-    def updates(self) -> list[pb.CrashSuspect]:
+    def updates_for_peers(self) -> list[pb.CrashSuspect]:
         """Return the blocked and recently changed requests for peers."""
         if not self._suspects:
             return []
@@ -259,7 +259,7 @@
             self._to_message(suspect) for suspect in selected[:_MAX_UPDATES]
         ]
 
-    def blocked(self) -> list[pb.CrashSuspect]:
+    def blocked_requests(self) -> list[pb.CrashSuspect]:
         """Return the blocked requests."""
         return [
             self._to_message(suspect)
@@ -285,7 +285,7 @@
         now = self._clock.now()
         fingerprint = ids.Fingerprint(message.fingerprint)
         suspect = self._ensure_suspect(fingerprint, now - message.idle_ms)
-        before = self._summary(suspect)
+        before = self._merged_state(suspect)
         for crash in message.crashes:
             at = now - crash.ago_ms
             self._add_crash(
@@ -301,15 +301,15 @@
             len(suspect.crashes) > len(message.crashes)
             or suspect.retries > message.retries
         )
-        is_changed = self._summary(suspect) != before
+        is_changed = self._merged_state(suspect) != before
         if is_changed and (is_ahead or self.relays_updates()):
             suspect.changed_at = now
         self._update_block(suspect)
         if is_changed and is_ahead:
             self.notify_peers()
 
-    def _summary(self, suspect: _Suspect) -> tuple[int, int, bool]:
-        """Return what must differ for a merge to count as a change."""
+    def _merged_state(self, suspect: _Suspect) -> tuple[int, int, bool]:
+        """Return the values of which a merge must change at least one."""
         has_answered = suspect.answered_at != _NEVER
         return len(suspect.crashes), suspect.retries, has_answered
 
@@ -329,7 +329,8 @@
         """Add a crash, and return whether it was new.
 
         Of two reports on the same run, the earlier one is kept, as it is
-        closer to the crash. A discounted report gives way to a later one.
+        closer to the crash. A report that a later answer has
+        cleared is replaced by a later report.
         """
         known = suspect.crashes.get(run)
         if known is None and len(suspect.crashes) >= _MAX_CRASHES:
--- a/src/peridotmast/serving/decisions.py
+++ b/src/peridotmast/serving/decisions.py
@@ -37,7 +37,7 @@
     def note(self, request_id: str, event: str, **values: ty.Any) -> None:
         """Log a decision on a request and keep it in memory."""
         self._log.info(event, request=request_id, **values)
-        step = (self._clock.wall(), event, values)
+        step = (self._clock.wall_time(), event, values)
         self._steps.setdefault(request_id, []).append(step)
         if len(self._steps) > _MAX_REQUESTS:
             self._steps.popitem(last=False)
--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -227,10 +227,11 @@
     def _count_unanswered(
         self, state: _RequestState, failure: failures.Failure, sent_at: int
     ) -> None:
-        """Count a request without a response as started when it was sent.
+        """Count a request that got no response as started at `sent_at`.
 
-        A stream that timed out without an event is not counted: it may have
-        been queued at the engine, and it starts with its first token.
+        A stream that timed out before its first event is not counted: it
+        starts with its first token, and may still have been queued at the
+        engine.
         """
         if not state.exchange.is_stream or failure.reason != 'silent':
             self._count_started(state, sent_at)
--- a/src/peridotmast/serving/health.py
+++ b/src/peridotmast/serving/health.py
@@ -19,7 +19,7 @@
 probe."""
 
 _HALF_LIFE_MS = 2000
-"""Age at which an outcome counts half; periods of failures last a few
+"""Half-life of the weight of an outcome; periods of failures last a few
 seconds."""
 
 _PRIOR_SUCCESSES = 4.0
--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -376,7 +376,7 @@
         """Return the home of the prompt's prefix, if it is usable."""
         if not sum(part.tokens for part in prompt.shared):
             return None
-        homes = candidates.homes(prompt.shared[-1].id)
+        homes = candidates.ranked_homes(prompt.shared[-1].id)
         return next(iter(self._filter_usable(homes, avoid)), None)
 
     def _filter_usable(
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -15,7 +15,7 @@
 
 _LOW_LEVEL = 0.5
 _SMALL_REQUEST = 1 / 8
-_PACE = 1.5
+_PACING_FACTOR = 1.5
 """While the level is below half of the burst, requests of up to an eighth of
 the burst are paced: each waits until the tokens of the previous one have been
 regained at 1.5 times this router's part of the rate. In a large fleet, the
@@ -60,7 +60,7 @@
     level: float
     """Tokens left; negative after routers have admitted too many requests."""
     at: int
-    """Time for which `level` holds, in ms."""
+    """Time at which `level` was last updated, in ms."""
     debt: float
     """Tokens of the last small request admitted here that have not been
     regained yet; used for pacing while the level is low."""
@@ -82,7 +82,7 @@
         self.level = min(self.burst, self.level + gained * share)
         if self.level >= self.burst:
             self.full_at = now
-        self.debt = max(0.0, self.debt - gained * _PACE / routers)
+        self.debt = max(0.0, self.debt - gained * _PACING_FACTOR / routers)
         self.at = now
 
 
@@ -93,8 +93,8 @@
     its own requests at once, and those of other routers when it receives
     their beacons. Requests admitted in between make the level negative, so
     that the total over time is exact and only delayed by one beacon. A router
-    that hears only a share of the fleet fills its buckets at that share of the
-    rate, as the routers that it does not hear may spend the rest.
+    that considers only a share of the fleet live fills its buckets at that
+    share of the rate, as the other routers may spend the rest.
 
     A starting router spends no more than its own part until a peer reports the
     levels; if none does, it continues with the remainder of its part. With
@@ -114,7 +114,7 @@
         self._is_started = False
         self._started_at = 0
         self.known_share = 1.0
-        """Share of the fleet that this router hears, including itself."""
+        """Share of the fleet that this router considers live, with itself."""
         self.count_routers: ty.Callable[[], int] = lambda: 1
         """Returns the number of routers known to this one."""
         self.startup_wait_ms = STARTUP_WAIT_MS
@@ -173,8 +173,8 @@
     def lend(self, team: str, tokens: int, members: int) -> bool:
         """Lend tokens to a member of this head's group, if enough are left.
 
-        The tokens that the heads lend and the shares that the members keep add
-        up to the limit of the team.
+        The tokens that all heads lend, and the tokens that each router may
+        spend without borrowing, add up to the limit of the team.
 
         Parameters
         ----------
@@ -209,7 +209,7 @@
             bucket.borrowed += tokens
         self._spent[team] = self._spent.get(team, 0) + tokens
 
-    def note_lender_empty(self, team: str) -> None:
+    def note_lending_exhausted(self, team: str) -> None:
         """Record that the head had too few tokens to lend for a team."""
         bucket = self._buckets.get(team)
         if bucket is not None:
@@ -348,7 +348,7 @@
             self.has_stale_peer_data() and is_low and _is_small(bucket, tokens)
         ):
             return 0
-        pace = bucket.rate * _PACE / self.count_routers()
+        pace = bucket.rate * _PACING_FACTOR / self.count_routers()
         wait = math.ceil(bucket.debt / pace * 1000)
         return min(_MAX_WAIT_MS, wait)
 
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -216,7 +216,7 @@
                 return Sent(reservation, conn, head, verdict, now)
             self._decisions.note(
                 exchange.id,
-                'foreign_answer',
+                'unmatched_response',
                 upstream=reservation.view.name,
                 status=head.status,
             )
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -25,8 +25,8 @@
 reports are a few hundred ms old."""
 
 _END_MARGIN_MS = 250
-"""Margin by which a stream must be expected to end before the upstream
-disappears to stay there, in ms."""
+"""Minimum time, in ms, between the expected end of a stream and the moment at
+which its upstream disappears, for the stream not to be migrated."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/peridotmast/serving/upstream_limits.py
+++ b/src/peridotmast/serving/upstream_limits.py
@@ -65,7 +65,7 @@
     tokens: float = 0.0
     """Requests that this router may send now."""
     filled_at: int = 0
-    """Time up to which `tokens` is filled, in ms."""
+    """Time at which `tokens` was last refilled, in ms."""
     routers: frozenset[str] = frozenset()
     """Known routers for which the share was computed."""
 
@@ -172,7 +172,7 @@
             limit.fill(self._clock.now())
             limit.tokens -= 1
 
-    def updates(self) -> list[pb.UpstreamLimit]:
+    def updates_for_peers(self) -> list[pb.UpstreamLimit]:
         """Return the limits for peers, the most recently changed first."""
         if not self._limits:
             return []
@@ -247,8 +247,8 @@
         at : int
             Time of the statement, in ms.
         earliest_at : int
-            Earliest possible time of the statement, in ms. A contradicting
-            statement known from a later time prevails.
+            Earliest possible time of the statement, in ms. Of two
+            contradicting statements, the later one is kept.
         """
         run = upstream_view.run_of(upstream, born)
         limit = self._limits.get(run)
--- a/src/peridotmast/serving/usage.py
+++ b/src/peridotmast/serving/usage.py
@@ -8,8 +8,8 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _KEPT_WINDOWS = 8
-"""Number of windows kept: a window is reported two windows later, and a new
-holder of the reporting duty may be late by the length of a lease."""
+"""Number of windows kept. A window is reported two windows later. A new holder
+of the reporting duty may add the length of a lease to this delay."""
 
 _SENT_WINDOWS = 4
 """Number of windows that a group head sends: the open one and those that are
--- a/src/peridotmast/standin/store.py
+++ b/src/peridotmast/standin/store.py
@@ -172,7 +172,7 @@
             names.META: {
                 'name': name,
                 names.REVISION: self._revision + 1,
-                'created': self._clock.wall(),
+                'created': self._clock.wall_time(),
                 'finalizers': [],
                 'deleting': False,
             },
--- a/src/peridotmast/wire/caller_connection.py
+++ b/src/peridotmast/wire/caller_connection.py
@@ -87,7 +87,7 @@
         def on_readable() -> None:
             self._watch = None
             if self.has_left():
-                green.throw_into(task, CallerLeft())
+                green.raise_in_task(task, CallerLeft())
 
         self._watch = green.ReadWatch(self.fileno(), on_readable)
 
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -492,7 +492,7 @@
         "count a suspension as time for a dead run's orders to arrive",
         COORDINATION + 'lease.py',
         'bound_ms = self._clock.now() - self._bound_at',
-        'bound_ms = self._clock.boot() - self._bound_at',
+        'bound_ms = self._clock.boot_time() - self._bound_at',
         'lease',
     ),
     Mutation(
@@ -518,7 +518,7 @@
         'lease',
     ),
     Mutation(
-        'bind the lease to no place',
+        'set no endpoint for the lease',
         ROUTER + 'router.py',
         'self.lease.set_endpoint(\n            endpoint_identity.of_address('
         'self.beacons.address)\n        )',
@@ -526,7 +526,7 @@
         'duties',
     ),
     Mutation(
-        'succeed a holder that other routers still know',
+        'take over from a holder that other routers still know',
         DUTIES + 'duty_holder.py',
         'self._may_succeed = False\n            self._vacant_since = 0',
         'self._vacant_since = 0',
@@ -863,7 +863,7 @@
     Mutation(
         'keep the baseline of a head after another has reported',
         COORDINATION + 'fleet_counts.py',
-        'if self._heads.get(_OWN) != head:',
+        'if self._heads.get(_OWN_GROUP) != head:',
         'if False:',
         'groups',
     ),
@@ -898,7 +898,7 @@
     Mutation(
         'send configuration copies without a rate limit',
         ROUTER + 'config_copies.py',
-        'return 0 if self._budget > 0 else 1 + int(-self._budget / _RATE)',
+        'return 0 if self._budget > 0 else 1 + int(-self._budget / _MAX_RATE)',
         'return 0',
         'spread',
     ),
@@ -1073,7 +1073,7 @@
     Mutation(
         'store no blocked requests with the lease',
         DUTIES + 'crash_blocks.py',
-        'state.crash_suspects.extend(self._crashes.blocked())',
+        'state.crash_suspects.extend(self._crashes.blocked_requests())',
         'pass',
         'crashes',
     ),
