--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -428,7 +428,9 @@
 
 
 def announce(fleet, node):
-    fleet.deliver(node, node.peering.updates.build(), node.members.peers())
+    fleet.deliver(
+        node, node.peering.update_beacons.build(), node.members.peers()
+    )
 
 
 @then(
@@ -564,7 +566,7 @@
     context.ended = node.name
     node.members.update_own_entry(state=members_.LEAVING, ready=False)
     context.simulated.deliver(
-        node, node.peering.updates.build(), node.members.peers()
+        node, node.peering.update_beacons.build(), node.members.peers()
     )
 
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -28,7 +28,7 @@
 CLOCK = clock_.SystemClock()
 
 
-class Exchange:
+class ProxiedExchange:
     """A connection through the proxy, and its last request."""
 
     def __init__(self, proxy):
@@ -62,7 +62,7 @@
 
 
 def new_exchange(context):
-    exchange = Exchange(context.proxy)
+    exchange = ProxiedExchange(context.proxy)
     exchange.send()
     assert exchange.receive() == b'done:' + exchange.body
     return exchange
@@ -105,14 +105,14 @@
 )
 def stop_target(context, fault):
     context.target.stop()
-    context.exchange = Exchange(context.proxy)
+    context.exchange = ProxiedExchange(context.proxy)
     context.exchange.send()
     check_reset(context, fault)
 
 
 @then('the next connection is refused until the target listens again')
 def check_refused(context):
-    assert Exchange(context.proxy).failure.reason == 'no_connection'
+    assert ProxiedExchange(context.proxy).failure.reason == 'no_connection'
     context.closing.append(context.target.again().stop)
     context.proxy.open()
     new_exchange(context)
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -119,7 +119,9 @@
     for domain in market.prices:
         total = mix.reclaimable[domain] + mix.firm[domain]
         assert total <= max(market.max_per_domain, market.min_per_domain), mix
-        assert mix.reclaimable[domain] <= market.limit(domain, True), mix
+        assert mix.reclaimable[domain] <= market.max_upstreams(domain, True), (
+            mix
+        )
     best = brute_force(market, needed)
     if best is not None:
         assert mix.left_after_loss >= needed, (mix, best)
@@ -129,9 +131,9 @@
 def brute_force(market, needed):
     """Return the cheapest of all valid mixes, or None if there is none."""
     names = sorted(market.prices, key=lambda d: (market.prices[d], d))
-    ranges = [range(market.limit(domain, True) + 1) for domain in names] + [
-        range(market.max_per_domain + 1) for _ in names
-    ]
+    ranges = [
+        range(market.max_upstreams(domain, True) + 1) for domain in names
+    ] + [range(market.max_per_domain + 1) for _ in names]
     found = []
     for counts in itertools.product(*ranges):
         reclaimable, firm = counts[: len(names)], counts[len(names) :]
@@ -316,9 +318,9 @@
 
 @then('{count:d} upstreams are expected at once, and 0 after {ms:d} ms')
 def check_expected(context, count, ms):
-    assert context.tracker.expected(KEY, 0) == count
+    assert context.tracker.expected_count(KEY, 0) == count
     context.clock.advance(ms)
-    assert context.tracker.expected(KEY, 0) == 0
+    assert context.tracker.expected_count(KEY, 0) == 0
 
 
 @given(
@@ -614,7 +616,7 @@
     )
 
 
-class _Orders:
+class _ImmediateOrders:
     """Accepts and records orders, and removes upstreams at once."""
 
     def __init__(self, context):
@@ -642,7 +644,7 @@
 def starting_fleet(context, count):
     a_scaler(context, count)
     context.demand.known = False
-    context.orders = context.scaler._orders = _Orders(context)
+    context.orders = context.scaler._orders = _ImmediateOrders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for number in range(count):
@@ -670,7 +672,7 @@
 def new_holder(context, reclaimable):
     a_scaler(context, 0)
     context.demand.known = False
-    context.orders = context.scaler._orders = _Orders(context)
+    context.orders = context.scaler._orders = _ImmediateOrders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for domain in START_DOMAINS:
@@ -870,13 +872,13 @@
 )
 def order_and_lose(context, count, live, lost):
     context.tracker.record_accepted(KEY, live, count, 4000)
-    assert context.tracker.expected(KEY, live) == live + count
+    assert context.tracker.expected_count(KEY, live) == live + count
     context.live_count = live - lost
 
 
 @then('{count:d} upstreams are expected, not {other:d}')
 def expected_not(context, count, other):
-    found = context.tracker.expected(KEY, context.live_count)
+    found = context.tracker.expected_count(KEY, context.live_count)
     assert found == count, found
 
 
--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -122,7 +122,7 @@
 
 
 @then('at the other router "{names}" may get new requests')
-def may_get_requests_there(context, names):
+def may_get_requests_at_other_router(context, names):
     context.other.tick()
     assert live_names(context.other) == names, live_names(context.other)
 
@@ -138,7 +138,7 @@
 
 
 @then('after {ms:d} ms the other router has "{name}" marked as gone')
-def marked_gone_there(context, ms, name):
+def marked_gone_at_other_router(context, ms, name):
     context.clock.advance(ms)
     context.other.tick()
     assert context.other.get(name).record.state == upstreams_.GONE
@@ -226,7 +226,7 @@
         return objects.Changes([objects.StoredObject('x', 2, {})], 2)
 
 
-class Follower:
+class RecordingListener:
     def __init__(self):
         self.names = []
 
@@ -241,9 +241,9 @@
 def silent_watch(context):
     context.clock = clock_.ManualClock()
     context.store = SilentStore()
-    context.follower = Follower()
+    context.listener = RecordingListener()
     context.watch = kind_watch.KindWatch(
-        context.store, 'things', context.follower, context.clock
+        context.store, 'things', context.listener, context.clock
     )
     context.watch.step()
     context.stepping = green.spawn(context.watch.step)
@@ -269,4 +269,4 @@
     context.stepping.wait()
     context.watch.step()
     assert context.store.watches == 2
-    assert context.follower.names == ['x']
+    assert context.listener.names == ['x']
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -426,7 +426,7 @@
 def start_halved_watch(context):
     context.clock = clock_.ManualClock()
     context.halving = HalvingStore(context)
-    context.follower = store_outage_steps.Follower()
+    context.listener = store_outage_steps.RecordingListener()
     # A long time-out, so that only a peer's newer state can end the watch.
     store = store_.PlatformStore(
         context.halving.raw.address,
@@ -435,7 +435,7 @@
     )
     context.closing.append(store.close)
     context.watch = kind_watch.KindWatch(
-        store, KIND, context.follower, context.clock
+        store, KIND, context.listener, context.clock
     )
     context.watch.step()
     context.stepping = green.spawn(context.watch.step)
@@ -470,7 +470,7 @@
 
 @then('the changes have been received by the first watch')
 def received_by_first(context):
-    assert context.follower.names == ['x'], context.follower.names
+    assert context.listener.names == ['x'], context.listener.names
     assert context.halving.watches == 1, context.halving.watches
 
 
@@ -479,4 +479,4 @@
     assert context.stepping.dead, 'the watch still waits'
     context.watch.step()
     assert context.halving.watches == 2, context.halving.watches
-    assert context.follower.names == ['x'], context.follower.names
+    assert context.listener.names == ['x'], context.listener.names
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -81,7 +81,7 @@
     'a caller streams {tokens:d} tokens from "{path}" and its connection'
     ' goes silent'
 )
-def stream_and_mute(context, tokens, path):
+def stream_and_silence(context, tokens, path):
     stream_and(context, tokens, path, lambda guest: guest.upstream.mute())
 
 
--- a/src/peridotmast/duties/capacity_plan.py
+++ b/src/peridotmast/duties/capacity_plan.py
@@ -82,7 +82,7 @@
             for domain, price in self.prices.items()
         )
 
-    def limit(self, domain: str, reclaimable: bool) -> int:
+    def max_upstreams(self, domain: str, reclaimable: bool) -> int:
         """Return the maximum number of upstreams of a kind in a domain."""
         limits = self.reclaimable_limits if reclaimable else self.firm_limits
         return min(
@@ -225,7 +225,7 @@
     missing = needed + max_reclaimable - mix.total
     for _, domain, is_reclaimable in _sorted_by_price(market):
         counts = reclaimable if is_reclaimable else firm
-        limit = market.limit(domain, is_reclaimable)
+        limit = market.max_upstreams(domain, is_reclaimable)
         if is_reclaimable:
             limit = min(limit, max_reclaimable)
         room = min(
@@ -258,7 +258,7 @@
     minimum would be paid for without need.
     """
     for domain in market.prices:
-        available = market.limit(domain, True)
+        available = market.max_upstreams(domain, True)
         missing = market.min_per_domain - reclaimable[domain] - firm[domain]
         room = min(max_reclaimable, available) - reclaimable[domain]
         taken = max(0, min(missing, room))
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -177,7 +177,7 @@
         """Return the live upstreams plus those of pending orders."""
         reclaimable, firm = (
             {
-                domain: self._tracker.expected(
+                domain: self._tracker.expected_count(
                     self._key(domain, is_reclaimable), count
                 )
                 for domain, count in counts.items()
@@ -259,7 +259,7 @@
             # Firm upstreams that are not replaced yet count for the limit.
             room = self._service.scale_max - self._live.firm[domain]
             count = min(count, room)
-        if count <= self._tracker.expected(key, counts[domain]):
+        if count <= self._tracker.expected_count(key, counts[domain]):
             return True
         if not self._tracker.may_order(key):
             return False
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -82,7 +82,9 @@
         self._serving = serving
         self._lease = lease
         self._catch_up = catch_up
-        self.updates = update_beacons_.UpdateBeacons(fleet_state, catch_up)
+        self.update_beacons = update_beacons_.UpdateBeacons(
+            fleet_state, catch_up
+        )
         """Builds and receives beacons that are sent between rounds."""
         self._outages = outage_reports.OutageReports(
             clock, fleet_state.check_store
@@ -140,7 +142,7 @@
     def serving_beacons(self) -> beacons_.Round:
         """Return crash and upstream limit updates for all peers."""
         crashes, limits = self._serving.crashes, self._serving.limits
-        beacon = self.updates.build_serving(
+        beacon = self.update_beacons.build_serving(
             crashes.updates_for_peers(), limits.updates_for_peers()
         )
         return [(beacon, self._members.peers())]
@@ -164,7 +166,7 @@
         self._serving.crashes.merge_updates(beacon.crash_suspects)
         self._serving.limits.merge_updates(beacon.upstream_limits)
         if beacon.news_only:
-            self.updates.receive(beacon)
+            self.update_beacons.receive(beacon)
             return
         if beacon.HasField('other'):
             self._members.merge_entry(beacon.other)
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -148,7 +148,7 @@
             f'{host}:{port}',
             self.members,
             self._peering.rounds.next_round,
-            self._peering.updates.build,
+            self._peering.update_beacons.build,
             self._peering.receive,
             _read_secret(tls),
         )
@@ -336,7 +336,7 @@
 
     def _send_lease(self, successors: ty.Sequence[pb.Member]) -> None:
         found = [self.members.get(member.name) for member in successors]
-        beacon = self._peering.updates.build_lease(self.lease.hint())
+        beacon = self._peering.update_beacons.build_lease(self.lease.hint())
         self.beacons.send(beacon, [peer for peer in found if peer])
 
     def _send_load(self, view: upstream_view.UpstreamView) -> None:
--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -28,7 +28,8 @@
 
 _CONFIRMATION_MS = 3000
 """Time after the last crash within which an upstream that has only lost its
-connections is expected to answer other requests, which clears it."""
+connections is expected to answer other requests. Its answer shows that it has
+not crashed."""
 
 _CONFIRMATION_RETRY_MS = 1000
 """Retry time that callers are given within `_CONFIRMATION_MS`: a crash may yet
