--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -139,11 +139,11 @@
         whole wait of the watch. A watch whose answer is arriving continues: on
         a slow link the answer may take longer than a peer's beacon.
         """
-        self._restart_watch('watch_outdated', _PEER_AHEAD_SILENT_MS)
+        self._restart_watch('watch_overtaken', _PEER_AHEAD_SILENT_MS)
 
     def on_outage(self) -> None:
         """Restart the watch, which the store may have lost in an outage."""
-        if self._restart_watch('watch_suspected_lost', self._outage_silent_ms):
+        if self._restart_watch('watch_doubted', self._outage_silent_ms):
             self._outage_silent_ms = min(
                 _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
             )
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -87,7 +87,7 @@
             if req.peer_address:
                 self._holders.append(req.peer_address)
         self._log.info(
-            'config_sent' if not wait_ms else 'config_deferred',
+            'config_given' if not wait_ms else 'config_put_off',
             peer=req.peer_address,
             version=routes.version,
             known=req.known_version,
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -196,9 +196,9 @@
         while self._newest_reported.is_ahead_of(self._versions_to_skip()):
             address = self._choose_peer()
             if address:
-                self._spawn('fetch_from_peer', self.fetch_from, address)
+                self._spawn('ask_peer', self.fetch_from, address)
             if self._clock.now() >= read_at and not self._is_reading_store:
-                self._spawn('fetch_from_store', self._fetch_from_store)
+                self._spawn('ask_store', self._fetch_from_store)
                 read_at = self._next_store_read_at()
             pause = (
                 _POLL_INTERVAL_MS
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -216,7 +216,7 @@
                 return Sent(reservation, conn, head, verdict, now)
             self._decisions.note(
                 exchange.id,
-                'unmatched_response',
+                'foreign_answer',
                 upstream=reservation.view.name,
                 status=head.status,
             )
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -262,7 +262,7 @@
         self._metrics.resumed_streams.labels(stream.service.name).inc()
         self._decisions.note(
             exchange.id,
-            'stream_resumed',
+            'stream_goes_on',
             upstream=reservation.view.name,
             last_event=stream.reader.last_id,
             copy=resume_point.kv_location,
