--- a/features/odd_upstreams.feature
+++ b/features/odd_upstreams.feature
@@ -9,18 +9,18 @@
     Then the status is <status>, and the upstream ran the request at most once
 
     Examples:
-      | what                            | status |
-      | bytes that are no answer        | 502    |
-      | half of the body                | 502    |
-      | nothing and a close             | 502    |
-      | a reset                         | 502    |
-      | a success without a seal        | 502    |
-      | a 503 that does not say not run | 502    |
-      | two lengths                     | 502    |
-      | a length and chunks             | 502    |
-      | an odd chunk                    | 502    |
-      | a 404 of its own                | 404    |
-      | a body that ends with the connection | 200 |
+      | what                                 | status |
+      | bytes that are no answer             | 502    |
+      | half of the body                     | 502    |
+      | nothing and a close                  | 502    |
+      | a reset                              | 502    |
+      | a success without a seal             | 502    |
+      | a 503 without a not-run statement    | 502    |
+      | two lengths                          | 502    |
+      | a length and chunks                  | 502    |
+      | an odd chunk                         | 502    |
+      | a 404 of its own                     | 404    |
+      | a body that ends with the connection | 200    |
 
   Scenario: An extra response after the first one is discarded
     Given the upstream answers with "its answer and another one"
@@ -34,7 +34,7 @@
     Then each caller receives the answer to its own request
 
   Scenario: A refusal that states that the request was not run is forwarded
-    Given the upstream answers with "a refusal that says not run"
+    Given the upstream answers with "a refusal with a not-run statement"
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 503 with a retry time
 
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -28,7 +28,7 @@
 CLOCK = clock_.SystemClock()
 
 
-class Exchange:
+class ProxiedExchange:
     """A connection through the proxy, and its last request."""
 
     def __init__(self, proxy):
@@ -62,7 +62,7 @@
 
 
 def new_exchange(context):
-    exchange = Exchange(context.proxy)
+    exchange = ProxiedExchange(context.proxy)
     exchange.send()
     assert exchange.receive() == b'done:' + exchange.body
     return exchange
@@ -110,14 +110,14 @@
 )
 def check_reset_after_stop(context, fault):
     context.target.stop()
-    context.exchange = Exchange(context.proxy)
+    context.exchange = ProxiedExchange(context.proxy)
     context.exchange.send()
     check_first_reset(context, fault)
 
 
 @then('the next connection is refused until the target listens again')
 def check_refused_until_restart(context):
-    assert Exchange(context.proxy).failure.reason == 'no_connection'
+    assert ProxiedExchange(context.proxy).failure.reason == 'no_connection'
     context.closing.append(context.target.restarted().stop)
     context.proxy.open()
     new_exchange(context)
--- a/features/steps/planner_steps.py
+++ b/features/steps/planner_steps.py
@@ -119,7 +119,9 @@
     for domain in market.prices:
         total = mix.reclaimable[domain] + mix.firm[domain]
         assert total <= max(market.max_per_domain, market.min_per_domain), mix
-        assert mix.reclaimable[domain] <= market.limit(domain, True), mix
+        assert mix.reclaimable[domain] <= market.max_upstreams(domain, True), (
+            mix
+        )
     best = brute_force(market, needed)
     if best is not None:
         assert mix.left_after_loss >= needed, (mix, best)
@@ -129,9 +131,9 @@
 def brute_force(market, needed):
     """Return the cheapest of all valid mixes, or None if there is none."""
     names = sorted(market.prices, key=lambda d: (market.prices[d], d))
-    ranges = [range(market.limit(domain, True) + 1) for domain in names] + [
-        range(market.max_per_domain + 1) for _ in names
-    ]
+    ranges = [
+        range(market.max_upstreams(domain, True) + 1) for domain in names
+    ] + [range(market.max_per_domain + 1) for _ in names]
     found = []
     for counts in itertools.product(*ranges):
         reclaimable, firm = counts[: len(names)], counts[len(names) :]
@@ -316,9 +318,9 @@
 
 @then('{count:d} upstreams are expected at once, and 0 after {ms:d} ms')
 def check_expected(context, count, ms):
-    assert context.tracker.expected(KEY, 0) == count
+    assert context.tracker.expected_count(KEY, 0) == count
     context.clock.advance(ms)
-    assert context.tracker.expected(KEY, 0) == 0
+    assert context.tracker.expected_count(KEY, 0) == 0
 
 
 @given(
@@ -514,7 +516,7 @@
         context.demand,
         context.upstream_limits,
         context.clock,
-        context.clock.wall,
+        context.clock.wall_time,
     )
     context.scaler.estimator.startup_complete = True
     context.service = pb.Service(name='pool')
@@ -546,12 +548,12 @@
 @when(
     'upstreams state rate limits of {a:d}, {b:d} and {c:d} requests per second'
 )
-def state_limits(context, a, b, c):
+def set_stated_limits(context, a, b, c):
     context.stated_limits = [a, b, c]
 
 
 @when('no upstream states a rate limit')
-def state_no_limits(context):
+def clear_stated_limits(context):
     context.stated_limits = []
 
 
@@ -628,7 +630,7 @@
     )
 
 
-class _Orders:
+class _ImmediateOrders:
     """Accepts and records orders, and removes excess upstreams at once."""
 
     def __init__(self, context):
@@ -656,7 +658,7 @@
 def create_starting_fleet(context, count):
     create_scaler(context, count)
     context.demand.is_measured = False
-    context.orders = context.scaler._orders = _Orders(context)
+    context.orders = context.scaler._orders = _ImmediateOrders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for number in range(count):
@@ -684,14 +686,14 @@
 def create_new_holder(context, reclaimable):
     create_scaler(context, 0)
     context.demand.is_measured = False
-    context.orders = context.scaler._orders = _Orders(context)
+    context.orders = context.scaler._orders = _ImmediateOrders(context)
     context.scaler_config.services.append(make_service(START_DOMAINS))
     context.scaler.estimator.startup_complete = False
     for domain in START_DOMAINS:
         for number in range(reclaimable):
             add_upstream(context, f'{domain}-{number}', domain, True)
     context.initial_count = reclaimable * len(START_DOMAINS)
-    context.state = pb.DutiesLeft(at_ms=context.clock.wall())
+    context.state = pb.DutiesLeft(at_ms=context.clock.wall_time())
     context.scaler.start(context.state)
 
 
@@ -887,13 +889,13 @@
 )
 def order_and_lose(context, count, live, lost):
     context.tracker.record_accepted(KEY, live, count, 4000)
-    assert context.tracker.expected(KEY, live) == live + count
+    assert context.tracker.expected_count(KEY, live) == live + count
     context.live_count = live - lost
 
 
 @then('{count:d} upstreams are expected, not {other:d}')
 def check_expected_count(context, count, other):
-    found = context.tracker.expected(KEY, context.live_count)
+    found = context.tracker.expected_count(KEY, context.live_count)
     assert found == count, found
 
 
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -360,15 +360,15 @@
         member=pb.Member(name='r2', peer_address='10.0.0.2:1'),
         upstreams_revision=9,
     )
-    catch_up.compare(beacon)
+    catch_up.fetch_if_behind(beacon)
     context.clock.advance(1000)
-    catch_up.compare(beacon)
+    catch_up.fetch_if_behind(beacon)
     assert context.fleet_state.upstream_table.get('a') is not None
 
 
 @when('a peer announces a newer state of the configuration')
 def newer_configuration(context):
-    context.fleet_state.refresh('config')
+    context.fleet_state.restart_outdated_watches('config')
 
 
 @then('the router restarts the watch on the {what}')
@@ -432,7 +432,7 @@
 def start_halved_watch(context):
     context.clock = clock_.ManualClock()
     context.halving = HalvingStore(context)
-    context.follower = store_outage_steps.Follower()
+    context.listener = store_outage_steps.RecordingListener()
     # A long time-out, so that only a peer's newer state can end the watch.
     store = store_.PlatformStore(
         context.halving.raw.address,
@@ -441,7 +441,7 @@
     )
     context.closing.append(store.close)
     context.watch = kind_watch.KindWatch(
-        store, KIND, context.follower, context.clock
+        store, KIND, context.listener, context.clock
     )
     context.watch.step()
     context.stepping = green.spawn(context.watch.step)
@@ -476,7 +476,7 @@
 
 @then('the changes have been received by the first watch')
 def received_by_first(context):
-    assert context.follower.names == ['x'], context.follower.names
+    assert context.listener.names == ['x'], context.listener.names
     assert context.halving.watches == 1, context.halving.watches
 
 
@@ -485,4 +485,4 @@
     assert context.stepping.dead, 'the watch still waits'
     context.watch.step()
     assert context.halving.watches == 2, context.halving.watches
-    assert context.follower.names == ['x'], context.follower.names
+    assert context.listener.names == ['x'], context.listener.names
--- a/src/peridotmast/cli/router.py
+++ b/src/peridotmast/cli/router.py
@@ -47,7 +47,7 @@
     tasks = green.Tasks(
         lambda name, exc: log.error('task_failed', task=name, error=repr(exc))
     )
-    tasks.every(
+    tasks.run_every(
         'settings', _SETTINGS_CHECK_MS, settings_file_watch.reload_if_changed
     )
     _program.on_reload(settings_file_watch.reload_if_changed)
--- a/src/peridotmast/duties/service_reconciler.py
+++ b/src/peridotmast/duties/service_reconciler.py
@@ -13,7 +13,7 @@
 
 
 class OrderSink(ty.Protocol):
-    """Destination of orders for upstreams."""
+    """Receives orders to start or remove upstreams."""
 
     def order(
         self,
@@ -178,7 +178,7 @@
         """Return the live upstreams plus those of pending orders."""
         reclaimable, firm = (
             {
-                domain: self._tracker.expected(
+                domain: self._tracker.expected_count(
                     self._key(domain, is_reclaimable), count
                 )
                 for domain, count in counts.items()
@@ -261,7 +261,7 @@
             # Firm upstreams that are not replaced yet count towards the limit.
             room = self._service.scale_max - self._live.firm[domain]
             count = min(count, room)
-        if count <= self._tracker.expected(key, counts[domain]):
+        if count <= self._tracker.expected_count(key, counts[domain]):
             return True
         if not self._tracker.may_order(key):
             return False
--- a/src/peridotmast/embedded/fleet.py
+++ b/src/peridotmast/embedded/fleet.py
@@ -257,7 +257,9 @@
         self.kill_upstream(instance, keep_entry=True)
         record = pb.UpstreamRecord()
         record.CopyFrom(instance.record)
-        record.upstream.born = max(record.upstream.born + 1, self.clock.wall())
+        record.upstream.born = max(
+            record.upstream.born + 1, self.clock.wall_time()
+        )
         return self._add_instance(record, instance.upstream.restarted())
 
     def reclaim(
@@ -355,7 +357,7 @@
                 failure_domain=domain,
                 service=service,
                 slots=slots,
-                born=self.clock.wall(),
+                born=self.clock.wall_time(),
             ),
             state=pb.UPSTREAM_STATE_LIVE,
             reclaimable=reclaimable,
--- a/src/peridotmast/load/event.py
+++ b/src/peridotmast/load/event.py
@@ -115,7 +115,7 @@
 
     def _declare_event(self) -> None:
         event = EVENT.format(
-            start=self.fleet.clock.wall() + int(_LEAD_S * 1000),
+            start=self.fleet.clock.wall_time() + int(_LEAD_S * 1000),
             duration=int(_EVENT_S * 1000),
             load=_ENGINE_TOKENS_PER_S * _PEAK_ENGINES,
         )
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -148,7 +148,7 @@
             f'{host}:{port}',
             self.members,
             self._peering.rounds.next_round,
-            self._peering.updates.build,
+            self._peering.update_beacons.build,
             self._peering.receive,
             _read_secret(tls),
         )
@@ -236,7 +236,7 @@
             If an address cannot be listened on.
         """
         self._start_rpc()
-        self.members.change_me(
+        self.members.update_own_entry(
             address=self.address,
             chat_address=self.chat_address,
             peer_address=self.peer_address,
@@ -319,7 +319,7 @@
         )
 
     def _start_tasks(self) -> None:
-        every = self._tasks.every
+        every = self._tasks.run_every
         self.fleet_state.start(
             self._tasks, self._peering.is_outage_suspected, self._send_changes
         )
@@ -331,12 +331,12 @@
 
     def _announce(self) -> None:
         """Send this router's changed entry to the peers at once."""
-        self.beacons.send_news()
+        self.beacons.send_updates()
         self.beacons.send_round()
 
     def _send_lease(self, successors: ty.Sequence[pb.Member]) -> None:
         found = [self.members.get(member.name) for member in successors]
-        beacon = self._peering.updates.build_lease(self.lease.hint())
+        beacon = self._peering.update_beacons.build_lease(self.lease.hint())
         self.beacons.send(beacon, [peer for peer in found if peer])
 
     def _send_load(self, view: upstream_view.UpstreamView) -> None:
@@ -359,7 +359,7 @@
     def _send_changes(self) -> None:
         """Send changes to the peers that do not watch the store themselves."""
         if not self.fleet_state.watchers.all_watch():
-            self.beacons.send_news()
+            self.beacons.send_updates()
 
     def _configure(self, config: pb.Config) -> None:
         if self.config.routes.version:
@@ -379,7 +379,7 @@
         me = self.members.me
         can_route = self.fleet_state.has_config_and_upstreams
         if can_route and not me.ready and me.state == members_.ALIVE:
-            self.members.change_me(ready=True)
+            self.members.update_own_entry(ready=True)
             self._announce()
             self._log.info('ready', config=self.config.routes.version)
 
--- a/src/peridotmast/wire/caller_connection.py
+++ b/src/peridotmast/wire/caller_connection.py
@@ -87,7 +87,7 @@
         def on_readable() -> None:
             self._read_watch = None
             if self.has_left():
-                green.throw_into(task, CallerDisconnected())
+                green.raise_in_task(task, CallerDisconnected())
 
         self._read_watch = green.ReadWatch(self.fileno(), on_readable)
 
