--- a/src/peridotmast/duties/order_tracker.py
+++ b/src/peridotmast/duties/order_tracker.py
@@ -82,7 +82,7 @@
         self._pending = {}
         self._backoffs = {}
 
-    def expected(self, key: Key, live: int) -> int:
+    def expected_count(self, key: Key, live: int) -> int:
         """Return the live upstreams of `key` plus those of its pending order.
 
         Parameters
