--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -517,7 +517,7 @@
             node.name,
             new_upstream_count(node),
         )
-        assert 'ask_upstreams' not in node.spawned, node.name
+        assert 'fetch_upstreams' not in node.spawned, node.name
 
 
 @then(
@@ -528,7 +528,7 @@
     node = context.missing
     assert new_upstream_count(node) == count, new_upstream_count(node)
     assert node.table.revision == 1, node.table.revision
-    assert 'ask_upstreams' in node.spawned
+    assert 'fetch_upstreams' in node.spawned
     assert new_upstream_count(context.watcher) == all_
 
 
@@ -540,7 +540,7 @@
                 node.name,
                 new_upstream_count(node),
             )
-            assert 'ask_upstreams' in node.spawned, node.name
+            assert 'fetch_upstreams' in node.spawned, node.name
 
 
 @when('a head is killed')
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -557,7 +557,7 @@
     helpers.start_fleet(context, routers=count)
     for router in context.fleet.routers:
         # The tasks that send beacons are running, but find none due.
-        router.beacons._due = lambda: []
+        router.beacons._next_round = lambda: []
 
 
 @when('one router sends a prompt of {tokens:d} tokens to an engine')
--- a/features/steps/program_steps.py
+++ b/features/steps/program_steps.py
@@ -321,7 +321,7 @@
 @then('it exits with 0 after its drain')
 def check_drained_exit(context):
     assert context.other.wait(timeout=20) == 0
-    assert 'event=drain_over' in log_of(context.other)
+    assert 'event=drain_finished' in log_of(context.other)
     assert 'event=stopped' in log_of(context.other)
 
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -380,7 +380,7 @@
 def know_outdated(context):
     others = [n for n in context.simulation.nodes if n not in context.first]
     assert others
-    assert all(node.catch_up.config_fetcher.is_behind() for node in others)
+    assert all(node.catch_up.config_fetcher.is_outdated() for node in others)
 
 
 @when('one router repeatedly reports a version that the store does not have')
@@ -406,7 +406,9 @@
     found = []
     for _ in range(200):
         simulation.run(100)
-        found += [node.catch_up.config_fetcher.is_behind() for node in others]
+        found += [
+            node.catch_up.config_fetcher.is_outdated() for node in others
+        ]
     assert sum(found) * 100 <= share * len(found), sum(found) / len(found)
 
 
@@ -476,7 +478,7 @@
 def unparsable_outdated(context):
     node = context.simulation.nodes[0]
     assert node.version == OLD_VERSION
-    assert node.catch_up.config_fetcher.is_behind()
+    assert node.catch_up.config_fetcher.is_outdated()
 
 
 @then(
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -465,7 +465,7 @@
 
 @then('the router that does not watch calls the peer')
 def non_watcher_calls(context):
-    assert context.spawned[0] == ['ask_config'], context.spawned
+    assert context.spawned[0] == ['fetch_config'], context.spawned
 
 
 @then('the router that watches does not call the peer')
@@ -475,7 +475,7 @@
 
 @then('the router that watches calls the peer too')
 def watcher_calls(context):
-    assert context.spawned[1] == ['ask_config'], context.spawned
+    assert context.spawned[1] == ['fetch_config'], context.spawned
 
 
 @when('an engine announces that it is leaving')
--- a/src/peridotmast/coordination/__init__.py
+++ b/src/peridotmast/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination between routers, for the programs and for embedding."""
+"""Coordination of routers: membership, beacons, leases, configuration."""
--- a/src/peridotmast/coordination/beacon_check.py
+++ b/src/peridotmast/coordination/beacon_check.py
@@ -13,14 +13,14 @@
 _ADDRESS_FIELDS = ('address', 'peer_address', 'beacon_address')
 
 _MAX_NAME_LENGTH = 200
-"""Most characters in a name: names appear in logs and answers."""
+"""Maximum length of a name: names appear in logs and answers."""
 
 
 def check(beacon: pb.Beacon) -> findings_.Findings:
     """Return the findings on a beacon; none if it is valid.
 
-    A beacon with any finding is rejected as a whole: the other fields of a
-    sender that writes an invalid one cannot be trusted either.
+    A beacon with any finding is rejected as a whole: if its sender writes one
+    invalid field, the other fields cannot be trusted either.
     """
     found = findings_.Findings()
     if beacon.HasField('load_news'):
@@ -43,7 +43,7 @@
         _check_limit(found, limit)
     for suspect in beacon.crash_suspects:
         _check_suspect(found, suspect)
-    if any(number < 0 for number in _counts(beacon)):
+    if any(number < 0 for number in _non_negative_numbers(beacon)):
         found.add('counts', 'must not be negative')
     return found
 
@@ -81,18 +81,19 @@
         found.add('crash_suspects', 'must not be negative')
 
 
-def _counts(beacon: pb.Beacon) -> ty.Iterator[int]:
-    """Yield the fields that must not be negative."""
+def _non_negative_numbers(beacon: pb.Beacon) -> ty.Iterator[int]:
+    """Yield the numbers in a beacon that must not be negative."""
     yield from (beacon.config_version, beacon.document_version)
     yield from (beacon.upstreams_revision, beacon.upstreams_since)
     yield beacon.wall_ms
     yield from (record.revision for record in beacon.upstreams)
     for totals in (beacon.own, beacon.group, beacon.others):
-        yield from _totals(totals)
+        yield from _numbers_in_totals(totals)
 
 
-def _totals(totals: pb.Totals) -> ty.Iterator[int]:
-    # Without `spends`: a spend decreases when a request did not run.
+def _numbers_in_totals(totals: pb.Totals) -> ty.Iterator[int]:
+    # `spends` is not checked: a team's spend decreases when a request did not
+    # run.
     return itertools.chain(
         itertools.chain.from_iterable(
             (load.running, load.unread, load.memory) for load in totals.loads
--- a/src/peridotmast/coordination/beacons.py
+++ b/src/peridotmast/coordination/beacons.py
@@ -17,33 +17,34 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _MAX_LOGGED = 200
-"""Most characters of an invalid beacon that are logged."""
+"""Maximum number of characters of an invalid beacon that are logged."""
 
 _DATAGRAM_BYTES = 65_000
 _TAG_BYTES = 16
 
 _MAX_BEACON_BYTES = 1 << 20
-"""Most bytes that a datagram may unpack to: ten times the state of 330
+"""Maximum size of an unpacked datagram, in bytes: ten times the state of 330
 routers."""
 
 
 _BURST_BYTES = 16 << 10
 _PAUSE_MS = 15
-"""Bytes of a round that are sent at once, and the pause after them: together
-less than the slowest link, 10 Mbit/s, transfers. A head's round is up to
-160 kB."""
+"""A round is sent in bursts of this many bytes, with this pause after each:
+the resulting rate is below that of the slowest link, 10 Mbit/s. The round of
+a group head has up to 160 kB."""
 
 
 Round = ty.Iterable[tuple[pb.Beacon, ty.Sequence[members_.Peer]]]
-"""Beacons and the peers that each goes to."""
+"""Beacons, each with the peers that it is sent to."""
 
 
 class Beacons:
     """Sends this router's beacons to its peers and receives theirs.
 
-    Datagrams, since a beacon only carries state: the next one replaces a lost
-    one, a silent connection can't delay them, and one costs a twentieth of a
-    call's processor time (20 us against 400 us, `peridotmast-load slopes`).
+    Beacons are datagrams, because they only carry state: a lost beacon is
+    replaced by the next one, and a silent connection can't delay beacons. A
+    beacon costs a twentieth of a call's processor time (20 us against 400 us,
+    measured by `peridotmast-load slopes`).
 
     Parameters
     ----------
@@ -51,10 +52,10 @@
         ``IP:port`` to receive beacons at; port 0 binds a free one.
     members : members.Members
         The peers to send to.
-    due : callable
-        Returns the beacons of a round, each with the peers that it goes to.
-    build_news : callable
-        Returns the short beacon that tells peers of changes in between rounds.
+    next_round : callable
+        Returns the beacons of the next round, each with its recipients.
+    build_update : callable
+        Returns the short beacon that announces changes between two rounds.
     on_beacon : callable
         Called with each valid beacon that arrives.
     secret : bytes
@@ -65,14 +66,14 @@
         self,
         address: str,
         members: members_.Members,
-        due: ty.Callable[[], Round],
-        build_news: ty.Callable[[], pb.Beacon],
+        next_round: ty.Callable[[], Round],
+        build_update: ty.Callable[[], pb.Beacon],
         on_beacon: ty.Callable[[pb.Beacon], None],
         secret: bytes = b'',
     ) -> None:
         self._members = members
-        self._due = due
-        self._build_news = build_news
+        self._next_round = next_round
+        self._build_update = build_update
         self._on_beacon = on_beacon
         self._secret = secret
         self._log = logs.get('beacons', router=members.me.name)
@@ -99,13 +100,13 @@
             self._sock.close()
 
     def send_round(self) -> None:
-        """Send the beacons that are due, in bursts of limited size.
+        """Send the beacons of the next round, in bursts of limited size.
 
-        A full link drops the last datagrams of a round sent at once, so the
-        same members would miss theirs each time.
+        If a whole round were sent at once, a full link would drop its last
+        datagrams, so that the same members would miss their beacons each time.
         """
         sent = self.sent_bytes
-        for beacon, peers in list(self._due()):
+        for beacon, peers in list(self._next_round()):
             self.send(beacon, peers)
             if self.sent_bytes - sent >= _BURST_BYTES:
                 green.sleep_ms(_PAUSE_MS)
@@ -114,21 +115,22 @@
     def send(
         self, beacon: pb.Beacon, peers: ty.Iterable[members_.Peer]
     ) -> None:
-        """Send one beacon to some peers."""
+        """Send `beacon` to each of `peers`."""
         if self._sock.fileno() < 0:
             return
         data = self._pack(beacon)
         for peer in peers:
             self._send_to(data, peer.member.beacon_address)
 
-    def send_news(self) -> None:
-        """Send changes at this router to all peers immediately.
+    def send_update(self) -> None:
+        """Send this router's changed state to all peers immediately.
 
-        By way of heads, a change takes a second or two to spread in a large
-        fleet. These beacons of 100 bytes reach all peers at once, and there
-        are only a few hundred changes an hour.
+        In a large fleet a change that is relayed by group heads takes a second
+        or two to reach all routers. The beacon sent here has 100 bytes and
+        reaches all peers at once; there are only a few hundred changes an
+        hour.
         """
-        self.send(self._build_news(), self._members.peers())
+        self.send(self._build_update(), self._members.peers())
 
     def _send_to(self, data: bytes, address: str) -> None:
         host, _, port = address.rpartition(':')
@@ -137,7 +139,7 @@
         try:
             self._sock.sendto(data, (host.strip('[]'), int(port)))
         except OSError as exc:
-            # Same as a loss in the network: the next beacon follows soon.
+            # As if the network had lost the datagram: another beacon follows.
             self._log.debug('beacon_send_failed', to=address, error=str(exc))
             return
         self.sent += 1
--- a/src/peridotmast/coordination/config_feed.py
+++ b/src/peridotmast/coordination/config_feed.py
@@ -14,14 +14,14 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 KIND = 'peridotmast-config'
-"""Kind of the product document."""
+"""Kind of the stored object that holds the product document."""
 NAME = 'current'
 
 _HISTORY_LENGTH = 100
 _MAX_LOGGED = 500
-"""Most characters of the findings on a document that are logged."""
+"""Maximum number of logged characters of the findings on a document."""
 _RESOLVE_READS = 4
-"""Most reads after a commit whose reply was lost."""
+"""Maximum number of reads that look for a commit whose reply was lost."""
 
 Listener = ty.Callable[[pb.Config], None]
 
@@ -31,11 +31,11 @@
     """One of the two documents that make up the configuration."""
 
     version: int = 0
-    """Version in force; 0 before the first."""
+    """Version in force; 0 before the first version is received."""
     document: objects.Json = dataclasses.field(default_factory=dict)
     """The document as stored."""
     config: pb.Config = dataclasses.field(default_factory=pb.Config)
-    """The configuration read from it."""
+    """The configuration parsed from the document."""
 
 
 class Reader(ty.Protocol):
@@ -58,9 +58,9 @@
     """Merges the platform's configuration object and the product document.
 
     Routes, services, teams and limits come from the platform's object;
-    models, events, policy and operators from the product document beside
-    it. Both may come from the store or from a peer, and in any order: only a
-    higher version replaces the one in force.
+    models, events, policy and operators come from the product document. Each
+    document may come from the store or from a peer, and versions arrive in any
+    order: only a higher version replaces the one in force.
 
     Parameters
     ----------
@@ -103,22 +103,23 @@
         self._listeners.append(listener)
 
     def on_listing(self, listing: objects.Listing, after_outage: bool) -> None:
-        """Process the objects that the store has."""
+        """Process all configuration objects in the store."""
         self._offer(listing.objects)
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Process the objects that have changed in the store."""
+        """Process the configuration objects that have changed in the store."""
         self._offer(changes.objects)
 
     def offer_routes(self, document: objects.Json, source: str) -> bool:
         """Put the platform's object into force if it is newer.
 
-        A stale read or a peer that is behind may offer an older one.
+        A stale read, or a peer with an older configuration, may offer an older
+        version.
 
         Returns
         -------
         bool
-            Whether it was put into force.
+            Whether the object was put into force.
         """
         version = self._reader.read_version(document)
         if version <= self.routes.version:
@@ -166,9 +167,9 @@
         Returns
         -------
         int or Failure
-            The new version. A conflict if another change was committed first;
-            an unknown outcome if the reply was lost and the store can't be
-            read.
+            The new version. A failure of kind CONFLICT if another change was
+            committed first; one of kind OUTCOME_UNKNOWN if the reply was lost
+            and the store can't be read.
         """
         nonce = f'{by}:{at}:{base_version}'
         history = list(self.product.document.get('history') or ())
@@ -190,8 +191,8 @@
         Returns
         -------
         int or Failure
-            The version in the store, even if it can't be put into force
-            here; 0 if the store has none.
+            The version in the store, even if this router can't put it into
+            force; 0 if the store has none.
         """
         kind, name = (self._kind, self._name) if routes else (KIND, NAME)
         stored = self._store.read(kind, name)
@@ -207,7 +208,7 @@
     def _resolve_commit(
         self, failure: failures.Failure, nonce: str
     ) -> ty.Union[int, failures.Failure]:
-        """Read the outcome of a commit whose reply was lost or a failure."""
+        """Find out whether a commit whose call failed has taken effect."""
         unknown = failures.FailureKind.OUTCOME_UNKNOWN
         for _ in range(_RESOLVE_READS):
             if not isinstance(self.refresh(False), failures.Failure):
@@ -284,7 +285,7 @@
 def _read_product(
     document: ty.Any,
 ) -> tuple[pb.Config, findings_.Findings]:
-    """Read a product document as stored, with its history."""
+    """Parse a product document in its stored form, with its history."""
     found = findings_.Findings()
     if not isinstance(document, dict):
         found.add('document', 'must be an object')
--- a/src/peridotmast/coordination/endpoint_identity.py
+++ b/src/peridotmast/coordination/endpoint_identity.py
@@ -5,26 +5,26 @@
 import os
 
 _BOOT_ID_PATH = '/proc/sys/kernel/random/boot_id'
-"""Its content differs at each boot of a VM."""
+"""File whose content differs after each boot of a VM."""
 
 _NETWORK_NAMESPACE_PATH = '/proc/self/ns/net'
-"""Its inode distinguishes containers that bind the same address."""
+"""File whose inode distinguishes containers that bind the same address."""
 
 
 def of_address(address: str) -> str:
     """Return the identity of the socket at `address`; empty if unknown.
 
     Within one network namespace a kernel gives an address to a single
-    datagram socket, unless address sharing is enabled on it. The socket is
-    open while its process exists, even if that is paused. The process that
-    has bound it therefore knows that every earlier run with the same
-    identity is dead.
+    datagram socket, unless address sharing is enabled on it. The socket stays
+    open as long as its process exists, even while the process is paused. A
+    process that has bound the address therefore knows that every earlier run
+    with the same identity is dead.
 
     Parameters
     ----------
     address : str
         ``IP:port`` of a datagram socket that this process has bound and
-        keeps open as long as it acts on the lease.
+        keeps open as long as it may hold the lease.
     """
     try:
         with open(_BOOT_ID_PATH, encoding='ascii') as file:
--- a/src/peridotmast/coordination/fleet_clock.py
+++ b/src/peridotmast/coordination/fleet_clock.py
@@ -8,7 +8,7 @@
 from peridotmast import clock as clock_
 
 _KEEP_MS = 10_000
-"""How long a peer's reading is used; clocks drift little in that time."""
+"""How long a peer's clock reading is used; clocks drift little meanwhile."""
 
 _UPDATE_MS = 250
 """Time between updates of the median: the time is read for each request and
@@ -18,9 +18,9 @@
 class FleetClock:
     """The median of the clocks of this router and its peers.
 
-    A VM's time of day may jump by seconds, but fewer than half of the clocks
-    do so at once, which leaves the median in place. Each reading is stored as
-    its offset from the VM's boot clock, which never jumps.
+    A VM's time of day may jump by seconds. The median stays correct, since
+    fewer than half of the clocks jump at the same time. Each clock reading is
+    stored as its offset from this VM's boot clock, which never jumps.
 
     Parameters
     ----------
@@ -41,13 +41,13 @@
         self._offsets[peer] = (wall_ms - boot, boot)
 
     def follow_head(self, now_ms: int) -> None:
-        """Adopt the fleet's time from a head, which receives more clocks."""
+        """Adopt the time from a group head, which receives more clocks."""
         boot = self._clock.boot()
         self._head_offset = (now_ms - boot, boot)
         self._update_at = 0
 
     def use_own_median(self) -> None:
-        """Use the median of the clocks that this router receives."""
+        """Use the median of the clock readings that this router receives."""
         self._head_offset = None
 
     def now(self) -> int:
--- a/src/peridotmast/coordination/fleet_counts.py
+++ b/src/peridotmast/coordination/fleet_counts.py
@@ -6,17 +6,17 @@
 import typing as ty
 
 Counts = dict[str, int]
-"""Counts by name, each cumulative since its reporter started."""
+"""Counts by name, each cumulative since the reporting router started."""
 
 Apply = ty.Callable[[Counts], None]
 
 
 _OWN = -1
-"""Key of this router's own group among the heads."""
+"""Key of this router's own group in the table of heads."""
 
 
 class DeltaTracker:
-    """Converts cumulative counts into increments, by reporter."""
+    """Converts the cumulative counts of each reporter into increments."""
 
     def __init__(self) -> None:
         self._reported: dict[str, tuple[int, Counts]] = {}
@@ -45,21 +45,22 @@
         self._reported.pop(reporter, None)
 
     def retain(self, reporters: ty.Collection[str]) -> None:
-        """Drop the baselines of all reporters but these."""
+        """Drop the baselines of all reporters except `reporters`."""
         self._reported = {
             r: v for r, v in self._reported.items() if r in reporters
         }
 
 
 class FleetCounts:
-    """One kind of count over all routers, kept at one of them.
+    """Fleet-wide totals of one kind of count, as tracked by one router.
 
-    In a small fleet every router receives the counts of every other. In a
-    large one a head receives those of its members and, from each other head,
-    the sum of that group; a member receives from its head the sum over all
-    other routers. Each increment is passed to `apply` once, whichever way it
-    arrives. Counts that a router receives for other reasons, such as those
-    that the head's successor gets, are kept until it becomes head.
+    In a small fleet every router receives the counts of every other router. In
+    a large fleet the head of a group receives the counts of its members and,
+    from each other head, the sum over that head's group; a member receives
+    from its head the sum over all other routers. Each increment is passed to
+    `apply` once, by whichever path it arrives. Other received counts, such as
+    the members' counts at the head's successor, are kept in case the router
+    becomes head.
 
     Parameters
     ----------
@@ -78,7 +79,7 @@
         self._heads: dict[int, str] = {}
         self._by_router: dict[str, collections.Counter[str]] = {}
         self._departed: collections.Counter[str] = collections.Counter()
-        self._elsewhere: collections.Counter[str] = collections.Counter()
+        self._outside_group: collections.Counter[str] = collections.Counter()
 
     def receive(
         self, router: str, run: int, counts: Counts, counted: bool
@@ -88,8 +89,8 @@
         Parameters
         ----------
         counted : bool
-            Whether this router gets the other's counts by this path, so that
-            the increments are passed to `apply`.
+            Whether this router takes the other router's counts from this path,
+            so that the increments are passed to `apply`.
         """
         increments = self._routers.update(router, run, counts)
         _add(
@@ -104,11 +105,11 @@
     ) -> None:
         """Process the sum of another group, from its head."""
         if self._heads.get(group) != head:
-            # Another head has reported the group in between, or none has.
+            # The group's last report came from another head, or there is none.
             self._heads[group] = head
             self._groups.drop(head)
         increments = self._groups.update(head, run, counts)
-        _add(self._elsewhere, increments)
+        _add(self._outside_group, increments)
         if counted:
             self._apply(increments)
 
@@ -125,7 +126,7 @@
 
     def add_estimate(self, counts: Counts) -> None:
         """Add estimated counts of routers whose reports are missing."""
-        _add(self._elsewhere, counts)
+        _add(self._outside_group, counts)
         self._apply(counts)
 
     def group_total(self) -> Counts:
@@ -139,7 +140,7 @@
     def totals_without(self, members: ty.Iterable[str]) -> ty.Iterator[Counts]:
         """Yield for each member the sum over all routers but that member."""
         fleet_total = collections.Counter(self.group_total())
-        _add(fleet_total, self._elsewhere)
+        _add(fleet_total, self._outside_group)
         for member in members:
             total = dict(fleet_total)
             for name, count in self._by_router.get(member, {}).items():
@@ -147,10 +148,10 @@
             yield total
 
     def reset_sources(self) -> None:
-        """Forget all baselines, as the paths of reports change.
+        """Drop all baselines, because reports arrive by other paths now.
 
-        Counts reported by the new paths until now have already arrived by
-        the previous ones.
+        Counts that the new paths report up to now have already arrived by the
+        previous paths.
         """
         self._routers = DeltaTracker()
         self._groups = DeltaTracker()
@@ -158,7 +159,7 @@
         self._heads = {}
 
     def retain(self, routers: ty.Collection[str]) -> None:
-        """Merge the counts of all routers but these into a single sum."""
+        """Merge the counts of all routers except `routers` into one sum."""
         self._routers.retain(routers)
         for router in self._by_router.keys() - set(routers):
             _add(self._departed, self._by_router.pop(router))
--- a/src/peridotmast/coordination/groups.py
+++ b/src/peridotmast/coordination/groups.py
@@ -21,8 +21,8 @@
 
     No agreement is needed: each router computes the groups from the peers
     that it knows, and a beacon to a former head is only lost for one round.
-    There are about as many groups as members in each, to keep both a head's
-    peers and its members few.
+    The number of groups is about the number of members of each, so that a head
+    exchanges beacons with few other heads and with few members.
 
     Parameters
     ----------
@@ -42,8 +42,8 @@
 
     def snapshot(self) -> GroupSnapshot:
         """Return the groups as this router sees them now."""
-        # Silent peers count too, or a gap in their beacons would change the
-        # number of groups and so reassign all routers.
+        # Silent peers are counted as well: otherwise a gap in their beacons
+        # would change the number of groups, which reassigns all routers.
         count = _group_count(len(self._members.peers()) + 1)
         key = self._members.version, count
         if self._assigned_for != key:
@@ -82,7 +82,7 @@
 
 
 class GroupSnapshot:
-    """The groups at one moment.
+    """The groups of the fleet at one moment, as one router sees them.
 
     Parameters
     ----------
@@ -121,9 +121,9 @@
     def is_head(self) -> bool:
         """Whether this router is the head of its group.
 
-        A head that leaves stops being one as soon as it announces that: its
-        successor already has the members' counts, and the members follow the
-        successor before the leaving head ends.
+        A head that is about to stop ceases to be head as soon as it announces
+        the stop: its successor already has the members' counts, and the
+        members report to the successor before the leaving head ends.
         """
         own_rank = rank.of('head', self._me)
         return not any(
@@ -137,14 +137,14 @@
         return self._groups.get(self.own_group, [])
 
     def live_member_names(self) -> set[str]:
-        """Return the names of the group's other live members."""
+        """Return the names of the other live members of this group."""
         return set(self._live_names(self.own_group))
 
     def head_and_successor(self) -> list[members_.Peer]:
         """Return the peers that get this group's counts: head and successor.
 
-        The successor replaces the head as soon as that falls silent, and has
-        the members' counts by then.
+        The successor replaces the head as soon as the head falls silent, and
+        has received the members' counts by then.
         """
         return self._first_eligible(self.own_group, 2)
 
@@ -162,7 +162,7 @@
         return rank.of('group', name) % self.count
 
     def names_in(self, group: int) -> list[str]:
-        """Return the names of the peers in a group."""
+        """Return the names of the peers in the group with this number."""
         return [peer.member.name for peer in self._groups.get(group, [])]
 
     def live_count(self, group: int) -> int:
@@ -185,7 +185,7 @@
 def _group_count(routers: int) -> int:
     """Return the number of groups: a power of two near the square root.
 
-    Powers of two, so that a router that joins or leaves rarely causes all
-    others to be reassigned.
+    With a power of two, the number rarely changes when a router joins or
+    leaves; each change reassigns all routers.
     """
     return 1 << round(math.log2(routers) / 2)
--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -1,4 +1,4 @@
-"""Follows the store's objects of one kind, through outages of the store."""
+"""Follows changes of one kind of stored objects, also across outages."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
 from peridotmast import logs
 
 _WATCH_MS = 25_000
-"""Longest wait of a watch: each return is a call that is billed. A silent
-connection is detected by probes of its own, not by this timeout."""
+"""Maximum time that a watch waits for changes: each watch is a billed call. A
+silent connection is detected by separate probes, not by this timeout."""
 
 _FIRST_BACKOFF_MS = 250
 _MAX_BACKOFF_MS = 1000
-"""Pauses between retries while the store does not answer: rejected calls are
-billed like others, and a change must be in force within two seconds."""
+"""First and longest pause between retries while the store does not answer:
+rejected calls are billed like answered ones, and a change must be in force
+within two seconds."""
 
 _BATCH_MS = 200
 """Pause after changes before the next watch, so that a burst of changes costs
 a few calls and not one each."""
 
 _PEER_AHEAD_SILENT_MS = 2000
-"""Least silence of a watch before a peer's newer state restarts it: while the
-store rejects this router's calls every restart fails, and the received part
-of an answer would have to be sent again."""
+"""Minimum silence of a watch before a peer's newer state restarts it: every
+restart fails while the store rejects this router's calls, and after a restart
+the store sends the received part of an answer again."""
 
 _OUTAGE_SILENT_MS = 500
 _MAX_OUTAGE_SILENT_MS = 4000
-"""Least silence of a watch before an outage restarts it: the watch was begun
-while the store was out, or may have been. Doubled at each restart until
-something arrives, so that an answer that takes long is received even while
-calls fail and succeed in turn."""
+"""Minimum silence of a watch before an outage restarts it: the watch may have
+been started while the store did not answer. The minimum is doubled at each
+restart until bytes arrive, so that an answer that takes long is received even
+while other calls fail and succeed in turn."""
 
 _IDLE_MS = 500
-"""Time between two checks whether this router is to watch."""
+"""Interval at which a router that does not watch checks if it should."""
 
 
 class WatchListener(ty.Protocol):
@@ -47,11 +48,11 @@
         """Process all objects of the kind."""
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Process the objects that have changed since."""
+        """Process the objects that have changed since the last call."""
 
 
 class KindWatch:
-    """Lists a kind, then watches it, and lists it again when necessary.
+    """Lists a kind, watches it for changes, and lists it again if needed.
 
     Parameters
     ----------
@@ -119,7 +120,7 @@
             self._backoff_ms = _FIRST_BACKOFF_MS
             return
         if failure.reason == objects.HISTORY_GONE:
-            # Any object may have changed in the part that the store dropped.
+            # The changes that the store dropped may concern any object.
             self._log.info('history_gone', revision=self._revision)
             self._listed = False
             return
@@ -133,17 +134,21 @@
         self._backoff_ms = min(_MAX_BACKOFF_MS, self._backoff_ms * 2)
 
     def on_peer_ahead(self) -> None:
-        """Restart the watch: a peer has changes that it did not return.
+        """Restart the watch: a peer has changes that the watch lacks.
 
         A connection on which the store once failed may stay silent for the
-        whole wait of the watch. A watch whose answer is arriving goes on: on
-        a slow link the answer may take longer than a peer's beacon.
+        whole wait of the watch. A watch whose answer is arriving is not
+        restarted: on a slow link the answer may take longer than a beacon.
         """
-        self._restart_watch('watch_overtaken', _PEER_AHEAD_SILENT_MS)
+        self._restart_watch(
+            'watch_restarted_peer_ahead', _PEER_AHEAD_SILENT_MS
+        )
 
     def on_outage(self) -> None:
-        """Restart the watch: the store may have lost it in an outage."""
-        if self._restart_watch('watch_doubted', self._outage_silent_ms):
+        """Restart the watch: the store may have dropped it in an outage."""
+        if self._restart_watch(
+            'watch_restarted_after_outage', self._outage_silent_ms
+        ):
             self._outage_silent_ms = min(
                 _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
             )
--- a/src/peridotmast/coordination/lease.py
+++ b/src/peridotmast/coordination/lease.py
@@ -21,7 +21,7 @@
 
     HELD = 'held'
     TAKEN = 'taken'
-    """Another run holds it."""
+    """Another run holds the lease."""
     UNREACHED = 'unreached'
     """The store did not answer."""
 
@@ -37,7 +37,7 @@
 
     The next run of the holder's router at the holder's own endpoint knows
     that the holder is dead. It only waits until the last orders that the dead
-    run may have sent have arrived.
+    run may have sent to the platform have arrived.
 
     A renewal is one call: the holder knows the revision that it replaces. If
     the reply is lost, the next attempt reads the object first, and its nonce
@@ -90,9 +90,10 @@
         self._hint_expires_at = 0
         self._log = logs.get('lease', lease=name, router=router)
         self.fencing = 0
-        """Number sent with each order; increases with every new holder."""
+        """Number sent with each order to the platform; grows with each new
+        holder."""
         self.make_handover: ty.Callable[[], objects.Json] = dict
-        """Returns the state for the next holder, written with the lease."""
+        """Returns the state to store in the lease for the next holder."""
         self.received_handover: ty.Optional[objects.Json] = None
         """The previous holder's state when this run acquired the lease; None
         if this run was the previous holder itself."""
@@ -114,7 +115,7 @@
         return max(0, self._expires_at - self._clock.boot())
 
     def hint(self) -> ty.Optional[pb.LeaseHint]:
-        """Return the hint for other contenders; None if not held here."""
+        """Return a hint on this run's lease; None if it holds no lease."""
         if not self.is_held():
             return None
         return pb.LeaseHint(
@@ -127,9 +128,10 @@
     def receive_hint(self, hint: pb.LeaseHint) -> None:
         """Process a hint from the holder, or from a router that relays it.
 
-        A relayed hint is late by its transit time, so of two hints on the
-        same renewal the one that expires first is more accurate. Hints on
-        earlier renewals are ignored.
+        The remaining time in a relayed hint is too long by the time that the
+        hint was in transit. If two hints concern the same renewal, the hint
+        that expires first is therefore more accurate. Hints on earlier
+        renewals are ignored.
         """
         expires_at = self._clock.boot() + hint.left_ms
         if hint.revision < self._hint.revision:
@@ -140,7 +142,7 @@
         self._hint_expires_at = expires_at
 
     def is_held_elsewhere(self) -> bool:
-        """Return whether a received hint has not expired."""
+        """Return whether another run holds the lease, by received hints."""
         return self._clock.boot() < self._hint_expires_at
 
     def known_holder(self) -> ty.Optional[pb.LeaseHint]:
@@ -162,25 +164,25 @@
         return self.remaining_ms > 0
 
     def may_act(self) -> bool:
-        """Return whether an order may be started.
+        """Return whether this run may start an order to the platform.
 
-        Where fencing numbers are not checked, orders are safe by time alone:
-        none is started in the last part of the lease, so that each arrives
-        before the first one of the next holder.
+        Where fencing numbers are not checked, only time separates the orders
+        of two holders: no order is started in the last part of the lease, so
+        that each arrives before the next holder's first order.
         """
         return self.remaining_ms > self._guard_ms
 
     def order_timeout_ms(self, fencing: int) -> int:
         """Return the time within which an order must arrive, in ms.
 
-        0 if none may be started: this run no longer holds the lease, or has
-        acquired it again with another number. A caller that has waited for
-        something since this call must check again before it sends the order.
+        0 if no order may be started: this run no longer holds the lease, or
+        has acquired it again with another fencing number. A caller that has
+        blocked since this call must check again before it sends the order.
 
         Parameters
         ----------
         fencing : int
-            Number of the order.
+            Fencing number of the order.
         """
         is_same = fencing == self.fencing
         return self.remaining_ms if is_same and self.may_act() else 0
@@ -199,7 +201,7 @@
         revision = self._stored.revision if self._stored else 0
         result = self._store.write(KIND, self._name, spec, revision)
         if isinstance(result, failures.Failure):
-            # The write may be done already, or later: read before the next.
+            # The write may still take effect: read before the next attempt.
             self._is_read = False
             lost = result.kind is failures.FailureKind.CONFLICT
             return Outcome.TAKEN if lost else self._unreached()
@@ -281,8 +283,8 @@
             return True
         if self._may_take_over(current):
             return True
-        # If duties return to a router by way of others, its last orders and
-        # the new ones look like those of two concurrent holders.
+        # If the duties return to a router soon after other routers held them,
+        # its earlier and its new orders look like those of two holders.
         held_recently = self._router in _former_holders(current)
         if current.get('released') and not held_recently:
             return True
@@ -297,13 +299,13 @@
     def _next_handover(
         self, current: objects.Json, keeps: bool
     ) -> ty.Optional[objects.Json]:
-        """Return the state to write: at first the one received, unchanged."""
+        """Return the handover state to write; at first the received one."""
         if keeps and self.fencing:
             return self.make_handover()
         return current.get('left') or {}
 
     def _next_former_holders(self, current: objects.Json) -> dict[str, int]:
-        """Return the holders before this run and its dead predecessor."""
+        """Return the holders before this run or its dead predecessor."""
         former = _former_holders(current)
         same = self._is_own(current) or self._is_successor(current)
         if current.get('router') and not same:
@@ -342,7 +344,7 @@
             self.fencing = fencing
             self._acquired_at = began
             self.received_handover = None if was_own else spec['left']
-            self._log.info('lease_taken', fencing=fencing)
+            self._log.info('lease_acquired', fencing=fencing)
 
     def _unreached(self) -> Outcome:
         return Outcome.HELD if self.is_held() else Outcome.UNREACHED
@@ -351,10 +353,11 @@
 def _former_holders(spec: objects.Json) -> dict[str, int]:
     """Return the former holders of a lease, and how long ago each acted.
 
-    In ms from the latest time at which a router can have acted to when the
-    current holder acquired the lease, or released it; routers for which that
-    exceeds a lease's length are left out. Routers of an older version write a
-    single name.
+    The time, in ms, is measured from the latest moment at which a router can
+    have acted. It ends when the current holder acquired the lease or, if the
+    lease was released, when it was released. Routers whose time exceeds the
+    length of a lease are omitted. Routers of an older version write a single
+    name.
     """
     former = spec.get('before') or {}
     if isinstance(former, str):
--- a/src/peridotmast/coordination/members.py
+++ b/src/peridotmast/coordination/members.py
@@ -14,22 +14,23 @@
 
 _GROUPED_SILENCE_FACTOR = 1.2
 """Factor on the silence timeout in a fleet with groups: beacons are sent half
-as often there, and two of three may be lost."""
+as often there, and two of three beacons may be lost."""
 
 _REPORTED_SILENCE_FACTOR = 2.2
-"""The same for members known only from a head's reports: if the head fails,
-its successor takes over within the timeout above and reports within this."""
+"""Factor on the silence timeout for members known only from the reports of a
+group head: if the head fails, its successor takes over within the timeout with
+the factor above, and reports within the timeout with this factor."""
 
 _STARTING_MS = 1500
-"""How long a peer that was never heard counts as starting: three rounds of a
-large fleet."""
+"""How long a peer that has sent no beacon yet counts as starting: three rounds
+of beacons in a large fleet."""
 
 _DISCOVERED_MS = 5000
-"""How long a peer that was never heard counts as possibly running."""
+"""How long a peer that has sent no beacon yet may still be running."""
 
 _FORGET_MS = 60_000
-"""How long a silent member is kept: longer than any network partition that
-heals, since no other router would report the member after one."""
+"""How long a silent member is kept: longer than the network partitions that
+heal, since no other router would report the member after a partition."""
 
 
 @dataclasses.dataclass
@@ -37,18 +38,18 @@
     """Another router."""
 
     member: pb.Member
-    """Its newest known entry."""
+    """The peer's newest known entry."""
     last_beacon_at: int = 0
-    """Time of its last beacon, in ms; 0 before the first."""
+    """Time of the peer's last beacon, in ms; 0 before its first beacon."""
     last_reported_at: int = 0
-    """Time at which a head last reported it alive, in ms; 0 if no head
-    does."""
+    """Time at which a group head last reported the peer as alive, in ms; 0 if
+    no head reports it."""
     changed_at: int = 0
-    """Time at which its entry last changed, in ms."""
+    """Time at which the peer's entry last changed, in ms."""
     was_seen: bool = False
-    """Whether a beacon of it or a head's report has ever arrived."""
+    """Whether the peer's beacon, or a head's report on it, has arrived."""
     discovered_at: int = 0
-    """Time at which its entry was first received, in ms."""
+    """Time at which the peer's entry was first received, in ms."""
 
 
 class Members:
@@ -59,7 +60,7 @@
     me : pb.Member
         This router's own entry.
     clock : clock.Clock
-        Times silence.
+        Measures the silence of peers.
     silent_ms : int
         Silence after which callers are no longer sent to a peer.
     full_mesh_limit : int
@@ -76,7 +77,7 @@
         self.me = me
         """This router's own entry."""
         self.clock = clock
-        """Times silence."""
+        """Measures the silence of peers."""
         self._silent_ms = silent_ms
         self._full_mesh_limit = full_mesh_limit
         self._peers: dict[str, Peer] = {}
@@ -153,7 +154,7 @@
     def recently_changed(
         self, within_ms: int, max_count: int
     ) -> list[pb.Member]:
-        """Return the entries changed within a time, the newest first."""
+        """Return the entries changed in the last `within_ms`, newest first."""
         limit = self.clock.now() - within_ms
         recent = [p for p in self._peers.values() if p.changed_at >= limit]
         recent.sort(key=lambda peer: -peer.changed_at)
@@ -187,12 +188,12 @@
         ]
 
     def serving(self) -> list[pb.Member]:
-        """Return the members that callers may be sent to, this one too."""
+        """Return the routers that callers may use, including this one."""
         live = [self.me, *(peer.member for peer in self.live_peers())]
         return [m for m in live if m.ready and m.state == ALIVE]
 
     def sharer_count(self) -> int:
-        """Return how many routers share the fleet's limits, this one too.
+        """Return how many routers share the limits, including this one.
 
         A peer counts until it is removed or announces that it is leaving: a
         silent one may still serve callers on the other side of a network
@@ -202,7 +203,7 @@
         return len(self.sharer_names())
 
     def sharer_names(self) -> list[str]:
-        """Return the names of all routers counted, including this one."""
+        """Return the names of the routers that share the fleet's limits."""
         return [
             self.me.name,
             *(
@@ -214,7 +215,7 @@
         ]
 
     def is_newly_discovered(self, peer: Peer) -> bool:
-        """Return whether a peer that was never heard may be running."""
+        """Return whether a peer without a beacon so far may be running."""
         limit = self.clock.now() - _DISCOVERED_MS
         return not peer.last_beacon_at and peer.discovered_at > limit
 
@@ -222,8 +223,8 @@
         """Return the names of peers whose first beacon is still expected.
 
         When the whole fleet starts at once, groups are formed with these
-        peers included; otherwise each router would take itself for a head
-        until it heard one that ranks before it.
+        peers included; otherwise each router would act as a head until it
+        received a beacon of a peer that ranks before it.
         """
         limit = self.clock.now() - _STARTING_MS
         return {
--- a/src/peridotmast/coordination/outage.py
+++ b/src/peridotmast/coordination/outage.py
@@ -1,4 +1,4 @@
-"""Detects outages of the platform's store from the outcomes of its calls."""
+"""Detects outages of the platform's store from the outcomes of calls."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 _FAILURE_VALID_MS = 28_000
-"""How long a failed call counts as an outage. A router that watches calls
-again sooner, as its longest wait is 26.5 s. A router that makes no more calls
-would otherwise treat missing entries as lapsed for good, and so would its
-peers."""
+"""How long a failed call counts as an outage. A router that watches the store
+makes its next call sooner: its longest wait is 26.5 s. A router that makes no
+more calls would otherwise treat missing entries as lapsed forever, and so
+would its peers."""
 
 
 class OutageTracker:
-    """Records which of the store's calls were answered.
+    """Records which calls to the store were answered.
 
     Entries that are missing during an outage, or for some time after it, may
     have expired because nothing could renew them.
@@ -24,9 +24,9 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times the outage.
+        Measures the time since a failed or answered call.
     lapse_ms : int
-        Time after an outage in which such entries come back.
+        Time after an outage within which expired entries reappear.
     """
 
     def __init__(self, clock: clock_.Clock, lapse_ms: int) -> None:
@@ -41,7 +41,7 @@
         """Called when the store was out and answers again."""
 
     def record_failure(self, reason: str, age_ms: int = 0) -> None:
-        """Record a call that was not answered, or rejected.
+        """Record a call that was rejected or not answered.
 
         If another call was answered after this one was made, the store was
         out before that answer and is not out now.
--- a/src/peridotmast/coordination/outage_reports.py
+++ b/src/peridotmast/coordination/outage_reports.py
@@ -7,7 +7,7 @@
 from peridotmast import clock as clock_
 
 _VALID_MS = 1000
-"""How long a report is valid: a few beacons."""
+"""How long a peer's report is valid: a few beacon intervals."""
 
 
 class OutageReports:
@@ -16,7 +16,7 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times the reports.
+        Measures the age of the reports.
     on_outage : callable
         Called when peers begin to report an outage.
     """
@@ -52,7 +52,7 @@
             self._member_reported_at = now
 
     def discard_before(self, before: int) -> None:
-        """Discard the reports older than a time, in ms."""
+        """Discard the reports received before the time `before`, in ms."""
         self._reports = {
             p: at for p, at in self._reports.items() if at >= before
         }
--- a/src/peridotmast/coordination/rank.py
+++ b/src/peridotmast/coordination/rank.py
@@ -6,7 +6,7 @@
 import hashlib
 
 _CACHE_SIZE = 8192
-"""Hashes that are cached: five for each of 330 routers, with room for names
+"""Number of cached hashes: five for each of 330 routers, with room for names
 that are no longer in use."""
 
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     purpose : str
-        What the order is for; each purpose has an independent order.
+        Purpose of the order; each purpose has an independent order.
     name : str
         The name to rank; the lowest rank comes first.
     """
--- a/src/peridotmast/coordination/registry.py
+++ b/src/peridotmast/coordination/registry.py
@@ -1,4 +1,4 @@
-"""Bootstrap of membership: each router has an entry in the store."""
+"""Registration of routers by entries in the store, which others read."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     'failure_domain',
     'region',
 )
-"""Fields by which peers reach a router; its beacons carry the others."""
+"""Fields that locate a router; only its beacons update other fields."""
 
 
 class Registry:
--- a/src/peridotmast/coordination/report_gaps.py
+++ b/src/peridotmast/coordination/report_gaps.py
@@ -1,4 +1,4 @@
-"""Estimates of what teams spend at routers whose reports are missing."""
+"""Estimates of the tokens spent at routers whose reports are missing."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @dataclasses.dataclass
 class _Source:
-    """Reports on a part of the fleet that arrive by one path."""
+    """A path by which reports on a part of the fleet arrive."""
 
     reporter: ty.Optional[_Reporter]
-    """Sender of the last report; None before the first by this path."""
+    """Sender of the last report; None before the path's first report."""
     at: int
     """Time of the last report, in ms."""
     until: int
@@ -43,7 +43,8 @@
 
     When a head ends, the counts that its members add until its successor
     reports are lost, and the members receive no counts meanwhile. Routers
-    that miss reports assume that the missing part spends its share. If the
+    that miss reports assume that the unreported part of the fleet spends its
+    share of each team's limit. If the
     same head reports again, its counts include the gap, so the estimate is
     reversed; another head only reports what is counted from then on, so the
     estimate stays.
@@ -51,7 +52,7 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times silence.
+        Measures the time since the last report.
     estimate : callable
         Returns the estimate for a share of the fleet since a time.
     """
@@ -62,7 +63,7 @@
         self._sources: dict[str, _Source] = {}
 
     def reset(self, sources: ty.Iterable[str]) -> None:
-        """Replace the sources; none of the new ones has reported yet."""
+        """Replace the sources of reports by ones that have not reported."""
         now = self._clock.now()
         self._sources = {name: _Source(None, now, now) for name in sources}
 
--- a/src/peridotmast/coordination/router_selector.py
+++ b/src/peridotmast/coordination/router_selector.py
@@ -10,19 +10,19 @@
 
 
 class RouterSelector:
-    """Selects routers of a caller's failure domain, and some of others.
+    """Selects routers of a caller's failure domain, and fallbacks.
 
-    Routers of other failure domains are fallbacks if the caller's own one is
-    lost. They are drawn at random for each answer: with one fixed order, the
-    first ones would get the callers of all other failure domains in addition
-    to their own.
+    The fallbacks are routers of other failure domains, in case the caller's
+    failure domain is lost. They are drawn at random for each answer: in a
+    fixed order, the first routers would get the callers of all other failure
+    domains in addition to their own callers.
 
     Parameters
     ----------
     members : members.Members
         The routers.
     max_count : int
-        Most routers in one answer.
+        Maximum number of routers in one answer.
     """
 
     def __init__(self, members: members_.Members, max_count: int) -> None:
--- a/src/peridotmast/coordination/store_prober.py
+++ b/src/peridotmast/coordination/store_prober.py
@@ -11,7 +11,7 @@
     """The part of the store's interface that a probe needs."""
 
     calls: int
-    """Calls made so far."""
+    """Number of calls to the store so far."""
 
     def probe(self) -> None:
         """Make a short call, whose outcome the outage tracker records."""
@@ -20,11 +20,11 @@
 class StoreProber:
     """Probes a store that is out until it answers.
 
-    A router that watches the store retries anyway. One that does not may
-    have no more calls to make: after a failed one it would consider the store
-    out until the failure is too old, and all peers would rely on its report.
-    They would send work to upstreams that have left, as to upstreams whose
-    entries may come back.
+    A router that watches the store retries anyway. A router that does not
+    watch may have no more calls to make: after a failed call it would report
+    an outage until the failure expires. All peers would rely on this report
+    and send requests to upstreams that have left, as to upstreams whose
+    entries are missing because of an outage.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
         self._calls = 0
 
     def tick(self) -> None:
-        """Probe the store if it is out and was not called since last tick."""
+        """Probe a store that is out and was not called since the last tick."""
         is_quiet = self._store.calls == self._calls
         if self._outage.is_out and is_quiet:
             self._store.probe()
--- a/src/peridotmast/coordination/upstream_feed.py
+++ b/src/peridotmast/coordination/upstream_feed.py
@@ -1,4 +1,4 @@
-"""Upstreams read from the store's entries, including lapsed entries."""
+"""Updates the table of upstreams from their entries in the store."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from peridotmast.serving import upstreams as upstreams_
 
 _MASS_REMOVAL = 3
-"""Least removals in one change that may be a mass removal."""
+"""Minimum number of removals in one change that is a mass removal."""
 
 _MAX_LOGGED = 500
-"""Most characters of the findings on an entry that are logged."""
+"""Maximum number of logged characters of the findings on an entry."""
 
 
 class EntryReader(ty.Protocol):
--- a/src/peridotmast/coordination/watchers.py
+++ b/src/peridotmast/coordination/watchers.py
@@ -8,27 +8,27 @@
 from peridotmast.coordination import rank
 
 _ALL_WATCH_BELOW = 8
-"""Smaller fleets watch with every router: changes arrive later from a peer
-than from the store, and so few watches cost little."""
+"""Fleet size below which every router watches the store: changes arrive later
+from a peer than from the store, and so few watches cost little."""
 
 _WATCHERS = 6
-"""Watchers of one kind in larger fleets, to keep the number of calls
-independent of the fleet's size: enough that some remain when a failure domain
-is cut off."""
+"""Number of routers that watch each kind in larger fleets. It does not depend
+on the size of the fleet, so that the number of calls stays the same, and some
+watchers remain when a failure domain is cut off."""
 
 
 _OUTAGE_FACTOR = 2
 """Factor on the number of watchers while the store does not answer some
-router: a store that rejects a third of the routers rejects all of six once in
-700 times, and all of twelve once in half a million. Not more, since each
-watcher retries again and again during an outage."""
+router: a store that rejects a third of the routers rejects all of six watchers
+in one case of 700, and all of twelve in one case of half a million. The factor
+is not higher, since each watcher keeps retrying during an outage."""
 
 
 class Watchers:
     """Selects watchers by rendezvous hashing over the live routers.
 
-    No agreement is needed: when a watcher falls silent the next one in order
-    replaces it, and a router that hears no peer watches for itself.
+    No agreement is needed: when a watcher falls silent, the next router in the
+    order replaces it, and a router that receives no beacons watches itself.
 
     Parameters
     ----------
--- a/src/peridotmast/router/beacon_rounds.py
+++ b/src/peridotmast/router/beacon_rounds.py
@@ -21,7 +21,7 @@
 from peridotmast.serving import upstream_limits as upstream_limits_
 
 _ROUNDS_PER_BEACON = 2
-"""A large fleet sends beacons only once in this many rounds. Each value is
+"""In a large fleet only one of this many rounds sends beacons. Each value is
 relayed over three hops, so that totals are up to 1.5 s old; beacons in every
 round would halve this delay and double the traffic."""
 
@@ -31,8 +31,9 @@
 
 _CHANGED_MS = 3000
 _MAX_CHANGED = 64
-"""How long changed member entries are repeated, and how many at most: often
-enough to make up for beacons that are lost on the path over two heads."""
+"""How long a changed member entry is repeated in beacons, and the maximum
+number of entries in a beacon: often enough to make up for beacons that are
+lost on the path over two heads."""
 
 _LEVELS_REQUEST_MS = 1200
 """How long a peer's request for the remaining team limits is valid: two rounds
@@ -45,11 +46,11 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times what is repeated for a while.
+        Times repeated entries and requests for limits.
     fleet_state : fleet_state.FleetState
         State from the store, and the members.
     quota : quota.Quota
-        The remaining limits of the teams.
+        The remaining tokens of each team's limit.
     crashes : crash_tracker.CrashTracker
         Tracks requests that crash upstreams.
     limits : upstream_limits.UpstreamLimits
@@ -57,13 +58,13 @@
     totals : shared_totals.SharedTotals
         Counts of all routers.
     lease : lease.Lease
-        The lease on the duties.
+        The lease on the fleet-wide duties, such as scaling.
     outages : outage_reports.OutageReports
         Store outages that peers report.
     groups : groups.Groups
         The groups of a large fleet.
     current_groups : callable
-        Returns the groups, which may be cached for a round.
+        Returns a snapshot of the groups, at most one round old.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self._head_since = 0
 
     def next_round(self) -> beacons_.Round:
-        """Return the beacons of a round with the peers that each is sent to.
+        """Return the beacons of the next round, each with its recipients.
 
         In a small fleet all routers report to all others. In a large fleet
         members report to their head and its successor, heads report on their
@@ -118,7 +119,7 @@
         self._head_since = self._clock.now()
 
     def set_needs_levels(self, peer: str, needs_levels: bool) -> None:
-        """Record whether a peer lacks the remaining team limits."""
+        """Record whether a peer lacks the remaining tokens of team limits."""
         now = self._clock.now()
         oldest = now - _LEVELS_REQUEST_MS
         self._needs_levels_at = {
@@ -144,7 +145,7 @@
         return beacon
 
     def _member_round(self, peers: list[members_.Peer]) -> beacons_.Round:
-        """Yield this router's own counts for `peers`."""
+        """Yield beacons to `peers` with this router's own counts."""
         beacon = self._base_beacon()
         beacon.own.CopyFrom(self._totals.own())
         yield from self._with_levels(beacon, peers)
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -20,28 +20,29 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _WATCH_GRACE_MS = 300
-"""How long a peer may be ahead before it is called: this router's own watch of
-the store usually brings the same change in this time, without another call."""
+"""How long a peer may have newer state before it is called: this router's own
+watch of the store usually returns the same change in this time, without
+another call."""
 
 _STORE_FIRST_MS = 400
 """Time that a starting router waits for the store before it calls peers; a
 healthy store answers a starting router within 0.1 s."""
 
 _CALL_TIMEOUT_MS = 800
-"""Bound on one call of a peer."""
+"""Time-out of one call to a peer."""
 
 
 _MAX_MEMBERS_BYTES = 1 << 20
-"""Largest size that a packed list of members may unpack to: 10,000 members."""
+"""Maximum size of an unpacked list of members, in bytes: 10,000 members."""
 
 
 class CatchUp:
-    """Fetches missing state from peers that are ahead, or from seed routers.
+    """Fetches missing state from peers with newer state, or from seeds.
 
     Parameters
     ----------
     clock : clock.Clock
-        Measures how long a peer has been ahead.
+        Measures how long a peer has had newer state.
     fleet_state : fleet_state.FleetState
         State from the store, and the members.
     peers : rpc.RpcClient
@@ -74,12 +75,12 @@
             spawn,
         )
         """Fetches the configuration from peers."""
-        self._behind_since: dict[str, tuple[ty.Any, int]] = {}
+        self._peer_newer_since: dict[str, tuple[ty.Any, int]] = {}
         self._fetching: set[str] = set()
         self._log = logs.get('catch_up', router=fleet_state.members.me.name)
 
     def compare(self, beacon: pb.Beacon) -> None:
-        """Schedule a call to the sender of `beacon` if it is ahead."""
+        """Schedule a call to the sender of `beacon` if its state is newer."""
         address = beacon.member.peer_address
         self.config_fetcher.record_versions(
             address, beacon.config_version, beacon.document_version
@@ -95,8 +96,8 @@
     def merge_upstreams(self, beacon: pb.Beacon) -> None:
         """Merge the upstream records in an update beacon.
 
-        If this router lacks earlier records, its revision stays as it was, so
-        that it fetches all of them from a peer.
+        If this router lacks earlier records, its revision does not change, so
+        that it fetches all missing records from a peer.
         """
         if not beacon.upstreams:
             return
@@ -108,29 +109,31 @@
             self._table.revision = known
 
     def tick(self) -> None:
-        """Schedule a fetch of a configuration that was reported but not seen.
+        """Schedule a fetch if a peer has reported a newer configuration.
 
-        Called periodically as well, since the report may be sent only once.
+        Called periodically and for each beacon, since a peer may report a
+        version only once.
         """
         self._schedule_fetch(
             'config',
             (self._config.routes.version, self._config.product.version),
-            self.config_fetcher.is_behind(),
+            self.config_fetcher.is_outdated(),
             self.config_fetcher.fetch_until_current,
         )
 
     def join(self, seeds: ty.Iterable[str]) -> None:
-        """Learn the members and the state from the seed addresses.
+        """Fetch the members and the state from routers at seed addresses.
 
-        Skipped if the store has answered: its state is newer, and reading it
-        does not put a whole starting fleet on the links of three seeds.
+        Skipped if the store has answered: its state is newer, and a whole
+        starting fleet that reads it does not load the links of three seeds.
         """
         green.sleep_ms(_STORE_FIRST_MS)
         if self._fleet_state.is_synced_with_store:
             return
         addresses = list(seeds)
         # All routers of a starting fleet have the same seeds. If all called
-        # the same one first, a seed on a slow link would answer none in time.
+        # the same seed first and it had a slow link, it would answer none of
+        # them in time.
         random.Random(self._members.me.name).shuffle(addresses)
         for address in addresses:
             if address == self._members.me.peer_address:
@@ -157,7 +160,7 @@
         return self._merge(reply.upstreams, reply.revision, address)
 
     def _join_via(self, address: str) -> bool:
-        """Learn the members that a peer knows; return whether it answered."""
+        """Add the members that a peer knows; return whether it answered."""
         request = pb.JoinRequest(member=self._members.me, takes_packed=True)
         reply = self._calls.call(address, 'Join', request, _CALL_TIMEOUT_MS)
         if isinstance(reply, failures.Failure):
@@ -207,28 +210,28 @@
         ahead: bool,
         fetch: ty.Callable[[], bool],
     ) -> None:
-        """Schedule a fetch once the local watch has had time to deliver.
+        """Schedule a fetch unless the local watch may still bring the change.
 
         Parameters
         ----------
         own : int or tuple
-            Version known here; the time that a peer is ahead restarts when it
-            changes.
+            Version known here; when it changes, the grace time for the local
+            watch starts again.
         """
         if not ahead:
             return
         now = self._clock.now()
-        known, since = self._behind_since.get(subject, (None, now))
+        known, since = self._peer_newer_since.get(subject, (None, now))
         if known != own:
             since = now
-        self._behind_since[subject] = own, since
+        self._peer_newer_since[subject] = own, since
         grace_ms = (
             _WATCH_GRACE_MS if self._fleet_state.is_watching(subject) else 0
         )
         if now - since < grace_ms or subject in self._fetching:
             return
         self._fetching.add(subject)
-        self._spawn(f'ask_{subject}', self._run_fetch, subject, fetch)
+        self._spawn(f'fetch_{subject}', self._run_fetch, subject, fetch)
 
     def _run_fetch(self, subject: str, fetch: ty.Callable[[], bool]) -> None:
         try:
--- a/src/peridotmast/router/chat_answers.py
+++ b/src/peridotmast/router/chat_answers.py
@@ -137,7 +137,7 @@
 
 
 def _event_text(data: str) -> str:
-    """Return the text of an event; data in any other format is text itself."""
+    """Return the text in an event's JSON, or `data` if it has no such text."""
     try:
         value = json.loads(data)
     except ValueError:
--- a/src/peridotmast/router/chat_api.py
+++ b/src/peridotmast/router/chat_api.py
@@ -303,5 +303,5 @@
 
 
 def _http_status(failure: failures.Failure) -> int:
-    """Return the HTTP status of failures that have their own, else 0."""
+    """Return the HTTP status for failures with a special one, else 0."""
     return {'team_limit': 429, 'no_key': 401}.get(failure.reason, 0)
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -18,12 +18,14 @@
 to callers."""
 
 _BURST_BYTES = 128_000
-"""Bytes that may be sent in a burst, a fifth of a second of the slowest link:
-four copies of 1,600 routes, or any number of small ones."""
+"""Bytes that may be sent in a burst; they take a fifth of a second on the
+slowest link. They suffice for four copies with 1,600 routes, or for any number
+of small copies."""
 
 _MAX_HOLDERS = 8
-"""Peers that recently received a copy and are named to the others. Deferred
-peers turn to them, so that the number of sources grows with each copy."""
+"""Maximum number of recent recipients of a copy that are named to other peers.
+Deferred peers request a copy from them, so that the number of sources grows
+with each copy."""
 
 
 class ConfigCopies:
@@ -62,7 +64,7 @@
         self._log = logs.get('config_copies', router=router)
 
     def reply_to(self, req: pb.ConfigRequest) -> pb.ConfigReply:
-        """Return the newer parts, or a delay and peers that hold a copy."""
+        """Return the parts a peer lacks, or a delay and holders of a copy."""
         routes, own = self._config.routes, self._config.product
         reply = pb.ConfigReply(
             config_version=routes.version, document_version=own.version
@@ -87,7 +89,7 @@
             if req.peer_address:
                 self._holders.append(req.peer_address)
         self._log.info(
-            'config_given' if not wait_ms else 'config_put_off',
+            'config_copy_sent' if not wait_ms else 'config_copy_deferred',
             peer=req.peer_address,
             version=routes.version,
             known=req.known_version,
@@ -127,7 +129,7 @@
         return data
 
     def _wait_ms(self) -> int:
-        """Return the time until another copy may be sent, in ms; 0 if now."""
+        """Return the time until the next copy may be sent, in ms; 0 if now."""
         now = self._clock.now()
         refilled = (now - self._refilled_at) * _RATE
         self._budget = min(_BURST_BYTES, self._budget + refilled)
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -19,16 +19,17 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _CALL_TIMEOUT_MS = 1500
-"""Bound on one call. A copy of 35 kB takes 0.06 s on the slowest link, 0.2 s
-beside three others, and may queue there behind answers to callers."""
+"""Time-out of one call. A copy of 35 kB takes 0.06 s on the slowest link, or
+0.2 s together with three other copies, and may queue behind answers to
+callers."""
 
 _HEDGE_DELAY_MS = 500
 """Time after which a second peer is called while the first has not answered:
 the first may be down, and a change must be in force within two seconds."""
 
 _MAX_CONCURRENT_CALLS = 2
-"""Peers that are called at the same time; more would exhaust the rate at which
-peers may send copies."""
+"""Maximum number of peers called at the same time; more would exhaust the rate
+at which peers may send copies."""
 
 _PEER_EXPIRY_MS = 10_000
 """How long a peer is called after its last message: longer than the silence
@@ -39,8 +40,8 @@
 malformed: enough time to try two other peers."""
 
 _UNCHANGED_BACKOFF_MS = 150
-"""How long a peer is not called after it had nothing newer: another router
-named it as a holder while its own copy was still in transit."""
+"""How long a peer is not called after it had no newer version: another router
+may name a peer as a holder while the copy to that peer is in transit."""
 
 _MAX_RETRY_AFTER_MS = 2000
 """Longest delay that a peer may ask for."""
@@ -53,18 +54,18 @@
 """Mean delay while no peer is left to call."""
 
 _STORE_DELAY_MS = 1000
-"""Time without success after which the store itself is read, and between
+"""Time without success after which the store itself is read, and time between
 further reads. The actual delay is drawn between one and two times this value,
-because the whole text takes 0.5 s on the slowest link and routers must not all
-read it at the same moment."""
+because the whole configuration takes 0.5 s on the slowest link and routers
+must not all read it at the same moment."""
 
 _IGNORE_MS = 10_000
 """How long a version that this router cannot parse is not fetched again, since
-each attempt costs a copy. A peer whose claim the store contradicted is ignored
-for the same time."""
+each attempt costs a copy. A peer that reported a version which the store does
+not have is ignored for the same time."""
 
 _MAX_UNPACKED_BYTES = 16 << 20
-"""Largest size that a packed text may unpack to; the store accepts values of
+"""Maximum size of an unpacked document, in bytes; the store accepts values of
 1 MB."""
 
 
@@ -105,7 +106,7 @@
 
 @dataclasses.dataclass
 class _KnownPeer:
-    """A peer that has a newer version, by its own or by others' messages."""
+    """A peer that has a newer version, as it or another router reported."""
 
     versions: _Versions
     heard_at: int
@@ -168,7 +169,7 @@
         self._unreadable = _Unreadable()
         self._calls_started_at: dict[str, int] = {}
         self._is_reading_store = False
-        self._log = logs.get('config_asking', router=me.name)
+        self._log = logs.get('config_fetcher', router=me.name)
 
     def record_versions(
         self, address: str, version: int, document: int
@@ -185,8 +186,8 @@
         peer.versions = peer.versions.merged(versions)
         peer.heard_at = now
 
-    def is_behind(self) -> bool:
-        """Return whether a newer version is believed to be in force."""
+    def is_outdated(self) -> bool:
+        """Return whether a newer version is reported to be in force."""
         return self._newest_reported.is_ahead_of(self._versions_in_force())
 
     def fetch_until_current(self) -> bool:
@@ -196,16 +197,16 @@
         while self._newest_reported.is_ahead_of(self._versions_to_skip()):
             address = self._choose_peer()
             if address:
-                self._spawn('ask_peer', self.fetch_from, address)
+                self._spawn('fetch_from_peer', self.fetch_from, address)
             if self._clock.now() >= read_at and not self._is_reading_store:
-                self._spawn('ask_store', self._fetch_from_store)
+                self._spawn('fetch_from_store', self._fetch_from_store)
                 read_at = self._next_store_read_at()
             pause = (
                 _POLL_INTERVAL_MS
                 if self._peers_ahead
                 else _IDLE_POLL_INTERVAL_MS
             )
-            # Random delays spread out callers that were deferred together.
+            # Random delays spread out routers that were deferred together.
             green.sleep_ms(pause * self._random.uniform(0.5, 1.5))
         return self._versions_in_force().is_ahead_of(before)
 
@@ -309,7 +310,7 @@
         return FetchResult.UPDATED if is_updated else FetchResult.UNCHANGED
 
     def _skip_unreadable(self, found: _Versions) -> None:
-        """Stop fetching for a while a version that cannot be parsed here."""
+        """Do not fetch a version that cannot be parsed here for a while."""
         if not found.is_ahead_of(self._versions_in_force()):
             return
         until = self._clock.now() + _IGNORE_MS
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -12,8 +12,9 @@
 
 _POLL_MS = 50
 _MIN_ACCEPT_MS = 1500
-"""Shortest time for which connections are accepted. Callers that do not know
-of the stop yet connect again a few times in this period and learn of it."""
+"""Minimum time for which connections are accepted. Callers that do not know of
+the stop yet connect again a few times in this period, and learn of the stop
+from the answers."""
 
 _ACCEPT_ALL_MS = 2000
 """How long every request is still accepted. Callers keep a resolved address
@@ -36,13 +37,13 @@
     announce : callable
         Sends the changed entry to the peers.
     close_idle : callable
-        Closes idle connections, and the other ones after their answers.
+        Closes idle connections, and busy ones after their answers.
     gateway : gateway.Gateway
         Counts running requests, and refuses those that may last too long.
     release : callable
         Releases the duties if this router holds them.
     grace_ms : int
-        Time from the signal to the kill.
+        Time from the stop signal until the process is killed.
     """
 
     def __init__(
@@ -74,7 +75,7 @@
         self._members.change_me(state=members_.LEAVING, ready=False)
         self._announce()
         self._close_idle()
-        self._log.info('drain_started', in_work=self._gateway.in_flight)
+        self._log.info('drain_started', in_flight=self._gateway.in_flight)
         # Called last, since the store may be slow to answer.
         self._release()
         while not self._is_over(self._clock.now() - started_at):
@@ -82,8 +83,8 @@
         # No request may start between the last check and the end.
         self._gateway.close()
         self._log.info(
-            'drain_over',
-            in_work=self._gateway.in_flight,
+            'drain_finished',
+            in_flight=self._gateway.in_flight,
             ms=self._clock.now() - started_at,
         )
 
--- a/src/peridotmast/router/fleet_state.py
+++ b/src/peridotmast/router/fleet_state.py
@@ -1,4 +1,4 @@
-"""A router's state of the platform and the fleet, and its updates."""
+"""What a router knows of the platform and the fleet, kept up to date."""
 
 from __future__ import annotations
 
@@ -36,26 +36,27 @@
 be lost in a row, and a dead peer costs a caller a connection."""
 
 _MAX_CLOCK_GAP_BEACONS = 2
-"""Beacon intervals within which a running router reads its clock again. Longer
-gaps count as time in which the process was suspended. The last beacons that it
-has read may then be three intervals old, and later ones are read before they
-count as missed."""
+"""Maximum time between two clock readings of a running router, in beacon
+intervals. A longer gap counts as time in which the process was suspended. The
+last beacons that it has read may then be three intervals old, and it reads
+later beacons before they count as missed."""
 
 _MIN_CLOCK_GAP_MS = 500
-"""Lower bound of the same time for short beacon intervals: twice the 250 ms at
+"""Lower bound of that maximum for short beacon intervals: twice the 250 ms at
 which a router checks its peers in any case."""
 
 _REGISTER_RETRY_MS = 1000
 
 _UNREGISTERED_WAIT_MS = 1500
 """Time after which a router that could not register in the store chooses the
-watchers by the peers that it hears, and watches itself if it hears none."""
+watchers among itself and the peers from which it has received beacons."""
 
 _STORE_CHECK_MS = 500
-"""Interval of checks of a store that has failed. A check probes the store if
-there was no other call since the last check, so 0.5 s to 1 s after the failed
-call. Together with the 2 s in which entries reappear, an outage is cleared
-within the 3 s in which a leaving upstream may still get requests."""
+"""Interval at which a store that has failed is checked. A check probes the
+store if there was no other call since the last check, so the probe follows the
+failed call after 0.5 s to 1 s. Together with the 2 s in which entries
+reappear, an outage is over within the 3 s in which a leaving upstream may
+still get requests."""
 
 
 class FleetState:
@@ -66,7 +67,7 @@
     file : pb.RouterFile
         Checked settings.
     clock : clock.Clock
-        Times everything.
+        Clock for all timing.
     checks : invariants.Invariants
         Invariants that are checked at run time.
     """
@@ -151,9 +152,9 @@
         is_outage_suspected : callable
             Returns whether missing entries may be due to a store outage.
         on_change : callable
-            Called after a change was applied.
+            Called after changes from the store were applied.
         """
-        # The chosen watchers may be just the routers that the store refuses.
+        # The store may refuse exactly the routers chosen as watchers.
         self.watchers.is_outage_suspected = is_outage_suspected
         for kind, receiver in (
             (names.CONFIG_KIND, self.config),
@@ -173,7 +174,7 @@
             tasks.spawn(f'watch_{kind}', watch.run)
         self._spawn = tasks.spawn
         # Changes during an outage are lost on connections that stay open: a
-        # watch waiting on one of them would hear nothing for 25 s.
+        # watch waiting on one of them would receive nothing for 25 s.
         self.outage.on_recovery = self._restart_watches
         tasks.spawn('register', self._register)
         check = store_prober.StoreProber(self.store, self.outage)
@@ -190,9 +191,9 @@
         return all(map(self.watchers.should_watch, _KINDS_OF_PART[part]))
 
     def refresh(self, part: str) -> None:
-        """Restart the watches that missed a change which a peer had.
+        """Restart the watches that missed a change which a peer has.
 
-        Watches of other kinds go on, since the change was not theirs.
+        Watches of kinds that the change does not concern continue.
 
         Parameters
         ----------
@@ -204,9 +205,9 @@
                 watch.on_peer_ahead()
 
     def check_store(self) -> None:
-        """Check whether the store answers here, since it fails for a peer.
+        """Check whether the store answers this router, as it fails a peer.
 
-        Calls that are already waiting may neither fail nor be answered.
+        Calls that already wait for the store may neither fail nor be answered.
         """
         self._restart_watches()
         if any(
@@ -223,7 +224,7 @@
         """Return whether this router must watch a kind.
 
         A router that knows no peers yet does not watch: when a whole fleet
-        starts, each router would take the fleet for a small one.
+        starts, each router would otherwise conclude that the fleet is small.
         """
         is_waiting = (
             self._clock.now() - self._created_at < _UNREGISTERED_WAIT_MS
--- a/src/peridotmast/router/http_servers.py
+++ b/src/peridotmast/router/http_servers.py
@@ -23,7 +23,7 @@
 
 
 class HttpServers:
-    """Serves HTTP on the configured addresses and passes requests on.
+    """Serves HTTP on the configured addresses.
 
     Parameters
     ----------
@@ -91,12 +91,12 @@
             server.start()
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop all servers at once."""
         for server in self._servers():
             server.stop()
 
     def close_idle(self) -> None:
-        """Close idle connections, and the other ones after their answers."""
+        """Close idle connections, and busy ones after their answers."""
         self.platform.close_idle()
         if self.chat is not None:
             self.chat.close_idle()
--- a/src/peridotmast/router/operator_service.py
+++ b/src/peridotmast/router/operator_service.py
@@ -18,7 +18,7 @@
 
 _CALL_TIMEOUT_MS = 1000
 _ANY_VERSION = (1 << 63) - 1
-"""Known version that is sent to ask for versions without texts."""
+"""Known version in a request whose reply is to contain no documents."""
 READ = 'read'
 CONFIG = 'config'
 DRAIN = 'drain'
@@ -112,7 +112,7 @@
     def NodeList(  # noqa: N802
         self, req: pb.NodeListRequest, caller: rpc.Caller
     ) -> pb.NodeListReply:
-        """Return the routers and the holder of the duties."""
+        """Return the routers and the holder of the lease on the duties."""
         self._require_role(caller, READ)
         now = self._members.clock.now()
         reply = pb.NodeListReply()
@@ -219,7 +219,7 @@
             node.config_version = self._feed.routes.version
             node.document_version = self._feed.product.version
             return node
-        # Versions only: the texts of a whole fleet would saturate the link.
+        # Without documents: those of a whole fleet would saturate the link.
         request = pb.ConfigRequest(
             known_version=_ANY_VERSION, known_document=_ANY_VERSION
         )
--- a/src/peridotmast/router/peer_service.py
+++ b/src/peridotmast/router/peer_service.py
@@ -35,7 +35,7 @@
     local_steps : callable
         Returns this router's decisions on a request.
     tls : pb.TlsSettings
-        Gives the name that router certificates share.
+        Contains the name that all router certificates share.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     def Join(  # noqa: N802
         self, req: pb.JoinRequest, caller: rpc.Caller
     ) -> pb.JoinReply:
-        """Add a starting router to the members and return all of them."""
+        """Add a starting router to the members and return all members."""
         self._require_router(caller)
         self._members.learn(req.member)
         peers = [peer.member for peer in self._members.peers()]
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -1,4 +1,4 @@
-"""State exchange between routers: beacons in and out, and their effects."""
+"""Exchange of state between routers by sending and applying beacons."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from peridotmast.serving import upstream_view
 
 _GROUP_TIMEOUT_MS = 2000
-"""Silence after which a group's load is dropped and another head may be
-accepted: four of its beacons."""
+"""Silence of a head after which its group's load is dropped and another head
+may be accepted: four beacon intervals of a head."""
 
 _GROUPS_TTL_MS = 500
 """How long the computed groups are cached: one round."""
 
 _FLEET_SOURCE = 'fleet'
-"""Source of the totals that a group member receives from its head."""
+"""Name of the source of the totals that a member receives from its head."""
 
 
 class _Role(ty.NamedTuple):
@@ -52,7 +52,7 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times silences and reports of outages.
+        Measures the silence of peers and the age of outage reports.
     fleet_state : fleet_state.FleetState
         State from the store, and the members.
     serving : serving.Serving
@@ -60,9 +60,9 @@
     totals : shared_totals.SharedTotals
         Counts of all routers.
     lease : lease.Lease
-        The lease on the duties.
+        The lease on the fleet-wide duties, such as scaling.
     catch_up : catch_up.CatchUp
-        Fetches missing state from peers that are ahead.
+        Fetches missing state from peers with newer state.
     """
 
     def __init__(
@@ -213,7 +213,7 @@
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether others' load may be over before it is reported."""
+        """Return whether requests at other routers may end before a report."""
         return self._groups.is_grouped()
 
     def is_outage_suspected(self) -> bool:
@@ -229,7 +229,7 @@
             self._table.set_peer_load(news.router, news.load)
 
     def _apply_totals(self, beacon: pb.Beacon) -> None:
-        """Apply those totals of a peer that this router must take from it."""
+        """Apply the totals in a beacon that this router uses of its sender."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_grouped()
@@ -264,7 +264,7 @@
         reporter: tuple[str, int],
         groups: groups_.GroupSnapshot,
     ) -> None:
-        """Record a report from a source and add estimates for the gap."""
+        """Record a source's report, and estimate spends that it lacks."""
         share = self._shares(groups).get(source, 0.0)
         self._totals.add_estimates(
             self._gaps.on_report(source, reporter, share)
@@ -273,8 +273,8 @@
     def _shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
         """Return the share of the fleet that each source reports on.
 
-        Only routers that are heard are included: what the missing ones might
-        spend is deducted from the limits elsewhere.
+        Only routers whose beacons arrive are included: the possible spends of
+        missing routers are deducted from the limits elsewhere.
         """
         fleet_size = self._members.sharer_count()
         if not groups.is_head:
@@ -290,10 +290,10 @@
     def _accepts(self, head: str) -> bool:
         """Return whether the totals of `head` are accepted.
 
-        Two routers may briefly both act as the head; what both report counts
-        only once. The router that is the head in this router's view is
-        accepted at once, any other one only after the accepted head has been
-        silent.
+        Two routers may briefly both act as the head of this group; the totals
+        of only one of them are used. The router that is the head in this
+        router's view is accepted at once, any other router only after the
+        accepted head has been silent.
         """
         now = self._clock.now()
         accepted, at = self._accepted_head
@@ -323,8 +323,8 @@
     def _update_role(self, groups: groups_.GroupSnapshot) -> None:
         """Record whether this router is a head, and the number of groups.
 
-        A new role may change the source of the other routers' counts, which
-        must not count any of them twice.
+        In a new role this router may take the other routers' counts from
+        another source, and must not add any count twice.
         """
         split = self._groups.is_grouped()
         role = _Role(
@@ -344,7 +344,7 @@
             self._totals.change_source()
             self._gaps.reset(self._shares(groups) if split else ())
             self._log.info(
-                'role',
+                'group_role_changed',
                 groups=role.groups,
                 group=groups.own_group if split else 0,
                 leads=role.leads,
@@ -352,5 +352,5 @@
 
 
 def _group_source(group: int) -> str:
-    """Return the source of the totals that a head receives for a group."""
+    """Return the name of the source of a group's totals at other heads."""
     return f'group-{group}'
--- a/src/peridotmast/router/quota_borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -12,8 +12,8 @@
 from peridotmast.serving import quota as quota_
 
 _ANSWER_TIMEOUT_MS = 100
-"""Longest wait for a head's answer, which takes a few ms. A caller can as well
-be told to retry after this time."""
+"""Maximum wait for the answer of a group head, which takes a few ms. A longer
+wait is of no use: the caller can be told to retry instead."""
 
 
 class QuotaBorrowing:
@@ -21,8 +21,8 @@
 
     A router that has just started knows only its own share of a team's limit.
     In a large fleet this share is smaller than one request, and few routers
-    get a request of that team, so that only the pooled shares of a group are
-    of use.
+    get a request of that team. Requests can therefore only be admitted from
+    the pooled shares of a group, which its head lends.
 
     Parameters
     ----------
@@ -53,7 +53,8 @@
     def acquire(self, team: str, tokens: int) -> int:
         """Take tokens for a request; return the wait in ms, 0 if admitted.
 
-        Asks the head if that can help, and waits for its answer.
+        If the remaining limit is unknown here, asks the group's head for the
+        tokens and waits for the answer.
         """
         wait_ms = self._quota.take(team, tokens)
         if not wait_ms or self._quota.is_level_known(team):
@@ -65,7 +66,7 @@
         return self._quota.take(team, tokens)
 
     def handle_request(self, ask: pb.LimitAsk) -> None:
-        """Answer a member of this router's group, as its head."""
+        """Answer a group member's request for tokens, if this is its head."""
         peer, groups = self._members.get(ask.router), self._current_groups()
         if peer is None or groups is None or not groups.is_head:
             return
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -39,15 +39,15 @@
 """Name of the lease that covers all duties."""
 
 _LEASE_SLACK_MS = 1000
-"""How much longer the lease is than the platform's minimum."""
+"""Difference between the lease's length and the platform's minimum."""
 
 _LEASE_GUARD_MS = 600
-"""Last part of the lease in which no order is started: the time that an order
-may take while the platform answers."""
+"""Last part of the lease, in which no order to the platform is started: the
+time that an order may take while the platform answers."""
 
 _SERVING_UPDATE_DELAY_MS = 20
-"""Delay of crash and limit updates, so that one beacon covers all requests
-that lose their connections when an upstream crashes."""
+"""Delay before crash and limit updates are sent to peers, so that one beacon
+covers all requests that lose their connections when an upstream crashes."""
 
 _HOUSEKEEPING_MS = 250
 _LEASE_TICK_MS = 200
@@ -156,7 +156,7 @@
         self._peering.borrowing.send = self.beacons.send
         self.serving.gateway.take_quota = self._peering.borrowing.acquire
         self.serving.gateway.config_is_stale = (
-            self._catch_up.config_fetcher.is_behind
+            self._catch_up.config_fetcher.is_outdated
         )
         self.serving.placement.on_load_change = self._send_load
         self.serving.placement.has_stale_peer_data = (
@@ -228,7 +228,7 @@
         return self._http_servers.auxiliary[server].address
 
     def start(self) -> None:
-        """Start to collect state and to serve.
+        """Start to collect state and to serve requests.
 
         Raises
         ------
@@ -325,13 +325,13 @@
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
-        every('keep_house', _HOUSEKEEPING_MS, self._run_housekeeping)
+        every('housekeeping', _HOUSEKEEPING_MS, self._run_housekeeping)
         every('lease', _LEASE_TICK_MS, self._duty_holder.keep_lease)
         every('duties', _DUTY_TICK_MS, self._duty_holder.run_duties)
 
     def _announce(self) -> None:
         """Send this router's changed entry to the peers at once."""
-        self.beacons.send_news()
+        self.beacons.send_update()
         self.beacons.send_round()
 
     def _send_lease(self, successors: ty.Sequence[pb.Member]) -> None:
@@ -344,7 +344,7 @@
             self.beacons.send(beacon, peers)
 
     def _schedule_serving_update(self) -> None:
-        """Schedule updates on crashes and limits, unless already scheduled."""
+        """Schedule a beacon on crashes and limits, if none is scheduled."""
         if not self._is_serving_update_due:
             self._is_serving_update_due = True
             green.call_after_ms(
@@ -359,7 +359,7 @@
     def _send_changes(self) -> None:
         """Send changes to the peers that do not watch the store themselves."""
         if not self.fleet_state.watchers.all_watch():
-            self.beacons.send_news()
+            self.beacons.send_update()
 
     def _configure(self, config: pb.Config) -> None:
         if self.config.routes.version:
--- a/src/peridotmast/router/serving.py
+++ b/src/peridotmast/router/serving.py
@@ -30,7 +30,7 @@
 from peridotmast.wire import pool as pool_
 
 _MOVE_TIMEOUT_MS = 1000
-"""Bound on moving the KV memory of a stream to another engine."""
+"""Time-out of moving the KV cache of a stream to another engine."""
 
 
 class Serving:
@@ -41,11 +41,11 @@
     file : pb.RouterFile
         Checked settings.
     clock : clock.Clock
-        Times everything.
+        Clock for all timing.
     fleet_state : fleet_state.FleetState
         Configuration and upstreams.
     registry : prometheus_client.CollectorRegistry
-        Metrics.
+        Registry for the metrics.
     checks : invariants.Invariants
         Invariants that are checked at run time.
     tracer : tracing.Tracing
@@ -77,7 +77,7 @@
         self.quota = quota_.Quota(clock)
         """Limits of the teams."""
         self.demand = demand_.Demand(clock)
-        """Demand for each service."""
+        """Measures the demand for each service."""
         self.retry_budget = retry_budget.RetryBudget(
             clock,
             bounds.budget_ratio,
@@ -140,7 +140,7 @@
         """Handles the requests."""
 
     def tick(self) -> None:
-        """Update rates and close expired connections."""
+        """Update demand, crash and limit state; close expired connections."""
         self.pool.drop_old()
         self.demand.tick()
         self.crashes.tick()
--- a/src/peridotmast/router/settings_watch.py
+++ b/src/peridotmast/router/settings_watch.py
@@ -52,7 +52,7 @@
         self._last_text = text
         settings, findings = self._load(self._path)
         if findings:
-            self._log.error('settings_refused', findings=str(findings)[:500])
+            self._log.error('settings_invalid', findings=str(findings)[:500])
             return
         if settings == self._current:
             return
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -10,8 +10,8 @@
 from peridotmast.serving import upstreams as upstreams_
 
 _FLEET_NAME = '|fleet'
-"""Name under which a member enters the load of all other routers as its head
-reports it; no router can have this name."""
+"""Name under which a group member stores the load of all other routers, as its
+head reports it. No router can have this name."""
 
 Loads = ty.Iterable[pb.UpstreamLoad]
 
@@ -25,7 +25,7 @@
 
 
 class SharedTotals:
-    """Counts of this router, of the routers it hears, and of the whole fleet.
+    """Counts of this router, of its peers, of groups and of the whole fleet.
 
     Parameters
     ----------
@@ -78,8 +78,9 @@
     ) -> ty.Iterator[tuple[str, pb.Totals]]:
         """Yield for each of `members` the totals of all routers except it.
 
-        The sum over all is computed once, and each member's own part is
-        subtracted: separate sums would cost time quadratic in the group size.
+        The sum over all routers is computed once, and each member's own part
+        is subtracted: separate sums would take time quadratic in the group's
+        size.
         """
         loads = _summed([*self._members_loads(), *self._group_loads.values()])
         rates = self._prefill_rates()
@@ -147,7 +148,7 @@
             self._update_prefill_rates(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
-        """Add what others may have spent while nobody reported it."""
+        """Add the estimated spends of routers whose reports are missing."""
         if spends:
             self._spends.add_estimate(spends)
 
@@ -180,7 +181,7 @@
         groups : collection of int
             Groups whose load is kept.
         follows : bool
-            Whether a head reports the load of all other routers.
+            Whether this router takes the load of all others from its head.
         """
         self._spends.retain(known)
         self._offered.retain(known)
--- a/src/peridotmast/router/update_beacons.py
+++ b/src/peridotmast/router/update_beacons.py
@@ -1,4 +1,4 @@
-"""Beacons that a router sends to all others between rounds."""
+"""Beacons that a router sends to all its peers between two rounds."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _MAX_RECORDS = 12
-"""Most upstream records in an update beacon: packed, it then fits into one
-packet of 1,500 bytes."""
+"""Maximum number of upstream records in an update beacon: the packed beacon
+then fits into one packet of 1,500 bytes."""
 
 
 class UpdateBeacons:
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -654,7 +654,7 @@
     Mutation(
         'accept a beacon with negative numbers',
         COORDINATION + 'beacon_check.py',
-        'if any(number < 0 for number in _counts(beacon)):',
+        'if any(number < 0 for number in _non_negative_numbers(beacon)):',
         'if False:',
         'entries',
     ),
@@ -745,7 +745,7 @@
     Mutation(
         "leave a head's estimate out of its members' totals",
         COORDINATION + 'fleet_counts.py',
-        """        _add(self._elsewhere, counts)
+        """        _add(self._outside_group, counts)
         self._apply(counts)""",
         '        self._apply(counts)',
         'groups',
