--- a/features/config.feature
+++ b/features/config.feature
@@ -31,7 +31,7 @@
     And the store is unavailable and a third router starts
     Then every router has the last version in force within 4000 ms
 
-  Scenario: The store compacts its history
+  Scenario: A change reaches every router after the store has compacted its history
     Given a fleet of 2 routers
     When the store compacts its history while the configuration changes
     Then every router has the last version in force within 4000 ms
@@ -57,7 +57,7 @@
     When a document is committed and the reply is lost
     Then the commit is reported as successful
 
-  Scenario: A document with a section that belongs elsewhere is refused as a whole
+  Scenario: A product document with a section for the platform is refused with all findings
     When this document is checked
       """
       [model a]
@@ -73,5 +73,5 @@
       """
     Then the findings contain "unknown model b" and "belongs into the platform" and "must be one of planner"
 
-  Scenario: Routes and documents arrive in any order
+  Scenario: The highest versions are in force whatever order versions arrive in
     Then the highest version is in force after updates in 100 random orders
--- a/features/entries.feature
+++ b/features/entries.feature
@@ -30,12 +30,12 @@
     Given upstreams "a", "b" and "c" with entries in the store
     Then "a" may get no work while its entry is null, [], "a", 7 or {}
 
-  Scenario: An unreadable entry does not hide those after it
+  Scenario: An unreadable entry does not hide the changed entries after it
     Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" becomes unreadable in the change in which "b" starts to leave
     Then "c" may get new requests
 
-  Scenario: Any entry is either read or rejected with findings
+  Scenario: Any upstream entry is either read or rejected with findings
     Then of 600 drawn entries each is rejected as malformed or gives a usable upstream
 
   Scenario: Any configuration is either read or rejected with findings
@@ -70,7 +70,7 @@
     Then "b, c" may get new requests
 
   Scenario Outline: A beacon with an invalid number is rejected
-    Then a beacon with <count> for <what> is <result>
+    Then a beacon whose load has <count> for <what> is <result>
 
     Examples:
       | count | what    | result   |
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -38,19 +38,19 @@
   # writes were refused because the entries, with the same content, already existed.
   Scenario: A router that restarts at its address keeps its store entry
     Given a store with the entries of 5 routers
-    When one of these routers restarts at its address
-    Then it knows all other routers after 1 call to the store
+    When one of the registered routers restarts at its address
+    Then the starting router knows all other routers after 1 call to the store
 
   Scenario: A router that restarts at another address updates its store entry
     Given a store with the entries of 5 routers
-    When one of these routers restarts at another address
-    Then it knows all other routers after 3 calls to the store
-    And a router that starts later finds it at its new address
+    When one of the registered routers restarts at another address
+    Then the starting router knows all other routers after 3 calls to the store
+    And a router that starts later finds the moved one at its new address
 
   Scenario: A router whose first write got no reply has one store entry
     Given a store with the entries of 5 routers
-    When a new router gets no answer to its entry, and retries
-    Then it knows all other routers, and a later one finds it
+    When a new router gets no reply when it writes its entry, and retries
+    Then the new router knows all others, and a later one finds the new one
 
   Scenario: Of two routers that start concurrently at least one knows the other
     Given a store with the entries of 0 routers
--- a/features/groups.feature
+++ b/features/groups.feature
@@ -1,13 +1,13 @@
 Feature: In a large fleet members report to their head, and heads exchange sums
 
-  Scenario: All routers know each other with few messages
+  Scenario: All routers of a large fleet consider each other alive with few beacons
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     Then each router considers all others alive
     And a router that is not a head sends at most 4 beacons a second
 
-  Scenario: The number of messages of a member does not depend on the size of the fleet
-    Then at 20, 80 and 330 routers a member sends and receives as many beacons a second
+  Scenario: The number of beacons of a group member does not depend on the size of the fleet
+    Then at 20, 80 and 330 routers a member sends and receives equally many beacons a second
 
   Scenario: The counts of each router reach every other exactly once
     Given 40 routers that know each other's names
@@ -15,9 +15,9 @@
     And each router admits 100 tokens, counts a request and has work at "u-1"
     And 3000 ms pass in the fleet
     Then at each router 4000 tokens of the team's limit are used
-    And each router would report 40 requests
+    And each router counts a usage of 40 requests
     And each router knows the load of all 40 routers at "u-1"
-    And each router has measured the demand at all routers
+    And each router knows the demand at all routers
 
   Scenario: After a head is killed counts are missing but none is counted twice
     Given 40 routers that know each other's names
@@ -28,7 +28,7 @@
     And 4000 ms pass in the fleet
     Then each router considers all others alive
     And at each router 4000 tokens of the team's limit are used
-    And each router would report at most 40 requests and at least 36
+    And each router counts a usage of at most 40 and at least 36 requests
     When each router admits 100 tokens, counts a request and has work at "u-1"
     And 3000 ms pass in the fleet
     Then at each router 7900 tokens of the team's limit are used
@@ -39,7 +39,7 @@
   # small share, and all routers contended for the watches. A router announces itself
   # to all others only once, and reports of heads follow three rounds later, which
   # takes as long as the silence that is allowed.
-  Scenario: In a large fleet that starts at once no router is considered silent
+  Scenario: In a large fleet whose routers start together none is considered silent
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     Then for 6000 ms of staggered rounds each router considers all others alive
@@ -52,7 +52,7 @@
     And 2750 ms pass in the fleet
     Then no router names that member to callers
 
-  Scenario: A router that ends right after a beacon is soon no longer named either
+  Scenario: A router that ends right after it sent a beacon is soon no longer named to callers
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And a member announces a change and is killed
@@ -75,13 +75,13 @@
     And a watcher announces 1 new upstream
     Then the router that missed it knows 1 of the 3 upstreams and requests the rest
 
-  Scenario: Changes that exceed a datagram are requested
+  Scenario: Changed upstreams that do not fit into a beacon are requested
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And a watcher announces 13 new upstreams
     Then each other router knows 0 of the upstreams and requests them
 
-  Scenario: A router that leaves tells all others at once
+  Scenario: A router is no longer named to callers once it announces that it is leaving
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And a member announces that it is leaving
@@ -90,20 +90,20 @@
   # Guards against a group that falls silent in a planned stop: with routers stopped one
   # after the other, all of a group were considered silent for a second (1,401 log
   # lines in 2 s), because the successor waited until the ended head was silent.
-  Scenario: A leaving head hands its group over before it ends
+  Scenario: A leaving head hands its group over to a successor before it ends
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And a head announces that it is leaving, and ends 2000 ms later
     Then for 6000 ms of staggered rounds each router considers all others alive
 
-  # Guards against the same when that head is restarted (2,514 log lines in 2 s): it was
-  # head again at once, and reported only the routers that it had heard by then, so
-  # all others were considered silent.
+  # Guards against routers that are considered silent after their head is restarted
+  # (2,514 log lines in 2 s): it was head again at once, and reported only the routers
+  # whose beacons it had received by then, so all others were considered silent.
   Scenario: A restarted head does not report any router as silent
     Given 195 routers that know each other's names
     When 5000 ms pass in the fleet
     And a head announces that it is leaving, and ends 2000 ms later
-    And that head is restarted 1000 ms later
+    And the ended head is restarted 1000 ms later
     Then for 4000 ms of staggered rounds each other router considers all others alive
 
   # Guards against a round that overflows the queue of a link: after a start of 195
@@ -124,10 +124,10 @@
     And 8 more routers join
     And 6000 ms pass in the fleet
     Then each router considers all others alive
-    And each router would report at most 16 requests and at least 16
+    And each router counts a usage of at most 16 and at least 16 requests
     And each router knows the load of all 16 routers at "u-1"
 
-  Scenario: Limits hold under random losses, kills and starts
+  Scenario: Team limits hold under random beacon losses, router kills and starts
     Then in 20 random histories of 24 routers a team gets at most its limit and two bursts per router
 
   Scenario: A clock that jumps does not change the fleet's time
@@ -139,8 +139,8 @@
 
   Scenario: Counts that two heads report in turn are counted once
     Given a member that gets counts of 100 and then 200 from one head
-    When it gets counts of 1000 and then 1100 from another head
-    And it gets counts of 1200 and then 1250 from the first head
+    When the member gets counts of 1000 and then 1100 from another head
+    And the member gets counts of 1200 and then 1250 from the first head
     Then the counted increments add up to 250
 
   # Guards against extra bursts by new routers: with a third of 58 routers killed and
@@ -155,7 +155,7 @@
     And 12 more routers join with the same limit
     Then the team gets at most 30000 more tokens from the new routers within 1000 ms
 
-  Scenario: New routers are told the levels of the limits
+  Scenario: New routers receive the levels of the limits from their peers
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
@@ -168,11 +168,11 @@
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
     And 1000 ms pass in the fleet
-    And a router is restarted and admits 4000 tokens before it is told the level
+    And a router is restarted and admits 4000 tokens before it receives the level of the limit
     And 1000 ms pass in the fleet
-    Then its level is at most 1000 below that of another router
+    Then the restarted router's level of the limit is at most 1000 below another router's
 
-  Scenario: Levels of limits that are configured later are told as well
+  Scenario: A router also receives the levels of limits that are configured later
     Given 8 routers that know each other's names
     When 5000 ms pass in the fleet
     And a team uses up its burst of 40000 tokens at a limit of 2000 a second
@@ -180,55 +180,55 @@
     And 6000 ms pass in the fleet
     And the same limit is set at that router
     And 750 ms pass in the fleet
-    Then its level is at most 1000 above that of another router
+    Then the restarted router's level of the limit is at most 1000 above another router's
 
-  Scenario: A fleet that starts at once gives a team a single burst
+  Scenario: A fleet whose routers start together gives a team a single burst
     Given 40 routers that have just started
     When the limit is set to 2000 tokens a second with a burst of 40000
     Then the team gets at most 60000 tokens from all routers within 1000 ms
 
-  Scenario: New routers do not add retries of their own
+  Scenario: New routers do not get a full retry budget each
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And 12 more routers join with the same limit
     Then the new routers may send at most 12 retries before they receive a beacon
 
-  Scenario: A fleet that starts at once keeps to the limit afterwards
+  Scenario: A fleet whose routers start together keeps to the limit afterwards
     Given 40 routers that have just started
     When the limit is set to 2000 tokens a second with a burst of 4000
-    Then of 8000 tokens a second, requested at all routers, at most 22000 are admitted in 8000 ms
+    Then at most 22000 tokens are admitted in 8000 ms, if 8000 a second are requested evenly at all routers
 
   # Guards against refusals within the limit after a start: in the 2.5 s after all of
   # 195 routers had lost power, 875 requests were refused for team limits that were all
   # unused. Until a router is told the levels it keeps to its 195th of a limit, which
   # is less than one request. Tested with teams that request a usual amount, and many
   # times their limit, from a fleet that has just started.
-  Scenario: A large fleet that starts at once admits requests within the limit
+  Scenario: A large fleet whose routers start together admits requests within the limit
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 61000 tokens a second, in requests of 6000, over 2000 ms at most 20 in 100 are refused
+    Then at most 20 in 100 requests are refused in 2000 ms, if 61000 tokens a second are requested, 6000 at a time
 
-  Scenario: Heads together lend no more than the limit
+  Scenario: All heads together lend no more tokens than the limit
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 880000 tokens a second, in requests of 6000, at most 378000 are admitted in 2000 ms
+    Then at most 378000 tokens are admitted in 2000 ms, if 880000 a second are requested, 6000 at a time
 
   Scenario: A team over its limit at a starting fleet still gets its limit
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
-    Then of 388000 tokens a second, in requests of 6000, at most 1089000 are admitted in 8000 ms
+    Then at most 1089000 tokens are admitted in 8000 ms, if 388000 a second are requested, 6000 at a time
 
   Scenario: Members of an unreachable head refuse requests over their own share
     Given 195 routers that have just started
     When each router runs a tick, and then announces itself to all others
     And the limit is set to 110000 tokens a second with a burst of 110000
     And the heads receive no requests for tokens
-    Then of 61000 tokens a second, in requests of 6000, at most 110000 are admitted in 1000 ms
+    Then at most 110000 tokens are admitted in 1000 ms, if 61000 a second are requested, 6000 at a time
 
-  Scenario: A small fleet that starts at once gives a team a single burst
+  Scenario: A small fleet whose routers start together gives a team a single burst
     Given 12 routers that have just started
     When the limit is set to 2000 tokens a second with a burst of 40000
     And each router admits its share before any beacon arrives
@@ -239,14 +239,14 @@
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
     And 12 more routers join with the same limit
-    Then at once at most 40000 tokens are admitted by the new routers, in requests of 100
+    Then the new routers admit at most 40000 tokens at once, in requests of 100
 
   Scenario: New routers keep to their share with long requests
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 2000 tokens a second with a burst of 40000
     And 12 more routers join with the same limit
-    Then at once at most 40000 tokens are admitted by the new routers, in requests of 20000
+    Then the new routers admit at most 40000 tokens at once, in requests of 20000
 
   # Guards against overshoot when spends are known late: a team that requested six times
   # its limit at 58 routers got a fifth more than rate and burst allow in 8 s. All
@@ -257,8 +257,8 @@
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
-    Then of 2028000 tokens a second, in requests of 9000, at most 3346200 are admitted in any 8 s
-    And at least the limit is admitted in total
+    Then at most 3346200 tokens are admitted in any 8 s, if 2028000 a second are requested, 9000 at a time
+    And the team gets at least its limit over the whole time
 
   # Guards against overshoot when heads are killed: a team that requested many times its
   # limit at 58 routers got a fourth more than rate and burst allow in 8 s, with a
@@ -270,47 +270,47 @@
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
-    And 3 heads and 14 others are killed after 3000 ms and restarted 3000 ms later
-    Then of 2028000 tokens a second, in requests of 9000, at most 3346200 are admitted in any 8 s
+    And 3 heads and 14 members are killed after 3000 ms and restarted 3000 ms later
+    Then at most 3346200 tokens are admitted in any 8 s, if 2028000 a second are requested, 9000 at a time
 
-  Scenario: A team that requests half of its limit is not refused meanwhile
+  Scenario: A team that requests half of its limit is not refused while heads are killed
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And the limit is set to 338000 tokens a second with a burst of 338000
-    And 3 heads and 14 others are killed after 3000 ms and restarted 3000 ms later
-    Then of 169000 tokens a second, in requests of 9000, none is refused
+    And 3 heads and 14 members are killed after 3000 ms and restarted 3000 ms later
+    Then no request is refused, if 169000 tokens a second are requested, 9000 at a time
 
-  # A head whose beacons were lost for a moment then reports all that was missed: the
-  # estimate for that time must not be deducted from the limit as well.
+  # A head whose beacons were lost for a moment then reports all spends of that time:
+  # the estimate of these spends must not be deducted from the limit as well.
   Scenario: Estimates made during a silence are reversed after it
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And a team uses up its burst of 40000 tokens at a limit of 2000 a second
     And no beacon arrives for 1000 ms
-    Then each router's level has risen by at most 600 tokens
+    Then each router's level of the limit has risen by at most 600 tokens
     When 1000 ms pass in the fleet
-    Then each router's level has risen by 3990 to 4010 tokens
+    Then each router's level of the limit has risen by 3990 to 4010 tokens
 
-  Scenario: A gap in the reports to a head is estimated for its members as well
+  Scenario: Spends in a gap of the reports to a head are estimated for its members as well
     Given 58 routers that know each other's names
     When 5000 ms pass in the fleet
     And a team uses up its burst of 40000 tokens at a limit of 2000 a second
     And no head receives beacons from other heads for 2000 ms
-    Then each router's level has risen by at most 2000 tokens
+    Then each router's level of the limit has risen by at most 2000 tokens
 
-  Scenario: The first report of another head leaves a gap to estimate
-    Given half of a fleet is reported by one head, with a limit of 2000 tokens a second
-    And a level of 0 with a burst of 4000 tokens
-    When 500 ms later another head reports
-    Then 500 tokens are estimated
-    When 500 ms later the same head reports
-    Then 0 tokens are estimated
+  Scenario: Spends before the first report of another head are estimated
+    Given one head reports on half of a fleet, with a limit of 2000 tokens a second
+    And a level of the limit of 0 with a burst of 4000 tokens
+    When another head reports 500 ms later
+    Then 500 tokens are estimated as spent
+    When the same head reports 500 ms later
+    Then 0 tokens are estimated as spent
 
   Scenario: No spends are estimated for a time in which the limit was unused
-    Given half of a fleet is reported by one head, with a limit of 2000 tokens a second
-    And a full level with a burst of 4000 tokens
-    When 500 ms later another head reports
-    Then 0 tokens are estimated
+    Given one head reports on half of a fleet, with a limit of 2000 tokens a second
+    And a full level of the limit with a burst of 4000 tokens
+    When another head reports 500 ms later
+    Then 0 tokens are estimated as spent
 
   Scenario: A request that has crashed three upstreams is refused in all groups
     Given 40 routers that know each other's names
@@ -322,7 +322,7 @@
     And 2500 ms pass in the fleet
     Then each of the 60 routers refuses the request
 
-  Scenario: A limit that one router reads is split between the routers of all groups
+  Scenario: An upstream limit that one router reads is split between the routers of all groups
     Given 40 routers that know each other's names
     When 5000 ms pass in the fleet
     And a member reads a limit of 1 request a second from an upstream
--- a/features/incarnation.feature
+++ b/features/incarnation.feature
@@ -1,10 +1,10 @@
 Feature: An upstream that restarts under its id is a new incarnation
 
-  Scenario: A later run keeps no state of the earlier one
+  Scenario: A later run keeps no state of the earlier run
     Given an upstream "a" whose run started at 1000
-    And "a" has work of two routers, is failing and is home of some prompts
+    And "a" has work of two routers, is failing and is the preferred upstream of some prompts
     When the entry of "a" changes to a run started at 2000
-    Then "a" has no work, is not failing and is home of other prompts
+    Then "a" has no work, is not failing and is the preferred upstream of other prompts
     And the view of the earlier run has ended
 
   Scenario: Late records of the earlier run do not affect the later one
@@ -17,14 +17,14 @@
     When another router reports its work at the run started at 2000
     Then "a" has the reported work
 
-  Scenario: A peer that is behind does not restore the earlier run
+  Scenario: A peer with outdated records does not restore the earlier run
     Given an upstream "a" whose run started at 1000
-    And a peer that knows that run
+    And a peer that knows the earlier run
     When the entry of "a" changes to a run started at 2000
     And the peer reports the upstreams that it knows
     Then "a" may get new work and is the run started at 2000
 
-  Scenario: A report of another run is not used for this one
+  Scenario: A report of another run of an engine is not used
     Given an engine whose report is of the run started at 2000
     Then requested for the run started at 1000 the report has no time of leaving
     And requested for the run started at 2000 the report has a time of leaving
@@ -36,16 +36,16 @@
 
   Scenario: A stream also continues if its connection stays silent
     Given a fleet of 1 routers whose routes have a target gap of 20000 ms
-    When a caller streams 200 tokens from "/chat/x" and its upstream restarts behind a silent connection
+    When a caller streams 200 tokens from "/chat/x" and its upstream restarts while the connection stays silent
     Then its events are complete and in order
 
   Scenario: A non-idempotent request is never reported as not run
     Given a fleet of 1 routers
     And every upstream of "booking" takes 60000 ms for a request
-    When a caller requests "/holds/seat" and its upstream restarts behind a silent connection
+    When a caller requests "/holds/seat" and its upstream restarts while the connection stays silent
     Then the answer does not claim that the request did not run, and it ran once
 
-  Scenario: The next request reaches the later run
+  Scenario: Requests after a restart reach the later run
     Given a fleet of 1 routers
     When every upstream of "booking" restarts
     Then 5 requests to "/holds/seat" are answered by the later runs
--- a/features/lease.feature
+++ b/features/lease.feature
@@ -1,4 +1,4 @@
-Feature: A lease has one holder, and orders of a former holder have no effect
+Feature: A lease has one holder, and a former holder's orders to the platform have no effect
 
   Background:
     Given two contenders for a lease of 4000 ms with a guard of 600 ms
@@ -29,13 +29,13 @@
     When the first contender requests the lease
     Then the first contender does not hold the lease
 
-  Scenario: No order is started in the last part of a lease
+  Scenario: No order to the platform is started in the last part of a lease
     When the first contender requests the lease
-    Then the first contender may start orders
+    Then the first contender may start orders to the platform
     When the clock advances by 3400 ms
-    Then the first contender holds the lease but may not start orders
+    Then the first contender holds the lease but may not start orders to the platform
 
-  Scenario: A contender that reads a renewal late waits for another whole lease
+  Scenario: A contender waits for a whole lease length after it first reads a renewal
     When the first contender requests the lease
     And the second contender requests the lease
     And the clock advances by 3000 ms
@@ -45,14 +45,14 @@
     Then the second contender does not hold the lease
     And the first contender still holds the lease
 
-  Scenario: Hints from beacons shorten that wait
+  Scenario: A hint in a beacon shortens a contender's wait for the lease
     When the first contender requests the lease
     And the second contender receives the first's hint
     And the clock advances by 4000 ms
     And the second contender requests the lease
     Then the second contender holds the lease with fencing number 2
 
-  Scenario: A renewal whose reply is lost
+  Scenario: A holder whose renewal gets no reply keeps the lease and its number
     When the first contender requests the lease
     And the clock advances by 2000 ms
     And the next write's reply is lost
@@ -60,7 +60,7 @@
     And the first contender requests the lease
     Then the first contender holds the lease with fencing number 1
 
-  Scenario: A write that takes effect long after its call timed out
+  Scenario: A write that is delayed past its time-out does not replace a later holder
     When the store delays the next write
     And the first contender requests the lease
     And the second contender requests the lease
@@ -68,7 +68,7 @@
     Then the second contender holds the lease with fencing number 1
     And the first contender does not hold the lease
 
-  Scenario: A renewal that never takes effect
+  Scenario: A holder whose renewal never takes effect loses the lease
     When the first contender requests the lease
     And the clock advances by 2000 ms
     And the store does not answer any contender
@@ -110,7 +110,7 @@
     And the first contender requests the lease
     Then the first contender holds the lease with fencing number 4
 
-  Scenario: A router that held the lease long ago need not wait
+  Scenario: A router that released the lease longer ago than its length need not wait
     When the first contender requests the lease
     And the first contender releases the lease
     And the second contender requests the lease
@@ -129,27 +129,27 @@
     When the second contender requests the lease
     Then the second contender holds the lease with fencing number 8
 
-  Scenario: One run acts at a time, and no lease returns to a router too soon
+  Scenario: One run may start orders at a time, and no lease returns to a router too soon
     Then the guarantees of the lease hold in 400 drawn histories of 40 steps
 
   Scenario: Relayed hints do not extend a lease
     When the first contender requests the lease
     And the second contender receives the first's hint
     And 40 other contenders relay their hints to each other for 3900 ms
-    Then all of them consider the lease held
+    Then all relaying contenders consider the lease held
     When 40 other contenders relay their hints to each other for 300 ms
-    Then none of them considers the lease held
+    Then none of the relaying contenders considers the lease held
     When the second contender requests the lease
     Then the second contender holds the lease with fencing number 2
 
-  Scenario: A late hint on an earlier renewal is ignored
+  Scenario: A hint on an earlier renewal is ignored after a hint on a later one
     When the first contender requests the lease
     And the second contender receives the first's hint
     And the clock advances by 2000 ms
     And the first contender requests the lease
     And the second contender receives the first's hint
     And the second contender receives its first hint again
-    Then the second contender considers the lease held for 4000 ms
+    Then the second contender considers the lease held for another 4000 ms
 
   Scenario: The next run of a router is a separate holder
     When the first contender requests the lease
@@ -184,7 +184,7 @@
     And the first contender requests the lease
     Then the first contender does not hold the lease
 
-  Scenario: Time in which the VM is suspended does not shorten that wait
+  Scenario: Time in which the VM is suspended does not count in the wait for a takeover
     Given the first contender has the endpoint "boot-1:net-1:10.1.0.4:7600"
     When the first contender requests the lease
     And the first contender is killed and restarted at "boot-1:net-1:10.1.0.4:7600"
@@ -192,7 +192,7 @@
     And the first contender requests the lease
     Then the first contender does not hold the lease
 
-  Scenario Outline: A run that may not be the only one of its name waits
+  Scenario Outline: A run waits if the router's earlier run may still be alive
     Given the first contender has the endpoint "<before>"
     When the first contender requests the lease
     And the first contender is killed and restarted at "<after>"
@@ -208,7 +208,7 @@
       | boot-1:net-1:10.1.0.4:7600 | boot-2:net-1:10.1.0.4:7600 |
       |                            |                            |
 
-  Scenario: Another router at the holder's endpoint waits
+  Scenario: Another router at the holder's endpoint waits for the lease to expire
     Given the first contender has the endpoint "boot-1:net-1:10.1.0.4:7600"
     And the second contender has the endpoint "boot-1:net-1:10.1.0.4:7600"
     When the first contender requests the lease
@@ -216,7 +216,7 @@
     And the second contender requests the lease
     Then the second contender does not hold the lease
 
-  Scenario: The last write of the dead run takes effect late
+  Scenario: A delayed write of the dead run does not undo a takeover
     Given the first contender has the endpoint "boot-1:net-1:10.1.0.4:7600"
     When the first contender requests the lease
     And the store delays the next write
@@ -258,7 +258,7 @@
   Scenario: Runs that are killed, paused or duplicated at random
     Then in 300 random histories of three endpoints no run starts orders too soon after another
 
-  Scenario: A paused process keeps its address, a dead one does not
+  Scenario: A paused process keeps its beacon address, a dead process does not
     Given a process that has bound a beacon address
     When the process with the address is paused
     Then no other process can bind the address
--- a/features/router_stop.feature
+++ b/features/router_stop.feature
@@ -27,7 +27,7 @@
   # A caller had connected just before the drain, and its first request was still in
   # transit. The connection counted as idle and was closed without an answer. Here the
   # request is sent after the drain has started.
-  Scenario: A new connection that has not received a request yet is not idle
+  Scenario: A new connection without a request is not closed as idle
     Given a fleet of 2 routers
     When a router starts to drain just after a caller has connected
     Then the caller's first request is answered and its connection is closed
@@ -37,7 +37,7 @@
   # connection, which counted as idle until its bytes were read; they were read and
   # served after the connection had been shut down. Here the bytes have arrived before
   # idle connections are closed.
-  Scenario: A request that has arrived but was not read yet is answered
+  Scenario: A request that was not read yet when idle connections are closed is answered
     Given a fleet of 2 routers
     When a request arrives on a kept-alive connection just before idle ones are closed
     Then the request is answered and its connection is closed
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration: changes, outages, concurrent commits, ordering."""
+"""Steps on configuration: changes, outages, concurrent commits and order."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @when('the operators change the configuration {count:d} times')
-def change_times(context, count):
+def change_config(context, count):
     record_versions(context)
     for _ in range(count):
         context.version = context.fleet.write_config(
@@ -46,7 +46,7 @@
 
 
 @then('every router has the last version in force within {ms:d} ms')
-def in_force(context, ms):
+def check_in_force(context, ms):
     helpers.wait_until(
         lambda: all(
             router.config.routes.version == context.version
@@ -60,7 +60,7 @@
 
 
 @when('an older version is offered to a router')
-def older_offered(context):
+def offer_older_version(context):
     router = context.fleet.routers[0]
     helpers.wait_until(
         lambda: router.config.routes.version == context.version,
@@ -75,7 +75,7 @@
 
 
 @when('all further store calls of one router fail')
-def store_calls_fail(context):
+def fail_store_calls(context):
     router = context.fleet.routers[0]
     router.store.address = '127.0.0.1:1'
     # A watch that is already waiting ends with the next change.
@@ -86,7 +86,7 @@
 @when(
     'all further store calls of the routers that watch the configuration fail'
 )
-def watchers_store_calls_fail(context):
+def fail_store_calls_of_watchers(context):
     routers = context.fleet.routers
     refused = [
         router
@@ -102,7 +102,7 @@
 
 
 @when('the store compacts its history while the configuration changes')
-def compacts_history(context):
+def compact_history(context):
     record_versions(context)
     store = context.fleet.store
     store.app.set_faults(200, outage=1.0)
@@ -126,14 +126,14 @@
 
 
 @then('the previous version stays in force')
-def previous_version_stays(context):
+def check_previous_version_stays(context):
     router = context.fleet.routers[0]
     assert router.config.routes.version == context.before
     assert helpers.send_request(router.address).status == 200
 
 
 @when('two operators commit documents based on the same version')
-def two_commit(context):
+def commit_at_two_routers(context):
     routers = context.fleet.routers
     helpers.wait_until(
         lambda: (
@@ -160,7 +160,7 @@
 
 
 @when('an operator commits a document based on an outdated version')
-def commits_outdated(context):
+def commit_on_outdated_version(context):
     feed = context.fleet.routers[0].config
     helpers.wait_until(lambda: feed.product.version, 'a document')
     base = feed.product.version
@@ -170,7 +170,7 @@
 
 
 @then('the commit fails with a conflict and the newer document stays')
-def newer_document_stays(context):
+def check_newer_document_stays(context):
     assert isinstance(context.stale, failures.Failure), context.stale
     assert context.stale.kind is failures.FailureKind.CONFLICT
     feed = context.fleet.routers[0].config
@@ -179,7 +179,7 @@
 
 
 @then('exactly one of the commits fails with a conflict')
-def one_conflict(context):
+def check_one_conflict(context):
     results = [result for _, result in context.results]
     failed = [r for r in results if isinstance(r, failures.Failure)]
     assert len(failed) == 1, results
@@ -187,7 +187,7 @@
 
 
 @then('both routers have the committed document within {ms:d} ms')
-def committed_document(context, ms):
+def check_committed_document(context, ms):
     committed = next(t for t, r in context.results if isinstance(r, int))
     helpers.wait_until(
         lambda: all(
@@ -200,7 +200,7 @@
 
 
 @when('a document is committed and the reply is lost')
-def reply_lost(context):
+def commit_with_lost_reply(context):
     router = context.fleet.routers[0]
     base = router.config.product.version
     store = context.fleet.store
@@ -221,7 +221,7 @@
 
 
 @then('the commit is reported as successful')
-def commit_successful(context):
+def check_commit_successful(context):
     assert isinstance(context.result, int), context.result
     router = context.fleet.routers[0]
     assert '# lost' in router.config.product.document['document']
@@ -246,7 +246,7 @@
 @then(
     'the highest version is in force after updates in {count:d} random orders'
 )
-def any_order(context, count):
+def check_random_orders(context, count):
     draws = random.Random(3)
     documents = [
         config_codec.write_config(
@@ -276,5 +276,5 @@
 
 
 @given('an in-memory store')
-def memory_store(context):
+def create_memory_store(context):
     context.store = MemoryStore()
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -59,8 +59,8 @@
     settings(hypothesis.given(*given_)(test))()
 
 
-def places(value, path=()):
-    """Yield the path of each value in a document, the document included."""
+def value_paths(value, path=()):
+    """Yield the path of each value in a document, and that of the document."""
     yield path
     items = ()
     if isinstance(value, dict):
@@ -68,11 +68,11 @@
     elif isinstance(value, list):
         items = enumerate(value)
     for key, inner in items:
-        yield from places(inner, (*path, key))
+        yield from value_paths(inner, (*path, key))
 
 
-def altered(document, path, value):
-    """Return a copy of the document with another value at `path`."""
+def with_value_at(document, path, value):
+    """Return a copy of `document` with `value` at `path`."""
     if not path:
         return value
     document = copy.deepcopy(document)
@@ -84,13 +84,13 @@
 
 
 @when('the entry of "{name}" has {value} for "{field}"')
-def entry_has(context, name, value, field):
+def set_entry_field(context, name, value, field):
     spec = {**store_outage_steps.entry_spec(name), field: json.loads(value)}
     store_outage_steps.apply_change(context, name, spec)
 
 
 @then('"{name}" may get no work while its entry is null, [], "a", 7 or {{}}')
-def values_of_another_type(context, name):
+def check_values_of_other_types(context, name):
     for spec in (None, [], 'a', 7, {}):
         item = {names.META: {'name': name, names.REVISION: 50}}
         item[names.SPEC] = spec
@@ -109,7 +109,7 @@
     'the entry of "{a}" becomes unreadable in the change in which "{b}"'
     ' starts to leave'
 )
-def unreadable_and_leaving(context, a, b):
+def apply_unreadable_and_leaving(context, a, b):
     context.feed.on_changes(
         objects.Changes(
             [
@@ -134,13 +134,13 @@
         names.BORN: 5,
         names.RECLAIMABLE: True,
     }
-    paths = strategies.sampled_from(sorted(places(whole)))
+    paths = strategies.sampled_from(sorted(value_paths(whole)))
 
     def one(path, value):
         table = upstreams_.UpstreamTable(clock_.ManualClock())
         try:
             record = upstream_codec.read_upstream(
-                'a', 1, altered(whole, path, value)
+                'a', 1, with_value_at(whole, path, value)
             )
         except fields_.Malformed as exc:
             assert all(found.place and found.text for found in exc.found)
@@ -196,11 +196,11 @@
 def check_drawn_configs(context, count):
     whole = make_config()
     paths = strategies.sampled_from(
-        sorted(places(whole), key=lambda path: [str(key) for key in path])
+        sorted(value_paths(whole), key=lambda path: [str(key) for key in path])
     )
 
     def one(path, value):
-        document = altered(whole, path, value)
+        document = with_value_at(whole, path, value)
         assert config_codec.read_version(document) >= 0
         try:
             config_codec.read_config(document)
@@ -212,7 +212,7 @@
 
 
 @given('a configuration in force')
-def config_in_force(context):
+def put_config_in_force(context):
     context.config_feed = config_steps.new_feed()
     assert context.config_feed.offer_routes(make_config(), 'store')
 
@@ -230,7 +230,7 @@
 @then(
     'the previous configuration stays in force and the findings name the field'
 )
-def stays_in_force(context):
+def check_stays_in_force(context):
     assert context.config_feed.routes.version == 7
     try:
         config_codec.read_config(context.document)
@@ -247,7 +247,7 @@
 
 
 @then('the new configuration is in force')
-def is_in_force(context):
+def check_new_config_in_force(context):
     assert context.config_feed.routes.version == 11
 
 
@@ -261,7 +261,7 @@
         return calls.Reply(200, [], self.body)
 
 
-def answering(body):
+def make_answering_store(body):
     store = store_.PlatformStore(
         '127.0.0.1:1', 100, outage_.OutageTracker(clock_.ManualClock(), 1000)
     )
@@ -277,7 +277,7 @@
 
 
 @given('a listing of "a", "b" and "c" in which the value of "b" is not JSON')
-def broken_listing(context):
+def create_broken_listing(context):
     context.raw_objects = [
         raw_object('a', 1, '{"x":[1,"]}"]}'),
         raw_object('b', 2, '{"x":nothing at all}'),
@@ -294,7 +294,7 @@
 def check_listing(context):
     text = ','.join(context.raw_objects)
     body = f'{{"{names.ITEMS}":[{text}],"{names.MORE}":false,"{names.AT}":9}}'
-    listing = answering(body.encode()).list('k')
+    listing = make_answering_store(body.encode()).list('k')
     assert listing == objects.Listing(context.expected, 9), listing
 
 
@@ -305,7 +305,7 @@
         for item in context.raw_objects
     )
     body = f'{{"{names.EVENTS}":[{text}],"{names.AT}":9}}'
-    changes = answering(body.encode()).watch('k', 1, 0)
+    changes = make_answering_store(body.encode()).watch('k', 1, 0)
     assert changes == objects.Changes(context.expected, 9), changes
 
 
@@ -317,10 +317,10 @@
     def one(at, bytes_):
         body = listing[:at] + bytes_ + listing[at + len(bytes_) :]
         for found in (
-            answering(body).list('k'),
-            answering(body).watch('k', 1, 0),
-            answering(body).read('k', 'a'),
-            answering(body).write('k', 'a', {}, 1),
+            make_answering_store(body).list('k'),
+            make_answering_store(body).watch('k', 1, 0),
+            make_answering_store(body).read('k', 'a'),
+            make_answering_store(body).write('k', 'a', {}, 1),
         ):
             assert isinstance(
                 found,
@@ -414,7 +414,7 @@
 
 
 @given('a router whose peer answers with an undecodable configuration')
-def peer_with_undecodable_config(context):
+def start_router_with_bad_peer(context):
     fleet = helpers.start_fleet(context, routers=1)
     context.router = fleet.routers[0]
     context.router._catch_up.config_fetcher._peers = _UndecodablePeer()
@@ -454,7 +454,7 @@
 
 
 @when('a peer reports "{name}" with the address "{address}"')
-def peer_reports(context, name, address):
+def report_address(context, name, address):
     record = pb.UpstreamRecord()
     record.CopyFrom(context.upstreams.get(name).record)
     record.upstream.address = address
@@ -462,7 +462,7 @@
     context.upstreams.merge_all([record])
 
 
-@then('a beacon with {count:d} for {what} is {result}')
+@then('a beacon whose load has {count:d} for {what} is {result}')
 def check_beacon(context, count, what, result):
     beacon = pb.Beacon(member=pb.Member(name='r'))
     beacon.own.loads.add(upstream='u', **{what: count})
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -1,4 +1,4 @@
-"""Steps for large fleets: heads, members and the counts they exchange."""
+"""Steps for large fleets: group heads, members, and counts they exchange."""
 
 from __future__ import annotations
 
@@ -161,7 +161,7 @@
         self.is_cut = lambda beacon: False
         self.add(count)
         if not starts:
-            # The routers have run for long, and know the level of the limit.
+            # Routers that have run for long know the level of the limit.
             for node in self.nodes.values():
                 node.serving.quota.adopt_levels({'noor': BURST})
 
@@ -175,7 +175,7 @@
                 node.members.learn(copy_of(other.members.me))
 
     def link(self, node):
-        """Deliver a router's requests and answers on tokens at once."""
+        """Deliver a router's token requests and answers without delay."""
         node.peering.borrowing.send = functools.partial(self.deliver, node)
 
     def run(self, ms):
@@ -201,9 +201,9 @@
             receiver.peering.receive(pb.Beacon.FromString(data))
 
     def run_staggered(self, ms):
-        """Pass time with the rounds of each router at different times.
+        """Advance the clock while each router sends rounds at its own times.
 
-        Each round is some ms late, as routers that start are busy.
+        Each round is delayed by some ms, because starting routers are busy.
         """
         for node in self.nodes.values():
             node.next_at = self.draws.randrange(0, ROUND_MS, STEP_MS)
@@ -238,17 +238,17 @@
 
 
 @given("{count:d} routers that know each other's names")
-def fleet_of(context, count):
+def create_fleet(context, count):
     context.simulated = Fleet(count)
 
 
 @given('{count:d} routers that have just started')
-def fleet_started(context, count):
+def create_starting_fleet(context, count):
     context.simulated = Fleet(count, starts=True)
 
 
 @when('{ms:d} ms pass in the fleet')
-def run_fleet(context, ms):
+def advance_fleet(context, ms):
     context.simulated.run(ms)
 
 
@@ -256,7 +256,7 @@
     '{count:d} routers in {domains:d} failure domains, all known to {some:d}'
     ' of them'
 )
-def routers_in_domains(context, count, domains, some):
+def create_routers_in_domains(context, count, domains, some):
     clock = clock_.ManualClock()
     everyone = [
         pb.Member(
@@ -280,7 +280,7 @@
     'callers of each failure domain ask each of these for routers {times:d}'
     ' times'
 )
-def ask_for_routers(context, times):
+def select_routers(context, times):
     context.answers = [
         (domain, directory.select(domain))
         for domain in sorted(context.domains)
@@ -293,7 +293,7 @@
     "each answer names {count:d} routers, all of the caller's failure domain"
     ' first'
 )
-def names_near_first(context, count):
+def check_own_domain_first(context, count):
     for domain, found in context.answers:
         assert len({member.name for member in found}) == count, len(found)
         near = context.domains[domain]
@@ -301,14 +301,14 @@
 
 
 @then("each answer names {count:d} routers of the caller's failure domain")
-def names_near_only(context, count):
+def check_own_domain_only(context, count):
     for domain, found in context.answers:
         assert len({member.name for member in found}) == count, len(found)
         assert all(m.failure_domain == domain for m in found), found
 
 
 @then('no router is named more than {times:g} times as often as the mean')
-def named_evenly(context, times):
+def check_named_evenly(context, times):
     named = collections.Counter(
         member.name for _, found in context.answers for member in found
     )
@@ -318,12 +318,12 @@
 
 
 @then('each router considers all others alive')
-def all_alive(context):
+def check_all_alive(context):
     check_alive(context, ())
 
 
 def check_alive(context, left_out):
-    """Check that each router not left out considers all others alive."""
+    """Check that each router not in `left_out` considers all others alive."""
     nodes = context.simulated.nodes
     for node in (n for n in nodes.values() if n.name not in left_out):
         live = {peer.member.name for peer in node.members.live_peers()}
@@ -343,8 +343,8 @@
 
 
 @then(
-    'at {a:d}, {b:d} and {c:d} routers a member sends and receives as many'
-    ' beacons a second'
+    'at {a:d}, {b:d} and {c:d} routers a member sends and receives equally'
+    ' many beacons a second'
 )
 def check_equal_rates(context, a, b, c):
     found = set()
@@ -383,7 +383,7 @@
         assert abs(node.spent() - tokens) < 1, (node.name, node.spent())
 
 
-@then('each router would report {count:d} requests')
+@then('each router counts a usage of {count:d} requests')
 def check_usage(context, count):
     for node in context.simulated.nodes.values():
         total = node.serving.usage.total(node.window)
@@ -391,7 +391,8 @@
 
 
 @then(
-    'each router would report at most {most:d} requests and at least {least:d}'
+    'each router counts a usage of at most {most:d} and at least {least:d}'
+    ' requests'
 )
 def check_usage_range(context, most, least):
     for node in context.simulated.nodes.values():
@@ -409,7 +410,7 @@
         )
 
 
-@then('each router has measured the demand at all routers')
+@then('each router knows the demand at all routers')
 def check_demand(context):
     for node in context.simulated.nodes.values():
         total = node.serving.demand._total['pool']
@@ -431,9 +432,9 @@
 @then(
     'for {ms:d} ms of staggered rounds each router considers all others alive'
 )
-def all_alive_for(context, ms):
+def check_all_alive_for(context, ms):
     for _ in context.simulated.run_staggered(ms):
-        all_alive(context)
+        check_all_alive(context)
 
 
 @then('no group has two heads')
@@ -448,7 +449,7 @@
     'for {ms:d} ms of staggered rounds each other router considers all'
     ' others alive'
 )
-def others_alive_for(context, ms):
+def check_others_alive_for(context, ms):
     for _ in context.simulated.run_staggered(ms):
         check_alive(context, {context.ended})
 
@@ -511,36 +512,36 @@
     'each other router knows the {count:d} upstreams, and none has requested'
     ' them'
 )
-def others_know_upstreams(context, count):
+def check_others_know_upstreams(context, count):
     for node in context.simulated.nodes.values():
         assert new_upstream_count(node) == count, (
             node.name,
             new_upstream_count(node),
         )
-        assert 'fetch_upstreams' not in node.spawned, node.name
+        assert 'ask_upstreams' not in node.spawned, node.name
 
 
 @then(
     'the router that missed it knows {count:d} of the {all_:d} upstreams and'
     ' requests the rest'
 )
-def requests_missed_upstreams(context, count, all_):
+def check_missed_upstreams_requested(context, count, all_):
     node = context.missing
     assert new_upstream_count(node) == count, new_upstream_count(node)
     assert node.table.revision == 1, node.table.revision
-    assert 'fetch_upstreams' in node.spawned
+    assert 'ask_upstreams' in node.spawned
     assert new_upstream_count(context.watcher) == all_
 
 
 @then('each other router knows {count:d} of the upstreams and requests them')
-def others_request_upstreams(context, count):
+def check_others_request_upstreams(context, count):
     for node in context.simulated.nodes.values():
         if node is not context.watcher:
             assert new_upstream_count(node) == count, (
                 node.name,
                 new_upstream_count(node),
             )
-            assert 'fetch_upstreams' in node.spawned, node.name
+            assert 'ask_upstreams' in node.spawned, node.name
 
 
 @when('a head is killed')
@@ -566,7 +567,7 @@
 
 
 @then('no router names that member to callers')
-def not_named(context):
+def check_not_named(context):
     for node in context.simulated.nodes.values():
         names = [member.name for member in node.members.serving()]
         assert context.ended not in names, node.name
@@ -583,7 +584,7 @@
     del fleet.nodes[node.name]
 
 
-@when('that head is restarted {ms:d} ms later')
+@when('the ended head is restarted {ms:d} ms later')
 def restart_head(context, ms):
     fleet = context.simulated
     fleet.run(ms)
@@ -594,7 +595,7 @@
 
 
 @given('a head whose round is {count:d} beacons of {size:d} bytes')
-def head_round_of(context, count, size):
+def create_head_with_round(context, count, size):
     members = members_.Members(pb.Member(name='me'), clock_.ManualClock(), 1)
     members.learn(pb.Member(name='peer', beacon_address='127.0.0.1:9'))
     draws = random.Random(0)
@@ -611,7 +612,7 @@
 
 
 @when('the head sends the round')
-def send_round_of_head(context):
+def send_head_round(context):
     bursts = context.bursts = []
     with mock.patch.object(
         green,
@@ -661,24 +662,24 @@
                 fleet.add(1)
                 newest = list(fleet.nodes.values())[-1]
                 newest.set_limit(rate, burst)
-        # The bucket of a new router is full, and all routers spend it at once.
+        # A new router's bucket is full, and its burst is spent at once.
         allowed = rate * seconds + burst * (2 * size)
         assert passed <= allowed, (seed, passed, allowed)
 
 
 @when('the time of day of a member jumps by {ms:d} ms')
-def jump_time(context, ms):
+def shift_time_of_day(context, ms):
     context.simulated.member().clock.off = ms
 
 
 @then("all routers agree on the fleet's time")
-def agree_on_time(context):
+def check_same_fleet_time(context):
     times = {node.time.now() for node in context.simulated.nodes.values()}
     assert max(times) - min(times) <= 10, times
 
 
 @given('a member that gets counts of {a:d} and then {b:d} from one head')
-def counts_from_one_head(context, a, b):
+def receive_counts_from_one_head(context, a, b):
     context.increments = collections.Counter()
     context.fleet_counts = fleet_counts.FleetCounts(
         dict, context.increments.update
@@ -691,13 +692,13 @@
         context.fleet_counts.receive_fleet(head, 1, {'noor': count}, True)
 
 
-@when('it gets counts of {a:d} and then {b:d} from another head')
-def counts_from_another_head(context, a, b):
+@when('the member gets counts of {a:d} and then {b:d} from another head')
+def receive_counts_from_another_head(context, a, b):
     receive_counts(context, 'second', a, b)
 
 
-@when('it gets counts of {a:d} and then {b:d} from the first head')
-def counts_from_first_head(context, a, b):
+@when('the member gets counts of {a:d} and then {b:d} from the first head')
+def receive_counts_from_first_head(context, a, b):
     receive_counts(context, 'first', a, b)
 
 
@@ -724,7 +725,7 @@
 
 
 def admit_all(nodes, tokens=100):
-    """Request `tokens` until refused at each router; return the sum."""
+    """Request `tokens` at each router until refused; return the sum."""
     passed = 0
     for node in nodes:
         while not node.serving.quota.take('noor', tokens):
@@ -762,7 +763,7 @@
     'the team gets at most {most:d} more tokens from the new routers within'
     ' {ms:d} ms'
 )
-def check_new_routers(context, most, ms):
+def check_admitted_by_new_routers(context, most, ms):
     passed = admitted_within(context.simulated, context.joined, ms)
     assert passed <= most, passed
 
@@ -770,7 +771,7 @@
 @then(
     'the team gets at most {most:d} tokens from all routers within {ms:d} ms'
 )
-def check_all_routers(context, most, ms):
+def check_admitted_by_all_routers(context, most, ms):
     passed = admitted_within(
         context.simulated, context.simulated.nodes.values(), ms
     )
@@ -778,7 +779,7 @@
 
 
 def admitted_within(fleet, nodes, ms):
-    """Admit all tokens that the limit allows for `ms`; return the sum."""
+    """Request tokens until refused for `ms`; return admitted tokens."""
     passed = 0
     for _ in range(ms // ROUND_MS):
         fleet.run(ROUND_MS)
@@ -787,15 +788,15 @@
 
 
 @then('{count:d} requests of {tokens:d} tokens are admitted by a new router')
-def admit_at_new_router(context, count, tokens):
+def check_admitted_at_new_router(context, count, tokens):
     quota = context.joined[0].serving.quota
     for _ in range(count):
         assert not quota.take('noor', tokens), quota.describe('noor')
 
 
 @when(
-    'a router is restarted and admits {tokens:d} tokens before it is told'
-    ' the level'
+    'a router is restarted and admits {tokens:d} tokens before it receives'
+    ' the level of the limit'
 )
 def restart_and_spend(context, tokens):
     restart_router(context)
@@ -818,18 +819,24 @@
 
 
 @when('the same limit is set at that router')
-def set_limit_there(context):
+def set_limit_at_restarted(context):
     context.restarted.set_limit(*context.limit)
 
 
-@then('its level is at most {less:d} below that of another router')
-def level_not_below(context, less):
+@then(
+    "the restarted router's level of the limit is at most {less:d} below"
+    " another router's"
+)
+def check_level_not_below(context, less):
     own, other = both_levels(context)
     assert own >= other - less, (own, other)
 
 
-@then('its level is at most {more:d} above that of another router')
-def level_not_above(context, more):
+@then(
+    "the restarted router's level of the limit is at most {more:d} above"
+    " another router's"
+)
+def check_level_not_above(context, more):
     own, other = both_levels(context)
     assert own <= other + more, (own, other)
 
@@ -844,10 +851,10 @@
 
 
 @then(
-    'of {rate:d} tokens a second, requested at all routers, at most {most:d}'
-    ' are admitted in {ms:d} ms'
+    'at most {most:d} tokens are admitted in {ms:d} ms, if {rate:d} a second'
+    ' are requested evenly at all routers'
 )
-def request_evenly(context, rate, most, ms):
+def check_admitted_if_requested_evenly(context, rate, most, ms):
     fleet = context.simulated
     each = rate * ROUND_MS // 1000 // len(fleet.nodes)
     passed = 0
@@ -859,12 +866,12 @@
 
 
 REQUEST_S = 20
-"""Time over which a team requests tokens at random."""
+"""Duration of a team's random requests for tokens, in seconds."""
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
-    ' {most:d} are admitted in any {seconds:d} s'
+    'at most {most:d} tokens are admitted in any {seconds:d} s, if {rate:d} a'
+    ' second are requested, {tokens:d} at a time'
 )
 def check_admitted_in_any(context, rate, tokens, most, seconds):
     draws = random.Random(0)
@@ -881,10 +888,10 @@
 
 
 @when(
-    '{heads:d} heads and {others:d} others are killed after {ms:d} ms and'
+    '{heads:d} heads and {others:d} members are killed after {ms:d} ms and'
     ' restarted {later:d} ms later'
 )
-def schedule_kills(context, heads, others, ms, later):
+def schedule_kills_and_restarts(context, heads, others, ms, later):
     fleet = context.simulated
     ended = []
 
@@ -914,9 +921,10 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, none is refused'
+    'no request is refused, if {rate:d} tokens a second are requested,'
+    ' {tokens:d} at a time'
 )
-def none_refused(context, rate, tokens):
+def check_none_refused(context, rate, tokens):
     draws = random.Random(0)
     rounds = 1000 // ROUND_MS
     refused = []
@@ -928,7 +936,7 @@
 
 
 def request_at_random(fleet, draws, offered, tokens, refused=None):
-    """Request tokens at random routers for a round; return those admitted."""
+    """Request tokens at random routers for a round; return admitted tokens."""
     fleet.run(ROUND_MS)
     nodes = list(fleet.nodes.values())
     passed = 0
@@ -942,8 +950,8 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, over {ms:d} ms'
-    ' at most {share:d} in 100 are refused'
+    'at most {share:d} in 100 requests are refused in {ms:d} ms, if {rate:d}'
+    ' tokens a second are requested, {tokens:d} at a time'
 )
 def check_refused_share(context, rate, tokens, ms, share):
     passed, refused = request_with_borrowing(
@@ -953,10 +961,10 @@
 
 
 @then(
-    'of {rate:d} tokens a second, in requests of {tokens:d}, at most'
-    ' {most:d} are admitted in {ms:d} ms'
+    'at most {most:d} tokens are admitted in {ms:d} ms, if {rate:d} a second'
+    ' are requested, {tokens:d} at a time'
 )
-def check_admitted(context, rate, tokens, most, ms):
+def check_admitted_in_time(context, rate, tokens, most, ms):
     passed, _ = request_with_borrowing(context.simulated, rate, tokens, ms)
     assert passed * tokens <= most, passed * tokens
 
@@ -981,7 +989,7 @@
     return passed, refused
 
 
-@then('at least the limit is admitted in total')
+@then('the team gets at least its limit over the whole time')
 def check_total(context):
     rate, _ = context.limit
     assert context.passed >= rate * REQUEST_S, context.passed
@@ -1000,8 +1008,8 @@
 
 
 @then(
-    'at once at most {most:d} tokens are admitted by the new routers, in'
-    ' requests of {tokens:d}'
+    'the new routers admit at most {most:d} tokens at once, in requests of'
+    ' {tokens:d}'
 )
 def check_admitted_at_once(context, most, tokens):
     passed = admit_all(context.joined, tokens)
@@ -1031,7 +1039,7 @@
 
 
 def cut_for(context, ms, is_cut):
-    """Lose some beacons for `ms`; record the levels from before."""
+    """Lose the beacons that `is_cut` selects, and record the levels before."""
     fleet = context.simulated
     context.levels_before = levels_of(fleet)
     fleet.is_cut = is_cut
@@ -1040,20 +1048,23 @@
 
 
 def levels_of(fleet):
-    """Return the level of the limit at each router."""
+    """Return the remaining level of the team's limit at each router."""
     return {
         node.name: node.serving.quota.levels()['noor']
         for node in fleet.nodes.values()
     }
 
 
-@then("each router's level has risen by at most {most:d} tokens")
+@then("each router's level of the limit has risen by at most {most:d} tokens")
 def check_level_rise(context, most):
     for name, level in levels_of(context.simulated).items():
         assert level - context.levels_before[name] <= most, (name, level)
 
 
-@then("each router's level has risen by {least:d} to {most:d} tokens")
+@then(
+    "each router's level of the limit has risen by {least:d} to {most:d}"
+    ' tokens'
+)
 def check_level_rise_range(context, least, most):
     for name, level in levels_of(context.simulated).items():
         rise = level - context.levels_before[name]
@@ -1061,10 +1072,10 @@
 
 
 @given(
-    'half of a fleet is reported by one head, with a limit of {rate:d}'
+    'one head reports on half of a fleet, with a limit of {rate:d}'
     ' tokens a second'
 )
-def half_reported(context, rate):
+def report_half_of_fleet(context, rate):
     context.clock = clock_.ManualClock()
     context.rate = rate
     context.quota = quota_.Quota(context.clock)
@@ -1074,28 +1085,28 @@
     context.gaps.on_report('half', ('first', 1), 0.5)
 
 
-@given('a level of 0 with a burst of {burst:d} tokens')
-def level_empty(context, burst):
-    level_full(context, burst)
+@given('a level of the limit of 0 with a burst of {burst:d} tokens')
+def set_empty_level(context, burst):
+    set_full_level(context, burst)
     context.quota.subtract_peer_spends({'noor': burst})
 
 
-@given('a full level with a burst of {burst:d} tokens')
-def level_full(context, burst):
+@given('a full level of the limit with a burst of {burst:d} tokens')
+def set_full_level(context, burst):
     team = pb.Team(name='noor', rate=context.rate, burst=burst)
     context.quota.configure([team])
     context.quota.adopt_levels({'noor': burst})
 
 
-@when('{ms:d} ms later {which} head reports')
-def head_reports(context, ms, which):
+@when('{which} head reports {ms:d} ms later')
+def report_from_head(context, ms, which):
     context.clock.advance(ms)
-    # The first report of another head, and then the next one of that head.
+    # The first report of another head, then the next report of that head.
     assert which in ('another', 'the same'), which
     context.estimate = context.gaps.on_report('half', ('second', 1), 0.5)
 
 
-@then('{count:d} tokens are estimated')
+@then('{count:d} tokens are estimated as spent')
 def check_estimate(context, count):
     assert context.estimate.get('noor', 0) == count, context.estimate
 
@@ -1119,7 +1130,7 @@
 
 
 @then('each of the {count:d} routers refuses the request')
-def all_refuse(context, count):
+def check_all_refuse(context, count):
     nodes = context.simulated.nodes.values()
     assert len(nodes) == count, len(nodes)
     assert all(
@@ -1129,13 +1140,13 @@
 
 
 @when('a member reads a limit of {rate:g} request a second from an upstream')
-def member_reads_limit(context, rate):
+def note_limit_at_member(context, rate):
     limits = context.simulated.member().serving.limits
     limits.note_limit(limit_model.UPSTREAM, rate)
 
 
 @then('each of the {count:d} routers knows the limit')
-def all_know_limit(context, count):
+def check_all_know_limit(context, count):
     nodes = context.simulated.nodes.values()
     known = [node.serving.limits.updates() for node in nodes]
     assert len(known) == count and all(known), known
@@ -1145,7 +1156,7 @@
     "the routers' shares add up to {rate:g} request a second and a burst of"
     ' {burst:g}'
 )
-def shares_add_up(context, rate, burst):
+def check_shares_add_up(context, rate, burst):
     nodes = context.simulated.nodes.values()
     limits = [
         node.serving.limits._get_limit(limit_model.UPSTREAM) for node in nodes
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -42,7 +42,7 @@
 
 
 @given('an upstream "a" whose run started at {born:d}')
-def upstream_of_run(context, born):
+def create_upstream(context, born):
     context.upstreams = upstreams_.UpstreamTable(clock_.ManualClock())
     context.ended = []
     context.upstreams.listen_replacements(context.ended.append)
@@ -57,8 +57,11 @@
     context.upstreams.set_peer_loads('router-2', [load])
 
 
-@given('"a" has work of two routers, is failing and is home of some prompts')
-def has_work(context):
+@given(
+    '"a" has work of two routers, is failing and is the preferred upstream of'
+    ' some prompts'
+)
+def add_state_of_run(context):
     view = context.earlier
     view.add_load(upstream_view.Load(1, 100, 200))
     report_load(context, view.born)
@@ -86,8 +89,11 @@
     assert context.upstreams.merge(make_record(born, 20))
 
 
-@then('"a" has no work, is not failing and is home of other prompts')
-def keeps_no_state(context):
+@then(
+    '"a" has no work, is not failing and is the preferred upstream of other'
+    ' prompts'
+)
+def check_no_state_kept(context):
     view = context.upstreams.get('a')
     assert view is not context.earlier
     assert view.total_load() == upstream_view.Load(), view.total_load()
@@ -101,7 +107,7 @@
 
 
 @then('the view of the earlier run has ended')
-def earlier_has_ended(context):
+def check_earlier_view_ended(context):
     assert context.ended == [context.earlier]
     assert not context.earlier.is_available
 
@@ -114,38 +120,38 @@
 
 
 @then('"a" may get new work and is the run started at {born:d}')
-def may_get_work(context, born):
+def check_may_get_work(context, born):
     (view,) = context.upstreams.live(store_outage_steps.SERVICE)
     assert view.born == born, view.born
 
 
 @when('another router reports its work at the run started at {born:d}')
-def router_reports_work(context, born):
+def report_work_of_router(context, born):
     report_load(context, born)
 
 
 @then('"a" has no work')
-def no_work(context):
+def check_no_work(context):
     assert not context.upstreams.get('a').total_load().running
 
 
 @then('"a" has the reported work')
-def has_reported_work(context):
+def check_reported_work(context):
     assert context.upstreams.get('a').total_load().running == 3
 
 
-@given('a peer that knows that run')
-def peer_that_knows(context):
+@given('a peer that knows the earlier run')
+def record_known_upstreams(context):
     context.known = [view.record for view in context.upstreams.all()]
 
 
 @when('the peer reports the upstreams that it knows')
-def peer_reports(context):
+def merge_known_upstreams(context):
     context.upstreams.merge_all(context.known)
 
 
 @given('an engine whose report is of the run started at {born:d}')
-def reporting_engine(context, born):
+def start_reporting_engine(context, born):
     app = web.WebApp('engine', 1 << 16)
     body = {names.BORN: born, names.LEAVES_MS: 700}
     app.route('GET', names.REPORT_PATH, lambda req: web.json_response(body))
@@ -154,7 +160,7 @@
     context.closing.append(context.server.stop)
 
 
-def leaves_ms(context, born):
+def fetch_remaining_ms(context, born):
     control = engine_control.EngineControl(1000)
     return control.remaining_ms(context.server.address, born)
 
@@ -163,16 +169,16 @@
     'requested for the run started at {born:d} the report has no time of'
     ' leaving'
 )
-def has_no_leaving_time(context, born):
-    assert isinstance(leaves_ms(context, born), failures.Failure)
+def check_no_leaving_time(context, born):
+    assert isinstance(fetch_remaining_ms(context, born), failures.Failure)
 
 
 @then(
     'requested for the run started at {born:d} the report has a time of'
     ' leaving'
 )
-def has_leaving_time(context, born):
-    assert leaves_ms(context, born) == 700
+def check_leaving_time(context, born):
+    assert fetch_remaining_ms(context, born) == 700
 
 
 @when(
@@ -193,7 +199,7 @@
 
 @when(
     'a caller streams {tokens:d} tokens from "{path}" and its upstream'
-    ' restarts behind a silent connection'
+    ' restarts while the connection stays silent'
 )
 def stream_and_restart_silently(context, tokens, path):
     def act(guest):
@@ -204,8 +210,8 @@
 
 
 @when(
-    'a caller requests "{path}" and its upstream restarts behind a silent'
-    ' connection'
+    'a caller requests "{path}" and its upstream restarts while the'
+    ' connection stays silent'
 )
 def request_and_restart_silently(context, path):
     task = green.spawn(
@@ -230,8 +236,8 @@
 @then(
     'the answer does not claim that the request did not run, and it ran once'
 )
-def ran_once_without_claim(context):
-    # An answer at the deadline would be 504.
+def check_ran_once_without_claim(context):
+    # An answer that only arrives at the deadline would have status 504.
     assert context.last.status == 502, context.last
     runs = [
         guest.upstream.app.runs['seat-1']
@@ -241,7 +247,7 @@
 
 
 @when('every upstream of "{service}" restarts')
-def restart_all(context, service):
+def restart_all_upstreams(context, service):
     context.later = [
         context.fleet.restart_upstream(guest)
         for guest in helpers.guests(context, service)
@@ -257,7 +263,7 @@
 
 
 @then('{count:d} requests to "{path}" are answered by the later runs')
-def answered_by_later(context, count, path):
+def check_answered_by_later_runs(context, count, path):
     for _ in range(count):
         answer = helpers.send_request(
             fleet_steps.router_address(context), path
@@ -273,7 +279,7 @@
     'a connection to an upstream that has sent half of an answer without a'
     ' length'
 )
-def half_sent(context):
+def read_half_of_answer(context):
     def script(sock, request_id, number):
         head = f'HTTP/1.1 200 OK\r\n{names.REQUEST_ID}: {request_id}\r\n'
         sock.sendall(f'{head}\r\nhalf'.encode())
@@ -299,7 +305,7 @@
 
 
 @then('the rest of the answer is a failure, not its end')
-def is_failure(context):
+def check_rest_is_failure(context):
     rest = context.conn.read_some(context.deadline)
     assert isinstance(rest, failures.Failure), rest
     assert rest.reason == 'upstream_restarted', rest
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -44,7 +44,7 @@
 @given(
     'two contenders for a lease of {length:d} ms with a guard of {guard:d} ms'
 )
-def two_contenders(context, length, guard):
+def create_contenders(context, length, guard):
     context.length, context.guard = length, guard
     context.clock = clock_.ManualClock()
     context.store = MemoryStore()
@@ -54,7 +54,7 @@
 
 
 @given('a third contender for the lease')
-def third_contender(context):
+def create_third_contender(context):
     context.leases['third'] = make_contender(context, 'third')
 
 
@@ -86,7 +86,7 @@
 
 
 @when('the store does not answer any contender')
-def store_unavailable(context):
+def stop_store_answers(context):
     context.store.is_down = True
 
 
@@ -94,7 +94,7 @@
     'a router of an older version has released the lease, and the first'
     ' contender held it before'
 )
-def released_by_older_version(context):
+def write_release_of_older_version(context):
     spec = {
         'holder': 'other.1',
         'router': 'other',
@@ -138,13 +138,13 @@
         context.clock.advance(100)
 
 
-@then('all of them consider the lease held')
-def all_consider_held(context):
+@then('all relaying contenders consider the lease held')
+def check_all_consider_held(context):
     assert all(lease.is_held_elsewhere() for lease in context.others)
 
 
-@then('none of them considers the lease held')
-def none_considers_held(context):
+@then('none of the relaying contenders considers the lease held')
+def check_none_considers_held(context):
     assert not any(lease.is_held_elsewhere() for lease in context.others)
 
 
@@ -153,8 +153,8 @@
     context.leases['second'].receive_hint(context.first_hint)
 
 
-@then('the second contender considers the lease held for {ms:d} ms')
-def considered_held_for(context, ms):
+@then('the second contender considers the lease held for another {ms:d} ms')
+def check_considered_held_for(context, ms):
     second = context.leases['second']
     assert second.known_holder().left_ms == ms, second.known_holder()
 
@@ -165,39 +165,42 @@
 
 
 @then('the first contender holds the lease and the second does not')
-def only_first_holds(context):
+def check_only_first_holds(context):
     assert context.leases['first'].is_held()
     assert not context.leases['second'].is_held()
 
 
 @then('the {name} contender holds the lease with fencing number {number:d}')
-def holds_with_number(context, name, number):
+def check_held_with_number(context, name, number):
     lease = context.leases[name]
     assert lease.is_held() and lease.fencing == number, lease.fencing
 
 
 @then('the {name} contender does not hold the lease')
-def does_not_hold(context, name):
+def check_not_held(context, name):
     assert not context.leases[name].is_held()
 
 
 @then('the {name} contender still holds the lease')
-def still_holds(context, name):
+def check_still_held(context, name):
     assert context.leases[name].is_held()
 
 
 @then('the last request took {count:d} call to the store')
-def calls_of_last_request(context, count):
+def check_calls_of_last_request(context, count):
     assert context.calls == count, context.calls
 
 
-@then('the first contender may start orders')
-def may_start_orders(context):
+@then('the first contender may start orders to the platform')
+def check_may_start_orders(context):
     assert context.leases['first'].may_act()
 
 
-@then('the first contender holds the lease but may not start orders')
-def may_not_start_orders(context):
+@then(
+    'the first contender holds the lease but may not start orders to the'
+    ' platform'
+)
+def check_may_not_start_orders(context):
     lease = context.leases['first']
     assert lease.is_held() and not lease.may_act()
 
@@ -208,10 +211,10 @@
 )
 def check_random_histories(context, count):
     for seed in range(count):
-        run_history(context, random.Random(seed))
+        run_contender_history(context, random.Random(seed))
 
 
-def run_history(context, draws):
+def run_contender_history(context, draws):
     context.clock = clock_.ManualClock()
     context.store = store = MemoryStore()
     leases = {name: make_contender(context, name) for name in 'abc'}
@@ -246,12 +249,12 @@
 
 
 @given('the {name} contender has the endpoint "{endpoint}"')
-def has_endpoint(context, name, endpoint):
+def set_contender_endpoint(context, name, endpoint):
     context.leases[name].set_endpoint(endpoint)
 
 
 @given('the {name} contender has the endpoint ""')
-def has_no_endpoint(context, name):
+def set_empty_endpoint(context, name):
     context.leases[name].set_endpoint('')
 
 
@@ -278,7 +281,7 @@
 
 
 @then('the stored lease has fencing number {number:d}')
-def stored_number(context, number):
+def check_stored_fencing_number(context, number):
     stored = context.store.read(lease_.KIND, 'duties')
     assert stored.spec['fencing'] == number, stored
 
@@ -287,7 +290,7 @@
     'in {count:d} random histories of three endpoints no run starts orders too'
     ' soon after another'
 )
-def check_random_endpoints(context, count):
+def check_random_endpoint_histories(context, count):
     taken_over = sum(
         run_endpoint_history(context, random.Random(seed))
         for seed in range(count)
@@ -296,7 +299,7 @@
 
 
 def run_endpoint_history(context, draws):
-    """Run one history; return how often a run took over from a dead one.
+    """Run one history; return the number of takeovers from dead runs.
 
     Two of the three VMs have the same router name. A VM has one run at a
     time. Any run may be paused between its steps, and relies on its earlier
@@ -333,9 +336,9 @@
 
 
 def check_order(orders, order, killed):
-    """Check and add an order; return whether it is the first of a takeover.
+    """Check and add an order; return whether it is the first after a takeover.
 
-    A takeover is early: the dead run's lease has not expired yet.
+    At a takeover the dead run's lease has not expired yet.
     """
     now, endpoint, fencing = order
     own = [o for o in orders if o[1] == endpoint]
@@ -346,7 +349,7 @@
     if new and orders[-1][1] == endpoint:
         assert now >= killed + 600, (order, killed, orders[-3:])
     if own and others and others[-1][0] > own[-1][0]:
-        # The duties went from this VM to another and back.
+        # The duties moved from this VM to another VM and back.
         assert now - own[-1][0] >= 3000, (order, orders[-3:])
     orders.append(order)
     return new and orders[-2][1] == endpoint and now < orders[-2][0] + 3000
@@ -375,14 +378,14 @@
 
 
 @when('the process with the address is killed')
-def process_killed(context):
+def kill_bound_process(context):
     kill_process(context.child)
 
 
 @then('no other process can bind the address')
-def cannot_bind(context):
+def check_cannot_bind(context):
     try:
-        bind(context.address)
+        bind_and_release(context.address)
     except OSError as exc:
         assert exc.errno == errno.EADDRINUSE, exc
     else:
@@ -390,11 +393,11 @@
 
 
 @then('another process can bind the address')
-def can_bind(context):
-    bind(context.address)
+def check_can_bind(context):
+    bind_and_release(context.address)
 
 
-def bind(address):
+def bind_and_release(address):
     beacons_.Beacons(address, *[mock.Mock()] * 4).stop()
 
 
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -32,7 +32,7 @@
 
 
 @given('a store with the entries of {count:d} routers')
-def registered_routers(context, count):
+def register_routers(context, count):
     context.store = MemoryStore()
     context.count = count
     for number in range(count):
@@ -41,38 +41,44 @@
         ).registry.register()
 
 
-@when('one of these routers restarts at its address')
+@when('one of the registered routers restarts at its address')
 def restart_at_same_address(context):
-    restart(context, port=1)
+    restart_at_port(context, port=1)
 
 
-@when('one of these routers restarts at another address')
+@when('one of the registered routers restarts at another address')
 def restart_elsewhere(context):
-    restart(context, port=77)
+    restart_at_port(context, port=77)
 
 
-def restart(context, port):
+def restart_at_port(context, port):
     context.store.calls = 0
     context.started = StartingRouter(context.store, 'r1', port, run=2)
     context.has_registered = context.started.registry.register()
 
 
-@then('it knows all other routers after {count:d} calls to the store')
-@then('it knows all other routers after {count:d} call to the store')
-def knows_all_others(context, count):
+@then(
+    'the starting router knows all other routers after {count:d} calls to the'
+    ' store'
+)
+@then(
+    'the starting router knows all other routers after {count:d} call to the'
+    ' store'
+)
+def check_knows_all_others(context, count):
     assert context.has_registered
     assert len(context.started.known) == context.count - 1
     assert context.store.calls == count, context.store.calls
 
 
-@then('a router that starts later finds it at its new address')
-def finds_new_address(context):
+@then('a router that starts later finds the moved one at its new address')
+def check_found_at_new_address(context):
     other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register()
     assert other.known['r1'].beacon_address == '10.0.0.1:77'
 
 
-@when('a new router gets no answer to its entry, and retries')
+@when('a new router gets no reply when it writes its entry, and retries')
 def register_after_lost_reply(context):
     context.started = StartingRouter(context.store, 'new', 50)
     context.store.lose_replies = 1
@@ -80,8 +86,8 @@
     assert context.started.registry.register()
 
 
-@then('it knows all other routers, and a later one finds it')
-def knows_and_found(context):
+@then('the new router knows all others, and a later one finds the new one')
+def check_knows_others_and_found(context):
     assert len(context.started.known) == context.count
     other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register() and 'new' in other.known
@@ -107,6 +113,6 @@
 
 
 @then('at least one of the two knows the other')
-def one_knows(context):
+def check_one_knows_the_other(context):
     first, second = context.both
     assert 'b' in first.known or 'a' in second.known
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on planned stops, killed routers, the directory and shared state."""
+"""Steps on planned stops, killed routers, directories and shared state."""
 
 from __future__ import annotations
 
@@ -68,35 +68,35 @@
 
 
 @then('all streams are complete and in order')
-def streams_complete(context):
+def check_streams_complete(context):
     for body, task in zip(context.bodies, context.tasks):
         answer = task.wait()
         assert fleet_steps.is_complete(answer, body, context.tokens), answer
 
 
 @then('the draining router is no longer ready nor listed in any directory')
-def withdrawn_at_once(context):
+def check_withdrawn(context):
     assert readiness(context.draining) == 503
     for router in context.fleet.routers:
         assert context.draining.address not in resolve(router)
 
 
 @then('during the drain each new connection is served for one request')
-def served_during_drain(context):
+def check_served_during_drain(context):
     answer = helpers.send_request(context.draining.address)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
 
 
 @then('the drain ends within the grace time and no request is running')
-def drained_in_time(context):
+def check_drained_in_time(context):
     with green.Timeout(8):
         context.drain.wait()
     assert context.draining.serving.gateway.in_flight == 0
 
 
 @then('after {ms:d} ms a stream that may outlast the grace time is refused')
-def long_stream_refused(context, ms):
+def check_long_stream_refused(context, ms):
     green.sleep_ms(ms)
     answer = helpers.send_request(context.draining.address, '/chat/x')
     assert answer.status == 503, answer
@@ -105,34 +105,34 @@
 
 
 @then('a request with a short deadline is served')
-def short_request_served(context):
+def check_short_request_served(context):
     answer = helpers.send_request(context.draining.address, deadline_ms=1000)
     assert answer.status == 200, answer
 
 
 @when('a request arrives after the drain and before the router stops')
-def request_after_drain(context):
+def send_request_after_drain(context):
     router = context.fleet.routers[0]
     router.drain()
     context.last = helpers.send_request(router.address)
 
 
 @then('the request is refused as not run and reaches no upstream')
-def refused_not_run(context):
+def check_refused_as_not_run(context):
     assert context.last.status == 503, context.last
     assert context.last.body == b'leaving', context.last
     assert not helpers.arrival_count(context, context.last.request_id)
 
 
 @then('no request is running when the drain ends')
-def empty_after_drain(context):
+def check_no_request_running(context):
     context.drain.wait()
     assert context.draining.serving.gateway.in_flight == 0
-    streams_complete(context)
+    check_streams_complete(context)
 
 
 @when('a router starts to drain while a caller keeps an idle connection')
-def drain_with_idle(context):
+def drain_with_idle_connection(context):
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
@@ -144,7 +144,7 @@
     'a request arrives on a kept-alive connection just before idle ones are'
     ' closed'
 )
-def request_before_close(context):
+def send_request_before_close(context):
     open_kept_alive(context)
     # No other task runs between these two calls.
     send_on_kept_alive(context, 'crossing-2')
@@ -154,7 +154,7 @@
 @when(
     'a request arrives on a kept-alive connection just after it was shut down'
 )
-def request_after_shutdown(context):
+def send_request_after_shutdown(context):
     open_kept_alive(context)
     real = server_._shut
     context.closing.append(lambda: setattr(server_, '_shut', real))
@@ -182,8 +182,8 @@
 
 
 @then('no answer is sent and the request reaches no upstream')
-def not_answered(context):
-    # The connection ends at once; a forwarded request would arrive later.
+def check_not_answered(context):
+    # The connection ends at once; a forwarded request would arrive soon after.
     green.sleep_ms(500)
     assert not helpers.arrival_count(context, 'crossing-2')
     try:
@@ -194,14 +194,14 @@
 
 
 @then('the request is answered and its connection is closed')
-def answered_and_closed(context):
+def check_answered_and_closed(context):
     rest = helpers.read_rest(context.sock, 5000)
     assert b'200 OK' in rest, rest
     assert b'Connection: close' in rest, rest
 
 
 @when('a router starts to drain just after a caller has connected')
-def drain_just_connected(context):
+def drain_after_connect(context):
     router = context.fleet.routers[0]
     context.conn = connection_.Connection(router.address, clock_.SystemClock())
     assert context.conn.connect(1000) is None
@@ -212,7 +212,7 @@
 
 
 @then("the caller's first request is answered and its connection is closed")
-def first_request_answered(context):
+def check_first_request_answered(context):
     answer = helpers.send_request('', conn=context.conn)
     assert answer.status == 200, answer
     assert answer.header('Connection') == 'close', answer
@@ -220,7 +220,7 @@
 
 
 @then('the idle connection is closed within {ms:d} ms')
-def idle_closed(context, ms):
+def check_idle_closed(context, ms):
     helpers.wait_until(
         lambda: not context.conn.is_clean(), 'the connection to close', ms
     )
@@ -240,7 +240,7 @@
 
 
 @then('another router holds the duties within {ms:d} ms')
-def another_holds(context, ms):
+def check_another_router_holds(context, ms):
     def has_moved():
         holder = holder_of(context)
         return holder is not None and holder is not context.old_holder
@@ -249,7 +249,7 @@
 
 
 @then('no platform call carried an outdated fencing token')
-def no_outdated_token(context):
+def check_no_outdated_token(context):
     assert not context.fleet.cloud.stale_call_times
 
 
@@ -260,7 +260,7 @@
 
 
 @then('all directories stop listing the killed router within {ms:d} ms')
-def not_listed(context, ms):
+def check_not_listed(context, ms):
     helpers.wait_until(
         lambda: all(
             context.killed.address not in resolve(router)
@@ -296,7 +296,7 @@
 
 
 @given('a settings file that names one store')
-def settings_file(context):
+def create_settings_file(context):
     context.path = f'{context.folder}/router.ini'
     write_settings(context, SETTINGS.format(port=1))
     settings, found = ini.load_file(context.path, pb.RouterFile)
@@ -311,24 +311,24 @@
 
 
 @when('the file is changed to name another store')
-def name_other_store(context):
+def change_settings_file(context):
     write_settings(context, SETTINGS.format(port=9))
     context.watch.reload_if_changed()
 
 
 @then('the new settings are applied')
-def new_settings_applied(context):
+def check_new_settings_applied(context):
     assert [s.platform.objects for s in context.applied] == ['127.0.0.1:9']
 
 
 @when('the file becomes malformed')
-def malformed_file(context):
+def write_malformed_settings(context):
     write_settings(context, '[router]\nlisten = nowhere\n')
     context.watch.reload_if_changed()
 
 
 @then('the last valid settings stay in force')
-def last_valid_kept(context):
+def check_last_valid_settings(context):
     assert len(context.applied) == 1, context.applied
 
 
@@ -336,7 +336,7 @@
     'every directory lists all {count:d} routers, those of its failure domain'
     ' first'
 )
-def lists_all(context, count):
+def check_lists_all_routers(context, count):
     def all_listed():
         serving = context.fleet.running_routers()
         wanted = {router.address for router in serving}
@@ -356,13 +356,13 @@
 
 
 @when('the store is unavailable and a third router starts')
-def third_router_in_outage(context):
+def start_third_router_in_outage(context):
     context.fleet.store.app.set_faults(outage=1.0)
     context.fleet.add_router('router-3')
 
 
 @given('a fleet of {count:d} routers that sign their beacons')
-def signing_fleet(context, count):
+def start_signing_fleet(context, count):
     secret = f'{context.folder}/secret'
     with open(secret, 'w') as file:
         file.write('the fleet shares this')
@@ -382,7 +382,7 @@
 
 
 @when('a forged beacon announces a third router')
-def forged_beacon(context):
+def send_forged_beacon(context):
     import socket
 
     forged = pb.Beacon(
@@ -405,13 +405,13 @@
 
 
 @then('no router knows a third router')
-def third_router_unknown(context):
+def check_third_router_unknown(context):
     for router in context.fleet.routers:
         assert router.members.get('router-9') is None, router.cfg.name
 
 
 def bare_peering(clock, watches, spawned):
-    """Return a peering that only compares versions with its peers."""
+    """Return a peering that only compares its versions with those of peers."""
     fleet_state = types.SimpleNamespace(
         members=members_.Members(
             pb.Member(name='me', incarnation=1), clock, 1000
@@ -432,7 +432,7 @@
 
 
 @given('a router that does not watch the store and one that does')
-def two_peerings(context):
+def create_two_peerings(context):
     context.clock = clock_.ManualClock()
     context.spawned = [], []
     context.peerings = [
@@ -441,7 +441,7 @@
     ]
 
 
-def receive_from_ahead(context):
+def receive_newer_version(context):
     for peering in context.peerings:
         member = pb.Member(
             name='peer', incarnation=1, peer_address='10.0.0.1:1'
@@ -451,41 +451,41 @@
 
 
 @when('both receive two beacons {ms:d} ms apart from a peer that is ahead')
-def receive_twice(context, ms):
-    receive_from_ahead(context)
+def receive_two_beacons(context, ms):
+    receive_newer_version(context)
     context.clock.advance(ms)
-    receive_from_ahead(context)
+    receive_newer_version(context)
 
 
 @when('both receive another such beacon after {ms:d} ms')
-def receive_again(context, ms):
+def receive_another_beacon(context, ms):
     context.clock.advance(ms)
-    receive_from_ahead(context)
+    receive_newer_version(context)
 
 
 @then('the router that does not watch calls the peer')
-def non_watcher_calls(context):
-    assert context.spawned[0] == ['fetch_config'], context.spawned
+def check_non_watcher_calls(context):
+    assert context.spawned[0] == ['ask_config'], context.spawned
 
 
 @then('the router that watches does not call the peer')
-def watcher_does_not_call(context):
+def check_watcher_does_not_call(context):
     assert not context.spawned[1], context.spawned
 
 
 @then('the router that watches calls the peer too')
-def watcher_calls(context):
-    assert context.spawned[1] == ['fetch_config'], context.spawned
+def check_watcher_calls(context):
+    assert context.spawned[1] == ['ask_config'], context.spawned
 
 
 @when('an engine announces that it is leaving')
-def engine_leaves(context):
+def announce_leaving_engine(context):
     context.leaver = helpers.guests(context, shape_.ENGINE_SERVICE)[0]
     context.fleet.announce_leaving(context.leaver)
 
 
 @then('every router marks the engine as leaving within {ms:d} ms')
-def all_mark_leaving(context, ms):
+def check_all_mark_leaving(context, ms):
     def is_leaving(router):
         view = router.upstream_table.get(context.leaver.name)
         return view.record.state == upstreams_.LEAVING
@@ -498,16 +498,16 @@
 
 
 @when('one router reaches an upstream revision that no record has')
-def revision_without_record(context):
+def raise_revision_without_record(context):
     ahead, context.behind = context.fleet.routers
     ahead.upstream_table.revision += 100
     context.restarted = []
     for watch in context.behind.fleet_state._watches:
-        watch._wait.fire = lambda: context.restarted.append(1)
+        watch._watch_interrupt.fire = lambda: context.restarted.append(1)
 
 
 @then('the other router reaches the same revision within {ms:d} ms')
-def same_revision(context, ms):
+def check_same_revision(context, ms):
     ahead = context.fleet.routers[0]
     helpers.wait_until(
         lambda: (
@@ -520,30 +520,30 @@
 
 
 @then('the other router restarts no watch')
-def no_watch_restarted(context):
+def check_no_watch_restarted(context):
     green.sleep_ms(2500)
     assert not context.restarted
 
 
 @then('the router is not ready')
-def not_ready(context):
+def check_not_ready(context):
     assert readiness(context.router) == 503
 
 
 @when('the store is available again')
-def store_available(context):
+def restore_store(context):
     context.fleet.store.app.set_faults()
 
 
 @then('the router is ready within {ms:d} ms')
-def ready_within(context, ms):
+def check_ready_within(context, ms):
     helpers.wait_until(
         lambda: readiness(context.router) == 200, 'readiness', ms
     )
 
 
 @given('{count:d} members that hear each other')
-def many_members(context, count):
+def create_members(context, count):
     clock = clock_.ManualClock()
     everyone = [
         pb.Member(name=f'r{n}', incarnation=1, state=members_.ALIVE)
@@ -560,8 +560,8 @@
 
 
 @given('{count:d} members that start together and know each other')
-def starting_members(context, count):
-    many_members(context, count)
+def create_starting_members(context, count):
+    create_members(context, count)
     context.members = []
     for me in context.everyone:
         members = members_.Members(me, context.clock, 1000)
@@ -571,7 +571,7 @@
 
 
 @when('{ms:d} ms pass in which {count:d} of the members send nothing')
-def some_send_nothing(context, ms, count):
+def silence_some_members(context, ms, count):
     context.clock.advance(ms)
     context.members = context.members[count:]
     for members in context.members:
@@ -588,13 +588,13 @@
 
 
 @then('{count:d} of the members watch each kind')
-def some_watch(context, count):
+def check_watcher_count(context, count):
     for kind in ('config', 'upstreams'):
         assert len(watching(context, kind)) == count
 
 
 @when('half of the members fall silent')
-def half_silent(context):
+def silence_half_of_members(context):
     half = len(context.members) // 2
     context.clock.advance(2000)
     context.members = context.members[:half]
@@ -604,15 +604,15 @@
 
 
 @then('{count:d} of the remaining members watch each kind')
-def remaining_watch(context, count):
-    some_watch(context, count)
+def check_remaining_watcher_count(context, count):
+    check_watcher_count(context, count)
 
 
 @when(
     'a caller sends a request to one router and an operator looks it up at the'
     ' other'
 )
-def operator_looks_up(context):
+def look_up_request(context):
     first, second = context.fleet.routers
     context.last = helpers.send_request(first.address)
     client = rpc.RpcClient(pb_grpc.OperatorsStub)
@@ -624,7 +624,7 @@
 
 
 @then('the operator gets the upstream, the status and the duration')
-def operator_gets_steps(context):
+def check_steps_shown(context):
     texts = ' '.join(step.text for step in context.steps)
     for part in ('attempt', 'upstream=service-', 'status=200', 'ms='):
         assert part in texts, texts
@@ -632,7 +632,7 @@
 
 
 @then('the operator gets the data behind the choice of the upstream')
-def operator_gets_choice(context):
+def check_choice_shown(context):
     texts = ' '.join(step.text for step in context.steps)
     for part in ('revision=', 'among=2', 'home=False', 'running=0'):
         assert part in texts, texts
@@ -641,7 +641,7 @@
 @then(
     'the metrics count {count:d} requests with status 200 and their latencies'
 )
-def metrics_count(context, count):
+def check_metrics(context, count):
     text = metrics(context)
     wanted = (
         'peridotmast_requests_total{outcome="200",service="booking"} '
@@ -658,7 +658,7 @@
 
 
 @then('the health endpoint reports the versions in force')
-def health_reports(context):
+def check_health_endpoint(context):
     router = context.fleet.routers[0]
     reply = calls.HttpCalls().call('GET', router.chat_address, '/healthz')
     assert reply.status == 200
@@ -670,7 +670,7 @@
 
 
 @when('a caller sends a request with a trace context')
-def with_trace(context):
+def send_request_with_trace(context):
     router = context.fleet.routers[0]
     body = json.dumps({'payload': 'seat 1', 'idempotent': False}).encode()
     reply = calls.HttpCalls().call(
@@ -687,7 +687,7 @@
 
 
 @then('the router and attempt spans belong to that trace')
-def spans_belong(context):
+def check_spans(context):
     with open(context.spans) as file:
         spans = [json.loads(line) for line in file]
     mine = [s for s in spans if TRACE in s['context']['trace_id']]
--- a/features/steps/store_outage_steps.py
+++ b/features/steps/store_outage_steps.py
@@ -47,7 +47,7 @@
 
 
 @given('upstreams "{a}", "{b}" and "{c}" with entries in the store')
-def with_entries(context, a, b, c):
+def create_upstreams(context, a, b, c):
     context.clock = clock_.ManualClock()
     context.upstreams = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.feed = upstream_feed.UpstreamFeed(
@@ -59,27 +59,27 @@
 
 
 @when('the entry of "{name}" is removed')
-def entry_removed(context, name):
+def remove_entry(context, name):
     apply_change(context, name, None)
 
 
 @when('the entry of "{name}" is missing after an outage')
-def entry_missing(context, name):
+def remove_entry_after_outage(context, name):
     apply_change(context, name, None, after_outage=True)
 
 
 @when('the entry of "{name}" reappears')
-def entry_reappears(context, name):
+def restore_entry(context, name):
     apply_change(context, name, entry_spec(name))
 
 
 @when('the entry of "{name}" is marked as leaving')
-def entry_leaving(context, name):
+def mark_entry_leaving(context, name):
     apply_change(context, name, entry_spec(name, upstreams_.LEAVING))
 
 
 @when('the earlier entry of "a" is received again')
-def earlier_entry_again(context):
+def receive_earlier_entry_again(context):
     stored = objects.StoredObject('a', 1, entry_spec('a'))
     context.feed.on_changes(objects.Changes([stored], 1), False)
     listing = objects.Listing([stored], 1)
@@ -92,20 +92,20 @@
 
 
 @when('{ms:d} ms pass')
-def pass_ms(context, ms):
+def advance_clock(context, ms):
     context.clock.advance(ms)
     if 'feed' in context:
         context.feed.tick()
 
 
 @when("another router merges this router's records")
-def merges_records(context):
+def merge_records_at_other(context):
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(view.record for view in context.upstreams.all())
 
 
 @when("another router fetches this router's records")
-def fetches_records(context):
+def fetch_records_at_other(context):
     records = context.upstreams.records_since(0)
     context.other = upstreams_.UpstreamTable(context.clock, 2000, 2000)
     context.other.merge_all(
@@ -115,44 +115,44 @@
 
 
 @then('"{names}" may get new requests')
-def may_get_requests(context, names):
+def check_may_get_requests(context, names):
     assert live_names(context.upstreams) == names, live_names(
         context.upstreams
     )
 
 
 @then('at the other router "{names}" may get new requests')
-def may_get_requests_there(context, names):
+def check_may_get_requests_at_other(context, names):
     context.other.tick()
     assert live_names(context.other) == names, live_names(context.other)
 
 
 @then('"{name}" is marked as lapsed')
-def marked_lapsed(context, name):
+def check_lapsed(context, name):
     assert context.upstreams.get(name).record.state == upstreams_.LAPSED
 
 
 @then('"{name}" is marked as gone')
-def marked_gone(context, name):
+def check_gone(context, name):
     assert context.upstreams.get(name).record.state == upstreams_.GONE
 
 
 @then('after {ms:d} ms the other router has "{name}" marked as gone')
-def marked_gone_there(context, ms, name):
+def check_gone_at_other(context, ms, name):
     context.clock.advance(ms)
     context.other.tick()
     assert context.other.get(name).record.state == upstreams_.GONE
 
 
 @given('a store that answers')
-def store_answers(context):
+def create_answering_store(context):
     context.clock = clock_.ManualClock()
     context.outage = outage_.OutageTracker(context.clock, 2000)
     assert not context.outage.is_suspected()
 
 
 class CountingStore:
-    """Counts its calls and never answers."""
+    """A store that counts its calls and never answers."""
 
     def __init__(self):
         self.calls = 0
@@ -164,18 +164,18 @@
 
 
 @when('a store call was made and has then failed')
-def call_made_then_failed(context):
+def fail_made_call(context):
     context.calls_before = 1
     context.outage.record_failure('429')
 
 
 @when('another store call is made before each check')
-def other_calls(context):
+def make_other_calls(context):
     context.other_calls = 1
 
 
 @then('the store is probed at {count:d} of {checks:d} checks')
-def probed_at(context, count, checks):
+def check_probe_count(context, count, checks):
     store = CountingStore()
     store.calls = getattr(context, 'calls_before', 0)
     check = store_prober.StoreProber(store, context.outage)
@@ -186,32 +186,32 @@
 
 
 @when('a store call fails')
-def call_fails(context):
+def fail_store_call(context):
     context.outage.record_failure('silent')
 
 
 @when('a store call that started {ms:d} ms ago fails')
-def earlier_call_fails(context, ms):
+def fail_earlier_store_call(context, ms):
     context.outage.record_failure('silent', ms)
 
 
 @when('a store call is answered')
-def call_answered(context):
+def answer_store_call(context):
     context.outage.record_answer()
 
 
 @then('missing entries may be due to an outage')
-def outage_possible(context):
+def check_outage_suspected(context):
     assert context.outage.is_suspected()
 
 
 @then('missing entries are not due to an outage')
-def outage_excluded(context):
+def check_no_outage_suspected(context):
     assert not context.outage.is_suspected()
 
 
 class SilentStore:
-    """Never answers its first watch."""
+    """A store that never answers its first watch."""
 
     def __init__(self):
         self.watches = 0
@@ -238,7 +238,7 @@
 
 
 @given('a watch on a connection that stays silent')
-def silent_watch(context):
+def start_silent_watch(context):
     context.clock = clock_.ManualClock()
     context.store = SilentStore()
     context.follower = Follower()
@@ -252,20 +252,20 @@
 
 
 @when('a peer has a newer state {ms:d} ms after the watch started')
-def peer_is_newer(context, ms):
+def announce_newer_peer_state(context, ms):
     context.clock.advance(context.watch_started_at + ms - context.clock.now())
     context.watch.on_peer_ahead()
     green.sleep_ms(5)
 
 
 @then('the watch keeps waiting')
-def keeps_waiting(context):
+def check_watch_waits(context):
     assert not context.stepping.dead
     assert context.store.watches == 1
 
 
 @then('the watch has restarted and received the change')
-def restarted(context):
+def check_watch_restarted(context):
     context.stepping.wait()
     context.watch.step()
     assert context.store.watches == 2
--- a/features/steps/store_read_steps.py
+++ b/features/steps/store_read_steps.py
@@ -40,7 +40,7 @@
 }
 WAIT_MS = 1000
 LOOPBACK_MS = 5
-"""Real time in which data sent over loopback is processed by its receiver."""
+"""Real time, in ms, in which a receiver processes data sent over loopback."""
 
 OBJECT = {
     names.META: {'name': 'x', names.REVISION: 2},
@@ -96,7 +96,7 @@
     )
 
 
-def parts_of(data, count):
+def split_answer(data, count):
     """Split an answer into parts; the head is sent with the first one."""
     head, _, body = data.partition(b'\r\n\r\n')
     # Spaces after the value are valid JSON.
@@ -125,7 +125,7 @@
         context.closing.append(self._stopped.send)
 
     def _answer(self, sock, request_id, number):
-        for part in parts_of(wire_answer(self.body), self._count):
+        for part in split_answer(wire_answer(self.body), self._count):
             self.clock.advance(self._apart_ms)
             sock.sendall(part)
             self.sent += 1
@@ -137,12 +137,12 @@
 
 
 @given('a store whose answers arrive in {count:d} parts, {ms:d} ms apart')
-def answers_in_parts(context, count, ms):
+def start_slow_store(context, count, ms):
     context.slow = SlowStore(context, count, ms)
 
 
 @given('a store whose answers stop after their first part')
-def answers_stop(context):
+def start_stopping_store(context):
     context.slow = SlowStore(context, 2, stops=True)
 
 
@@ -157,31 +157,32 @@
     slow.body, call, context.expected = REQUESTS[what]
     calling = green.spawn(call, store, cloud)
     context.closing.append(calling.kill)
-    # The limit is long for each time-out here, and short for a missed one.
+    # This limit is longer than each time-out here, and shorter than the
+    # duration of a call whose time-out is missing.
     helpers.wait_until(lambda: calling.dead, 'the call is over')
     context.result = calling.wait()
     context.sent = slow.sent
 
 
-@then('the answer is complete after a single request')
-def is_complete(context):
+@then('the whole answer is received with a single request')
+def check_answer_complete(context):
     assert context.result == context.expected, context.result
     assert len(context.slow.raw.requests) == 1
 
 
-@then('the call fails as silent')
-def fails_as_silent(context):
+@then('the call fails with the reason silent')
+def check_call_silent(context):
     assert isinstance(context.result, failures.Failure), context.result
     assert context.result.reason == 'silent', context.result
 
 
 @then('the call fails after fewer than {count:d} parts')
-def fails_after_parts(context, count):
+def check_fails_before_part(context, count):
     assert context.sent < count, context.sent
 
 
 class Peer:
-    """A peer that knows one more upstream."""
+    """A peer that knows an upstream that the router does not know."""
 
     def call(self, address, method, request, *args, **kwargs):
         assert method == 'FetchUpstreams', method
@@ -205,7 +206,7 @@
 
 
 def start_router(context, watches=True):
-    """Start to follow a stand-in of the store, as one router does."""
+    """Start a router's fleet state with a stand-in of the store."""
     context.clock = clock_.ManualClock()
     context.standin = store_standin.StoreStandin()
     context.closing.append(context.standin.stop)
@@ -229,7 +230,7 @@
 
 
 @given('a router that has watched the store for {ms:d} ms')
-def has_watched(context, ms):
+def start_watching_router(context, ms):
     start_router(context)
     for kind in itertools.chain(*KINDS.values()):
         helpers.wait_until(
@@ -240,7 +241,7 @@
 
 
 @given('a router that does not watch the store')
-def does_not_watch(context):
+def start_router_without_watches(context):
     start_router(context, watches=False)
     for kind in itertools.chain(*KINDS.values()):
         helpers.wait_until(
@@ -250,7 +251,7 @@
 
 
 @when('a call of the router is rejected, and the store answers again')
-def reject_call(context):
+def reject_store_call(context):
     store = context.fleet_state.store
 
     def is_settled():
@@ -264,20 +265,20 @@
 
 
 @then('the router detects the recovery by a probe')
-def detects_recovery(context):
+def check_recovery_detected(context):
     helpers.wait_until(
         lambda: not context.fleet_state.outage.is_out, 'an answer'
     )
 
 
 @when('another call of the router fails and the next one is answered')
-def fail_and_answer(context):
+def fail_and_answer_calls(context):
     context.fleet_state.outage.record_failure('silent')
     context.fleet_state.outage.record_answer()
 
 
 @when('a call of the router is answered, and then an earlier one fails')
-def answer_then_fail(context):
+def answer_then_fail_earlier_call(context):
     context.fleet_state.outage.record_answer()
     context.clock.advance(500)
     context.fleet_state.outage.record_failure('silent', 1500)
@@ -286,7 +287,7 @@
 
 
 @when('a second peer reports an outage after long reports by a first one')
-def second_peer_reports(context):
+def report_outages_by_two_peers(context):
     fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
         context.clock, fleet_state, Peer(), lambda name, *args: None
@@ -316,7 +317,7 @@
 
 
 @then('the router has restarted the watch on the upstreams a second time')
-def restarted_twice(context):
+def check_watch_restarted_twice(context):
     helpers.wait_until(
         lambda: call_count(context, names.UPSTREAM_KIND) == 4,
         'a watch after the second outage',
@@ -324,7 +325,7 @@
 
 
 @when('a peer reports repeatedly that the store does not answer')
-def peer_reports_outage(context):
+def report_outage_repeatedly(context):
     serving = helpers.make_limits(context.clock)
     fleet_state = context.fleet_state
     catch_up = catch_up_.CatchUp(
@@ -336,18 +337,18 @@
     member = pb.Member(name='r2', incarnation=1)
     for _ in range(20):
         peering.receive(pb.Beacon(member=member, outage_felt=True))
-        # Long enough for the calls of another restart, if there were one.
+        # Long enough for the calls of another restart to arrive.
         green.sleep_ms(2 * LOOPBACK_MS)
         context.clock.advance(250)
 
 
 @then('the router has probed the store once')
-def has_probed(context):
+def check_probed_once(context):
     assert call_count(context, store_.PROBED) == 1, context.standin.app.calls
 
 
 @when('a peer announces a newer state of the upstreams')
-def newer_upstreams(context):
+def announce_newer_upstreams(context):
     catch_up = catch_up_.CatchUp(
         context.clock,
         context.fleet_state,
@@ -365,12 +366,12 @@
 
 
 @when('a peer announces a newer state of the configuration')
-def newer_configuration(context):
+def announce_newer_configuration(context):
     context.fleet_state.refresh('config')
 
 
 @then('the router restarts the watch on the {what}')
-def restarts_watch(context, what):
+def check_watch_restarted(context, what):
     for kind in KINDS[what]:
         helpers.wait_until(
             lambda kind=kind: call_count(context, kind) == 3,
@@ -379,9 +380,9 @@
 
 
 @then('the router has watched the {what} once')
-def watched_once(context, what):
-    # All watches that end do so in one iteration of the event loop; their next
-    # calls would have arrived by then.
+def check_watched_once(context, what):
+    # Watches that are restarted end in one iteration of the event loop; their
+    # next calls would arrive within this time.
     green.sleep_ms(10 * LOOPBACK_MS)
     for kind in KINDS[what]:
         assert call_count(context, kind) == 2, (
@@ -392,7 +393,7 @@
 
 
 class HalvingStore:
-    """Lists no objects; sends each half of the first watch's answer on cue."""
+    """Lists no objects; sends each half of a watch's answer when told to."""
 
     def __init__(self, context):
         self.halves = [green.Event(), green.Event()]
@@ -451,14 +452,14 @@
 
 
 @when('a peer announces a newer state {ms:d} ms later')
-def peer_ahead_later(context, ms):
+def announce_newer_state(context, ms):
     context.clock.advance(ms)
     context.watch.on_peer_ahead()
     green.sleep_ms(10 * LOOPBACK_MS)
 
 
 @then('the watch continues')
-def watch_continues(context):
+def check_watch_continues(context):
     assert not context.stepping.dead, 'the watch was ended'
 
 
@@ -469,13 +470,13 @@
 
 
 @then('the changes have been received by the first watch')
-def received_by_first(context):
+def check_received_by_first_watch(context):
     assert context.follower.names == ['x'], context.follower.names
     assert context.halving.watches == 1, context.halving.watches
 
 
 @then('the changes have been received by a second watch')
-def received_by_second(context):
+def check_received_by_second_watch(context):
     assert context.stepping.dead, 'the watch still waits'
     context.watch.step()
     assert context.halving.watches == 2, context.halving.watches
--- a/features/store_reads.feature
+++ b/features/store_reads.feature
@@ -9,7 +9,7 @@
   Scenario Outline: An answer that arrives in parts is read to its end by one request
     Given a store whose answers arrive in 5 parts, 1000 ms apart
     When the router requests <what> with a time-out of 1500 ms
-    Then the answer is complete after a single request
+    Then the whole answer is received with a single request
 
     Examples:
       | what      |
@@ -20,7 +20,7 @@
   Scenario Outline: A call fails when its answer stops arriving
     Given a store whose answers stop after their first part
     When the router requests <what> with a time-out of 200 ms
-    Then the call fails as silent
+    Then the call fails with the reason silent
 
     Examples:
       | what      |
@@ -31,13 +31,13 @@
   Scenario: A call fails when its answer never ends
     Given a store whose answers arrive in 500 parts, 1000 ms apart
     When the router requests a listing with a time-out of 1500 ms
-    Then the call fails as silent
+    Then the call fails with the reason silent
     And the call fails after fewer than 50 parts
 
   Scenario Outline: A call with a short answer has a time-out for the whole answer
     Given a store whose answers arrive in 5 parts, 1000 ms apart
     When the router requests <what> with a time-out of 1500 ms
-    Then the call fails as silent
+    Then the call fails with the reason silent
     And the call fails after fewer than 4 parts
 
     Examples:
@@ -77,8 +77,8 @@
     And the router restarts the watch on the configuration
     And the router has probed the store once
 
-  # Not observed so far, but a watch that is restarted while the store is silent waits
-  # as well.
+  # Not observed so far: a watch that is restarted while the store is silent also waits
+  # without an answer.
   Scenario: A watch that was started in an outage is restarted after it
     Given a router that has watched the store for 600 ms
     When another call of the router fails and the next one is answered
@@ -86,12 +86,12 @@
 
   # The failed call is the only sign of the silence in which the watches waited, and
   # another call was answered after it was made.
-  Scenario: A failure reported late still restarts the watches
+  Scenario: A call that fails after a later one was answered still restarts the watches
     Given a router that has watched the store for 3000 ms
     When a call of the router is answered, and then an earlier one fails
     Then the router restarts the watch on the upstreams
 
-  Scenario: A peer that is rejected for long does not hide a later outage
+  Scenario: A peer that the store rejects for long does not hide a later outage
     Given a router that has watched the store for 3000 ms
     When a second peer reports an outage after long reports by a first one
     Then the router has restarted the watch on the upstreams a second time
--- a/src/peridotmast/coordination/fleet_counts.py
+++ b/src/peridotmast/coordination/fleet_counts.py
@@ -11,7 +11,7 @@
 Apply = ty.Callable[[Counts], None]
 
 
-_OWN = -1
+_OWN_GROUP = -1
 """Key of this router's own group in the table of heads."""
 
 
@@ -117,8 +117,8 @@
         self, head: str, run: int, counts: Counts, counted: bool
     ) -> None:
         """Process the sum over all other routers, from this group's head."""
-        if self._heads.get(_OWN) != head:
-            self._heads[_OWN] = head
+        if self._heads.get(_OWN_GROUP) != head:
+            self._heads[_OWN_GROUP] = head
             self._fleet.drop(head)
         increments = self._fleet.update(head, run, counts)
         if counted:
--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -95,7 +95,7 @@
         self._revision = 0
         self._listed = False
         self._backoff_ms = _FIRST_BACKOFF_MS
-        self._wait = green.Interrupt()
+        self._watch_interrupt = green.Interrupt()
         self._silent_since: ty.Optional[int] = None
         self._outage_silent_ms = _OUTAGE_SILENT_MS
         self._log = logs.get('watch', kind=kind)
@@ -140,15 +140,11 @@
         whole wait of the watch. A watch whose answer is arriving is not
         restarted: on a slow link the answer may take longer than a beacon.
         """
-        self._restart_watch(
-            'watch_restarted_peer_ahead', _PEER_AHEAD_SILENT_MS
-        )
+        self._restart_watch('watch_overtaken', _PEER_AHEAD_SILENT_MS)
 
     def on_outage(self) -> None:
         """Restart the watch: the store may have dropped it in an outage."""
-        if self._restart_watch(
-            'watch_restarted_after_outage', self._outage_silent_ms
-        ):
+        if self._restart_watch('watch_doubted', self._outage_silent_ms):
             self._outage_silent_ms = min(
                 _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
             )
@@ -166,7 +162,7 @@
             return False
         self._log.info(event, revision=self._revision)
         self._silent_since = None
-        self._wait.fire()
+        self._watch_interrupt.fire()
         return True
 
     def _list(self) -> ty.Optional[failures.Failure]:
@@ -198,7 +194,7 @@
         """Return the changes; None if the wait was ended by a restart."""
         self._silent_since = self._clock.now()
         try:
-            with self._wait:
+            with self._watch_interrupt:
                 return self._store.watch(
                     self.kind, self._revision, _WATCH_MS, self._on_bytes
                 )
--- a/src/peridotmast/coordination/lease.py
+++ b/src/peridotmast/coordination/lease.py
@@ -264,16 +264,16 @@
         if not is_own and not self._is_available(current):
             self._is_read = False
             return None
-        keeps = is_own and (self.is_held() or not self.fencing)
+        keeps_number = is_own and (self.is_held() or not self.fencing)
         fencing = int(current.get('fencing') or 0)
         return {
             'holder': self._run,
             'router': self._router,
             'before': self._next_former_holders(current),
             'place': self._endpoint,
-            'fencing': fencing if keeps and fencing else fencing + 1,
+            'fencing': fencing if keeps_number and fencing else fencing + 1,
             'length-ms': self.length_ms,
-            'left': self._next_handover(current, keeps),
+            'left': self._next_handover(current, keeps_number),
             'nonce': f'{self._run}:{next(self._nonces)}',
         }
 
@@ -297,18 +297,20 @@
         return bool(hinted) and known and now >= self._hint_expires_at
 
     def _next_handover(
-        self, current: objects.Json, keeps: bool
+        self, current: objects.Json, keeps_number: bool
     ) -> ty.Optional[objects.Json]:
         """Return the handover state to write; at first the received one."""
-        if keeps and self.fencing:
+        if keeps_number and self.fencing:
             return self.make_handover()
         return current.get('left') or {}
 
     def _next_former_holders(self, current: objects.Json) -> dict[str, int]:
         """Return the holders before this run or its dead predecessor."""
         former = _former_holders(current)
-        same = self._is_own(current) or self._is_successor(current)
-        if current.get('router') and not same:
+        is_own_or_predecessor = self._is_own(current) or self._is_successor(
+            current
+        )
+        if current.get('router') and not is_own_or_predecessor:
             former[current['router']] = 0
         return former
 
--- a/src/peridotmast/coordination/members.py
+++ b/src/peridotmast/coordination/members.py
@@ -26,7 +26,7 @@
 of beacons in a large fleet."""
 
 _DISCOVERED_MS = 5000
-"""How long a peer that has sent no beacon yet may still be running."""
+"""Time for which a peer without a beacon so far counts as running."""
 
 _FORGET_MS = 60_000
 """How long a silent member is kept: longer than the network partitions that
--- a/src/peridotmast/router/catch_up.py
+++ b/src/peridotmast/router/catch_up.py
@@ -231,7 +231,7 @@
         if now - since < grace_ms or subject in self._fetching:
             return
         self._fetching.add(subject)
-        self._spawn(f'fetch_{subject}', self._run_fetch, subject, fetch)
+        self._spawn(f'ask_{subject}', self._run_fetch, subject, fetch)
 
     def _run_fetch(self, subject: str, fetch: ty.Callable[[], bool]) -> None:
         try:
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -1,4 +1,4 @@
-"""Serves copies of the configuration to peers, packed and rate-limited."""
+"""Sends copies of the configuration to peers, packed and rate-limited."""
 
 from __future__ import annotations
 
@@ -65,19 +65,19 @@
 
     def reply_to(self, req: pb.ConfigRequest) -> pb.ConfigReply:
         """Return the parts a peer lacks, or a delay and holders of a copy."""
-        routes, own = self._config.routes, self._config.product
+        routes, product = self._config.routes, self._config.product
         reply = pb.ConfigReply(
-            config_version=routes.version, document_version=own.version
+            config_version=routes.version, document_version=product.version
         )
         lacks = (
             routes.version > req.known_version,
-            own.version > req.known_document,
+            product.version > req.known_document,
         )
         if not any(lacks):
             return reply
-        if self._held_versions != (routes.version, own.version):
+        if self._held_versions != (routes.version, product.version):
             # Holders of the previous version do not have this one.
-            self._held_versions = routes.version, own.version
+            self._held_versions = routes.version, product.version
             self._holders.clear()
         wait_ms = self._wait_ms()
         if wait_ms:
@@ -89,7 +89,7 @@
             if req.peer_address:
                 self._holders.append(req.peer_address)
         self._log.info(
-            'config_copy_sent' if not wait_ms else 'config_copy_deferred',
+            'config_given' if not wait_ms else 'config_put_off',
             peer=req.peer_address,
             version=routes.version,
             known=req.known_version,
@@ -107,17 +107,17 @@
         reply: pb.ConfigReply,
         packed: bool,
         lacks_routes: bool,
-        lacks_own: bool,
+        lacks_product: bool,
     ) -> None:
-        routes, own = self._config.routes, self._config.product
+        routes, product = self._config.routes, self._config.product
         if lacks_routes and packed:
             reply.packed_config = self._pack('routes', routes)
         elif lacks_routes:
             reply.config = _serialized(routes)
-        if lacks_own and packed:
-            reply.packed_document = self._pack('own', own)
-        elif lacks_own:
-            reply.document = _serialized(own)
+        if lacks_product and packed:
+            reply.packed_document = self._pack('product', product)
+        elif lacks_product:
+            reply.document = _serialized(product)
 
     def _pack(self, name: str, part: config_feed_.ConfigPart) -> bytes:
         """Return the packed text of a part, packed once per version."""
--- a/src/peridotmast/router/config_fetcher.py
+++ b/src/peridotmast/router/config_fetcher.py
@@ -83,21 +83,21 @@
 class _Versions(ty.NamedTuple):
     """Versions of the two parts of a configuration.
 
-    `routes` is the version of the platform's object, `own` the version of the
-    product's own document.
+    `routes` is the version of the platform's object, `product` the version of
+    the product document.
     """
 
     routes: int = 0
-    own: int = 0
+    product: int = 0
 
     def is_ahead_of(self, other: _Versions) -> bool:
         """Return whether either part is newer than in `other`."""
-        return self.routes > other.routes or self.own > other.own
+        return self.routes > other.routes or self.product > other.product
 
     def merged(self, other: _Versions) -> _Versions:
         """Return the newer version of each part."""
         return _Versions(
-            max(self.routes, other.routes), max(self.own, other.own)
+            max(self.routes, other.routes), max(self.product, other.product)
         )
 
 
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass
-class _KnownPeer:
+class _PeerAhead:
     """A peer that has a newer version, as it or another router reported."""
 
     versions: _Versions
@@ -163,13 +163,13 @@
         self._me = me
         self._spawn = spawn
         self._random = random.Random(me.name)
-        self._peers_ahead: dict[str, _KnownPeer] = {}
+        self._peers_ahead: dict[str, _PeerAhead] = {}
         self._newest_reported = _NO_VERSIONS
         self._ignored_until: dict[str, int] = {}
         self._unreadable = _Unreadable()
         self._calls_started_at: dict[str, int] = {}
         self._is_reading_store = False
-        self._log = logs.get('config_fetcher', router=me.name)
+        self._log = logs.get('config_asking', router=me.name)
 
     def record_versions(
         self, address: str, version: int, document: int
@@ -182,7 +182,7 @@
         if not versions.is_ahead_of(self._versions_in_force()):
             return
         self._newest_reported = self._newest_reported.merged(versions)
-        peer = self._peers_ahead.setdefault(address, _KnownPeer(versions, now))
+        peer = self._peers_ahead.setdefault(address, _PeerAhead(versions, now))
         peer.versions = peer.versions.merged(versions)
         peer.heard_at = now
 
@@ -197,9 +197,9 @@
         while self._newest_reported.is_ahead_of(self._versions_to_skip()):
             address = self._choose_peer()
             if address:
-                self._spawn('fetch_from_peer', self.fetch_from, address)
+                self._spawn('ask_peer', self.fetch_from, address)
             if self._clock.now() >= read_at and not self._is_reading_store:
-                self._spawn('fetch_from_store', self._fetch_from_store)
+                self._spawn('ask_store', self._fetch_from_store)
                 read_at = self._next_store_read_at()
             pause = (
                 _POLL_INTERVAL_MS
@@ -293,17 +293,17 @@
                 is_updated = self._config.offer_routes(
                     json.loads(routes), source
                 )
-            own = _unpacked_text(reply.packed_document, reply.document)
-            if own:
+            product = _unpacked_text(reply.packed_document, reply.document)
+            if product:
                 is_updated |= self._config.offer_product(
-                    reply.document_version, json.loads(own), source
+                    reply.document_version, json.loads(product), source
                 )
         except (ValueError, RecursionError) as exc:
             self._log.error(
                 'peer_reply_malformed', peer=address, error=str(exc)[:200]
             )
             return FetchResult.FAILED
-        if not is_updated and (routes or own):
+        if not is_updated and (routes or product):
             self._skip_unreadable(
                 _Versions(reply.config_version, reply.document_version)
             )
@@ -316,13 +316,13 @@
         until = self._clock.now() + _IGNORE_MS
         self._unreadable = _Unreadable(found, until)
         self._log.warning(
-            'config_unparseable', version=found.routes, document=found.own
+            'config_unparseable', version=found.routes, document=found.product
         )
 
     def _fetch_from_store(self) -> None:
         """Read the outdated part from the store, which overrides peers."""
         known, claimed = self._versions_in_force(), self._newest_reported
-        part = 'routes' if claimed.routes > known.routes else 'own'
+        part = 'routes' if claimed.routes > known.routes else 'product'
         # Only claims that were made before the store was read.
         claims = {a: peer.versions for a, peer in self._peers_ahead.items()}
         self._is_reading_store = True
--- a/src/peridotmast/router/drain.py
+++ b/src/peridotmast/router/drain.py
@@ -13,8 +13,7 @@
 _POLL_MS = 50
 _MIN_ACCEPT_MS = 1500
 """Minimum time for which connections are accepted. Callers that do not know of
-the stop yet connect again a few times in this period, and learn of the stop
-from the answers."""
+the stop yet connect again a few times in this period, and learn of it."""
 
 _ACCEPT_ALL_MS = 2000
 """How long every request is still accepted. Callers keep a resolved address
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -33,14 +33,14 @@
 """Name of the source of the totals that a member receives from its head."""
 
 
-class _Role(ty.NamedTuple):
+class _GroupRole(ty.NamedTuple):
     """How a router receives the counts of the other routers."""
 
-    split: bool
+    is_split: bool
     """Whether the fleet is split into groups."""
-    leads: bool
+    is_head: bool
     """Whether this router is the head of its group."""
-    groups: int
+    group_count: int
 
 
 class Peering:
@@ -107,7 +107,7 @@
         )
         """Builds the beacons that are sent in rounds."""
         self._gaps = report_gaps_.ReportGaps(clock, serving.quota.max_spends)
-        self._role = _Role(False, False, 1)
+        self._role = _GroupRole(False, False, 1)
         self._group_heard_at: dict[int, int] = {}
         serving.quota.count_routers = serving.retry_budget.routers = (
             members.sharer_count
@@ -213,7 +213,7 @@
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether requests at other routers may end before a report."""
+        """Return whether load elsewhere may end before it is reported here."""
         return self._groups.is_grouped()
 
     def is_outage_suspected(self) -> bool:
@@ -229,7 +229,7 @@
             self._table.set_peer_load(news.router, news.load)
 
     def _apply_totals(self, beacon: pb.Beacon) -> None:
-        """Apply the totals in a beacon that this router uses of its sender."""
+        """Apply the totals that this router takes from the beacon's sender."""
         name, run = beacon.member.name, beacon.member.incarnation
         clock = self._fleet_state.fleet_clock
         split = self._groups.is_grouped()
@@ -327,15 +327,15 @@
         another source, and must not add any count twice.
         """
         split = self._groups.is_grouped()
-        role = _Role(
+        role = _GroupRole(
             split, split and groups.is_head, groups.count if split else 1
         )
         previous, self._role = self._role, role
-        if role.leads and not previous.leads:
+        if role.is_head and not previous.is_head:
             self.rounds.start_leading()
-        if role.leads or not split:
+        if role.is_head or not split:
             self._fleet_state.fleet_clock.use_own_median()
-        if role.groups != previous.groups:
+        if role.group_count != previous.group_count:
             keep_all = not split
             self._totals.retain_members(
                 lambda name: keep_all or groups.is_member(name)
@@ -344,10 +344,10 @@
             self._totals.change_source()
             self._gaps.reset(self._shares(groups) if split else ())
             self._log.info(
-                'group_role_changed',
-                groups=role.groups,
+                'role',
+                groups=role.group_count,
                 group=groups.own_group if split else 0,
-                leads=role.leads,
+                leads=role.is_head,
             )
 
 
--- a/src/peridotmast/router/router.py
+++ b/src/peridotmast/router/router.py
@@ -325,7 +325,7 @@
         )
         self._tasks.spawn('join', self._catch_up.join, self.cfg.seeds)
         every('beacons', self.cfg.beacon_ms, self.beacons.send_round)
-        every('housekeeping', _HOUSEKEEPING_MS, self._run_housekeeping)
+        every('keep_house', _HOUSEKEEPING_MS, self._run_housekeeping)
         every('lease', _LEASE_TICK_MS, self._duty_holder.keep_lease)
         every('duties', _DUTY_TICK_MS, self._duty_holder.run_duties)
 
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -47,7 +47,7 @@
         self._spends = fleet_counts.FleetCounts(
             self._quota.spent, self._quota.subtract_peer_spends
         )
-        self._offered = fleet_counts.FleetCounts(
+        self._demand_tokens = fleet_counts.FleetCounts(
             self._demand.counts, self._demand.count_from_peers
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
@@ -70,7 +70,9 @@
             spends=_spends(self._spends.group_total()),
             loads=_to_messages(_summed(self._members_loads())),
             usage=self._usage.group_counts(),
-            demand=_demand(self._offered.group_total(), self._prefill_rates()),
+            demand=_demand(
+                self._demand_tokens.group_total(), self._prefill_rates()
+            ),
         )
 
     def totals_for_members(
@@ -87,7 +89,7 @@
         rows = zip(
             members,
             self._spends.totals_without(members),
-            self._offered.totals_without(members),
+            self._demand_tokens.totals_without(members),
             self._usage.others_counts(members),
             strict=True,
         )
@@ -115,7 +117,7 @@
             Otherwise they are only kept in case this router becomes the head.
         """
         self._spends.receive(router, run, _by_team(totals), counted)
-        self._offered.receive(router, run, _by_service(totals), counted)
+        self._demand_tokens.receive(router, run, _by_service(totals), counted)
         self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
@@ -127,7 +129,7 @@
     ) -> None:
         """Update the totals of another group from its head."""
         self._spends.receive_group(group, head, run, _by_team(totals), counted)
-        self._offered.receive_group(
+        self._demand_tokens.receive_group(
             group, head, run, _by_service(totals), counted
         )
         self._usage.merge_group(group, totals.usage)
@@ -141,7 +143,9 @@
     ) -> None:
         """Update the totals of all other routers from this router's head."""
         self._spends.receive_fleet(head, run, _by_team(totals), counted)
-        self._offered.receive_fleet(head, run, _by_service(totals), counted)
+        self._demand_tokens.receive_fleet(
+            head, run, _by_service(totals), counted
+        )
         self._usage.merge_fleet(totals.usage)
         if counted:
             self._table.set_peer_loads(_FLEET_NAME, totals.loads)
@@ -161,7 +165,7 @@
     def change_source(self) -> None:
         """Take the other routers' counts from another source from now on."""
         self._spends.reset_sources()
-        self._offered.reset_sources()
+        self._demand_tokens.reset_sources()
 
     def prune(
         self,
@@ -184,7 +188,7 @@
             Whether this router takes the load of all others from its head.
         """
         self._spends.retain(known)
-        self._offered.retain(known)
+        self._demand_tokens.retain(known)
         self._demand.retain_routers(known)
         self._loads = {r: v for r, v in self._loads.items() if r in heard}
         self._group_loads = {
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -66,7 +66,7 @@
         'duties',
     ),
     Mutation(
-        'restart the duties with a handover of this same run',
+        'apply a handover that this run has written',
         COORDINATION + 'lease.py',
         "self.received_handover = None if was_own else spec['left']",
         "self.received_handover = spec['left']",
@@ -80,14 +80,14 @@
         'fleet',
     ),
     Mutation(
-        'keep an own entry that has another location',
+        'keep an own entry with an outdated location',
         COORDINATION + 'registry.py',
         'if own is not None and _is_location_current(own, me):',
         'if own is not None:',
         'fleet',
     ),
     Mutation(
-        'read the other entries only before writing the own one',
+        'do not read the entries after writing the own one',
         COORDINATION + 'registry.py',
         'return self._discover() is not None',
         'return True',
@@ -101,7 +101,7 @@
         'groups',
     ),
     Mutation(
-        'trust a new head that routers are missing',
+        'let a new head report routers as missing at once',
         ROUTER + 'beacon_rounds.py',
         'base.others_alive = head_ms < _HEAD_WARMUP_MS',
         'base.others_alive = False',
@@ -449,7 +449,7 @@
     Mutation(
         'keep the fencing number for a new holder',
         COORDINATION + 'lease.py',
-        "'fencing': fencing if keeps and fencing else fencing + 1,",
+        "'fencing': fencing if keeps_number and fencing else fencing + 1,",
         "'fencing': max(1, fencing),",
         'lease',
     ),
@@ -498,12 +498,12 @@
     Mutation(
         'drop the former holders at each acquisition',
         COORDINATION + 'lease.py',
-        'former = _former_holders(current)\n        same',
-        'former = {}\n        same',
+        'former = _former_holders(current)\n        is_own_or_predecessor',
+        'former = {}\n        is_own_or_predecessor',
         'lease',
     ),
     Mutation(
-        "take over any router's lease",
+        'attempt a takeover from any holder',
         COORDINATION + 'lease.py',
         'if not self._may_take_over(self._current()):',
         'if False:',
@@ -518,7 +518,7 @@
         'lease',
     ),
     Mutation(
-        'bind the lease to no place',
+        'set no endpoint for the lease',
         ROUTER + 'router.py',
         'self.lease.set_endpoint(\n            endpoint_identity.of_address('
         'self.beacons.address)\n        )',
@@ -807,21 +807,21 @@
         'groups',
     ),
     Mutation(
-        'keep waiting watches after an outage',
+        'do not restart waiting watches after an outage',
         COORDINATION + 'outage.py',
         "self._log.info('store_recovered')\n        self.on_recovery()",
         "self._log.info('store_recovered')",
         'store_reads',
     ),
     Mutation(
-        'keep waiting watches when a peer reports an outage',
+        "do not restart watches at a peer's outage report",
         COORDINATION + 'outage_reports.py',
         'self._on_outage()',
         'pass',
         'store_reads',
     ),
     Mutation(
-        'date a failure by the end of its call',
+        'measure the age of a failure from its end',
         COORDINATION + 'outage.py',
         'if self._clock.now() - age_ms < self._answered_at:',
         'if False:',
@@ -861,9 +861,9 @@
         'groups',
     ),
     Mutation(
-        'keep the baseline of a head after another has reported',
+        'keep the baseline of a head after another one reports',
         COORDINATION + 'fleet_counts.py',
-        'if self._heads.get(_OWN) != head:',
+        'if self._heads.get(_OWN_GROUP) != head:',
         'if False:',
         'groups',
     ),
@@ -931,7 +931,7 @@
         'spread',
     ),
     Mutation(
-        'leave the watch to routers that the store refuses',
+        'add no watchers while the store refuses routers',
         ROUTER + 'fleet_state.py',
         'self.watchers.is_outage_suspected = is_outage_suspected',
         'pass',
@@ -966,7 +966,7 @@
         'spread',
     ),
     Mutation(
-        'start with the same seed as all other routers',
+        'call the seeds in the same order at all routers',
         ROUTER + 'catch_up.py',
         'random.Random(self._members.me.name).shuffle(addresses)',
         'pass',
