--- a/src/peridotmast/coordination/kind_watch.py
+++ b/src/peridotmast/coordination/kind_watch.py
@@ -1,4 +1,4 @@
-"""Follows the store's objects of one kind, through outages of the store."""
+"""Follows changes of one kind of stored objects, also across outages."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
 from peridotmast import logs
 
 _WATCH_MS = 25_000
-"""Longest wait of a watch: each return is a call that is billed. A silent
-connection is detected by probes of its own, not by this timeout."""
+"""Maximum time that a watch waits for changes: each watch is a billed call. A
+silent connection is detected by separate probes, not by this timeout."""
 
 _FIRST_BACKOFF_MS = 250
 _MAX_BACKOFF_MS = 1000
-"""Pauses between retries while the store does not answer: rejected calls are
-billed like others, and a change must be in force within two seconds."""
+"""First and longest pause between retries while the store does not answer:
+rejected calls are billed like answered ones, and a change must be in force
+within two seconds."""
 
 _BATCH_MS = 200
 """Pause after changes before the next watch, so that a burst of changes costs
 a few calls and not one each."""
 
 _PEER_AHEAD_SILENT_MS = 2000
-"""Minimum time without data after which a watch is restarted because a peer
-has newer state. Earlier restarts would be of no use while the store rejects
-this router's calls, and would discard the received part of an answer."""
+"""Minimum silence of a watch before a peer's newer state restarts it: every
+restart fails while the store rejects this router's calls, and after a restart
+the store sends the received part of an answer again."""
 
 _OUTAGE_SILENT_MS = 500
 _MAX_OUTAGE_SILENT_MS = 4000
-"""Minimum time without data after which a watch is restarted because the store
-had an outage when the watch started, or may have had one. The time is doubled
-at each restart until data arrives, so that a slow answer is received even
-while calls alternately fail and succeed."""
+"""Minimum silence of a watch before an outage restarts it: the watch may have
+been started while the store did not answer. The minimum is doubled at each
+restart until bytes arrive, so that an answer that takes long is received even
+while other calls fail and succeed in turn."""
 
 _ROLE_CHECK_MS = 500
-"""Time between two checks whether this router is to watch."""
+"""Interval at which a router that does not watch checks if it should."""
 
 
 class WatchListener(ty.Protocol):
@@ -47,11 +48,11 @@
         """Process all objects of the kind."""
 
     def on_changes(self, changes: objects.Changes, after_outage: bool) -> None:
-        """Process the objects that have changed since."""
+        """Process the objects that have changed since the last call."""
 
 
 class KindWatch:
-    """Lists a kind, then watches it, and lists it again when necessary.
+    """Lists a kind, watches it for changes, and lists it again if needed.
 
     Parameters
     ----------
@@ -94,7 +95,7 @@
         self._revision = 0
         self._listed = False
         self._backoff_ms = _FIRST_BACKOFF_MS
-        self._wait = green.Interrupt()
+        self._watch_interrupt = green.Interrupt()
         self._silent_since: ty.Optional[int] = None
         self._outage_silent_ms = _OUTAGE_SILENT_MS
         self._log = logs.get('watch', kind=kind)
@@ -119,7 +120,7 @@
             self._backoff_ms = _FIRST_BACKOFF_MS
             return
         if failure.reason == objects.HISTORY_GONE:
-            # Any object may have changed in the part that the store dropped.
+            # The changes that the store dropped may concern any object.
             self._log.info('history_gone', revision=self._revision)
             self._listed = False
             return
@@ -133,16 +134,16 @@
         self._backoff_ms = min(_MAX_BACKOFF_MS, self._backoff_ms * 2)
 
     def on_peer_ahead(self) -> None:
-        """Restart the watch, as a peer has changes that it has not returned.
+        """Restart the watch: a peer has changes that the watch lacks.
 
         A connection on which the store once failed may stay silent for the
-        whole wait of the watch. A watch whose answer is arriving continues: on
-        a slow link the answer may take longer than a peer's beacon.
+        whole wait of the watch. A watch whose answer is arriving is not
+        restarted: on a slow link the answer may take longer than a beacon.
         """
         self._restart_watch('watch_overtaken', _PEER_AHEAD_SILENT_MS)
 
     def on_outage(self) -> None:
-        """Restart the watch, which the store may have lost in an outage."""
+        """Restart the watch: the store may have dropped it in an outage."""
         if self._restart_watch('watch_doubted', self._outage_silent_ms):
             self._outage_silent_ms = min(
                 _MAX_OUTAGE_SILENT_MS, 2 * self._outage_silent_ms
@@ -161,7 +162,7 @@
             return False
         self._log.info(event, revision=self._revision)
         self._silent_since = None
-        self._wait.fire()
+        self._watch_interrupt.fire()
         return True
 
     def _list(self) -> ty.Optional[failures.Failure]:
@@ -193,7 +194,7 @@
         """Return the changes; None if the wait was ended by a restart."""
         self._silent_since = self._clock.now()
         try:
-            with self._wait:
+            with self._watch_interrupt:
                 return self._store.watch(
                     self.kind, self._revision, _WATCH_MS, self._on_bytes
                 )
--- a/src/peridotmast/router/config_copies.py
+++ b/src/peridotmast/router/config_copies.py
@@ -1,4 +1,4 @@
-"""Serves copies of the configuration to peers, packed and rate-limited."""
+"""Sends copies of the configuration to peers, packed and rate-limited."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 to callers."""
 
 _BURST_BYTES = 128_000
-"""Bytes that may be sent in a burst, a fifth of a second of the slowest link:
-four copies of 1,600 routes, or any number of small ones."""
+"""Bytes that may be sent in a burst; they take a fifth of a second on the
+slowest link. They suffice for four copies with 1,600 routes, or for any number
+of small copies."""
 
 _MAX_HOLDERS = 8
-"""Peers that recently received a copy and are named to the others. Deferred
-peers turn to them, so that the number of sources grows with each copy."""
+"""Maximum number of recent recipients of a copy that are named to other peers.
+Deferred peers request a copy from them, so that the number of sources grows
+with each copy."""
 
 
 class ConfigCopies:
@@ -62,20 +64,20 @@
         self._log = logs.get('config_copies', router=router)
 
     def reply_to(self, req: pb.ConfigRequest) -> pb.ConfigReply:
-        """Return the newer parts, or a delay and peers that hold a copy."""
-        routes, own = self._config.routes, self._config.product
+        """Return the parts a peer lacks, or a delay and holders of a copy."""
+        routes, product = self._config.routes, self._config.product
         reply = pb.ConfigReply(
-            config_version=routes.version, document_version=own.version
+            config_version=routes.version, document_version=product.version
         )
         lacks = (
             routes.version > req.known_version,
-            own.version > req.known_document,
+            product.version > req.known_document,
         )
         if not any(lacks):
             return reply
-        if self._held_versions != (routes.version, own.version):
+        if self._held_versions != (routes.version, product.version):
             # Holders of the previous version do not have this one.
-            self._held_versions = routes.version, own.version
+            self._held_versions = routes.version, product.version
             self._holders.clear()
         wait_ms = self._wait_ms()
         if wait_ms:
@@ -105,17 +107,17 @@
         reply: pb.ConfigReply,
         packed: bool,
         lacks_routes: bool,
-        lacks_own: bool,
+        lacks_product: bool,
     ) -> None:
-        routes, own = self._config.routes, self._config.product
+        routes, product = self._config.routes, self._config.product
         if lacks_routes and packed:
             reply.packed_config = self._pack('routes', routes)
         elif lacks_routes:
             reply.config = _serialized(routes)
-        if lacks_own and packed:
-            reply.packed_document = self._pack('own', own)
-        elif lacks_own:
-            reply.document = _serialized(own)
+        if lacks_product and packed:
+            reply.packed_document = self._pack('product', product)
+        elif lacks_product:
+            reply.document = _serialized(product)
 
     def _pack(self, name: str, part: config_feed_.ConfigPart) -> bytes:
         """Return the packed text of a part, packed once per version."""
@@ -127,7 +129,7 @@
         return data
 
     def _wait_ms(self) -> int:
-        """Return the time until another copy may be sent, in ms; 0 if now."""
+        """Return the time until the next copy may be sent, in ms; 0 if now."""
         now = self._clock.now()
         refilled = (now - self._refilled_at) * _MAX_RATE
         self._budget = min(_BURST_BYTES, self._budget + refilled)
--- a/src/peridotmast/router/peering.py
+++ b/src/peridotmast/router/peering.py
@@ -1,4 +1,4 @@
-"""State exchange between routers: beacons in and out, and their effects."""
+"""Exchange of state between routers by sending and applying beacons."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from peridotmast.serving import upstream_view
 
 _GROUP_TIMEOUT_MS = 2000
-"""Silence after which a group's load is dropped and another head may be
-accepted: four of its beacons."""
+"""Silence of a head after which its group's load is dropped and another head
+may be accepted: four beacon intervals of a head."""
 
 _GROUPS_TTL_MS = 500
 """How long the computed groups are cached: one round."""
 
 _FLEET_SOURCE = 'fleet'
-"""Source of the totals that a group member receives from its head."""
+"""Name of the source of the totals that a member receives from its head."""
 
 
-class _Role(ty.NamedTuple):
+class _GroupRole(ty.NamedTuple):
     """How a router receives the counts of the other routers."""
 
-    split: bool
+    is_split: bool
     """Whether the fleet is split into groups."""
-    leads: bool
+    is_head: bool
     """Whether this router is the head of its group."""
-    groups: int
+    group_count: int
 
 
 class Peering:
@@ -52,7 +52,7 @@
     Parameters
     ----------
     clock : clock.Clock
-        Times silences and reports of outages.
+        Measures the silence of peers and the age of outage reports.
     fleet_state : fleet_state.FleetState
         State from the store, and the members.
     serving : serving.Serving
@@ -60,9 +60,9 @@
     totals : shared_totals.SharedTotals
         Counts of all routers.
     lease : lease.Lease
-        The lease on the duties.
+        The lease on the fleet-wide duties, such as scaling.
     catch_up : catch_up.CatchUp
-        Fetches missing state from peers that are ahead.
+        Fetches missing state from peers with newer state.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
         )
         """Builds the beacons that are sent in rounds."""
         self._gaps = report_gaps_.ReportGaps(clock, serving.quota.max_spends)
-        self._role = _Role(False, False, 1)
+        self._role = _GroupRole(False, False, 1)
         self._group_reported_at: dict[int, int] = {}
         serving.quota.count_routers = serving.retry_budget.routers = (
             members.limit_sharer_count
@@ -219,7 +219,7 @@
         )
 
     def has_delayed_totals(self) -> bool:
-        """Return whether others' load may be over before it is reported."""
+        """Return whether load elsewhere may end before it is reported here."""
         return self._groups.is_grouped()
 
     def is_outage_suspected(self) -> bool:
@@ -272,7 +272,7 @@
         reporter: tuple[str, int],
         groups: groups_.GroupSnapshot,
     ) -> None:
-        """Record a report, and add the estimate for the time before it."""
+        """Record a source's report, and estimate spends that it lacks."""
         share = self._fleet_shares(groups).get(source, 0.0)
         self._totals.add_estimates(
             self._gaps.on_report(source, reporter, share)
@@ -281,8 +281,8 @@
     def _fleet_shares(self, groups: groups_.GroupSnapshot) -> dict[str, float]:
         """Return the share of the fleet that each source reports on.
 
-        Only live routers are included: what the others might spend is
-        accounted for by `Quota.known_share`.
+        Only routers whose beacons arrive are included: the possible spends of
+        missing routers are deducted from the limits elsewhere.
         """
         fleet_size = self._members.limit_sharer_count()
         if not groups.is_head:
@@ -298,10 +298,10 @@
     def _accepts(self, head: str) -> bool:
         """Return whether the totals of `head` are accepted.
 
-        Two routers may briefly both act as the head; what both report counts
-        only once. The router that is the head in this router's view is
-        accepted at once, any other one only after the accepted head has been
-        silent.
+        Two routers may briefly both act as the head of this group; the totals
+        of only one of them are used. The router that is the head in this
+        router's view is accepted at once, any other router only after the
+        accepted head has been silent.
         """
         now = self._clock.now()
         accepted, at = self._accepted_head
@@ -331,19 +331,19 @@
     def _update_role(self, groups: groups_.GroupSnapshot) -> None:
         """Record whether this router is a head, and the number of groups.
 
-        A new role may change the source of the other routers' counts, which
-        must not count any of them twice.
+        In a new role this router may take the other routers' counts from
+        another source, and must not add any count twice.
         """
         split = self._groups.is_grouped()
-        role = _Role(
+        role = _GroupRole(
             split, split and groups.is_head, groups.count if split else 1
         )
         previous, self._role = self._role, role
-        if role.leads and not previous.leads:
+        if role.is_head and not previous.is_head:
             self.rounds.start_leading()
-        if role.leads or not split:
+        if role.is_head or not split:
             self._fleet_state.fleet_clock.use_own_median()
-        if role.groups != previous.groups:
+        if role.group_count != previous.group_count:
             keep_all = not split
             self._totals.retain_members(
                 lambda name: keep_all or groups.is_member(name)
@@ -353,12 +353,12 @@
             self._gaps.reset(self._fleet_shares(groups) if split else ())
             self._log.info(
                 'role',
-                groups=role.groups,
+                groups=role.group_count,
                 group=groups.own_group if split else 0,
-                leads=role.leads,
+                leads=role.is_head,
             )
 
 
 def _group_source(group: int) -> str:
-    """Return the source of the totals that a head receives for a group."""
+    """Return the name of the source of a group's totals at other heads."""
     return f'group-{group}'
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -10,8 +10,8 @@
 from peridotmast.serving import upstreams as upstreams_
 
 _FLEET_NAME = '|fleet'
-"""Name under which a member enters the load of all other routers as its head
-reports it; no router can have this name."""
+"""Name under which a group member stores the load of all other routers, as its
+head reports it. No router can have this name."""
 
 Loads = ty.Iterable[pb.UpstreamLoad]
 
@@ -25,7 +25,7 @@
 
 
 class SharedTotals:
-    """Counts of this router, of its live peers, and of the whole fleet.
+    """Counts of this router, of its peers, of groups and of the whole fleet.
 
     Parameters
     ----------
@@ -47,7 +47,7 @@
         self._spends = fleet_counts.FleetCounts(
             self._quota.spent, self._quota.subtract_peer_spends
         )
-        self._offered = fleet_counts.FleetCounts(
+        self._demand_tokens = fleet_counts.FleetCounts(
             self._demand.counts, self._demand.count_from_peers
         )
         self._loads: dict[str, list[pb.UpstreamLoad]] = {}
@@ -71,7 +71,7 @@
             loads=_load_messages(_sum_loads(self._members_loads())),
             usage=self._usage.group_counts(),
             demand=_demand_messages(
-                self._offered.group_total(), self._prefill_rates()
+                self._demand_tokens.group_total(), self._prefill_rates()
             ),
         )
 
@@ -80,8 +80,9 @@
     ) -> ty.Iterator[tuple[str, pb.Totals]]:
         """Yield for each of `members` the totals of all routers except it.
 
-        The sum over all is computed once, and each member's own part is
-        subtracted: separate sums would cost time quadratic in the group size.
+        The sum over all routers is computed once, and each member's own part
+        is subtracted: separate sums would take time quadratic in the group's
+        size.
         """
         loads = _sum_loads(
             [*self._members_loads(), *self._group_loads.values()]
@@ -90,7 +91,7 @@
         rows = zip(
             members,
             self._spends.totals_excluding_each(members),
-            self._offered.totals_excluding_each(members),
+            self._demand_tokens.totals_excluding_each(members),
             self._usage.others_counts(members),
             strict=True,
         )
@@ -118,7 +119,9 @@
             Otherwise they are only kept in case this router becomes the head.
         """
         self._spends.receive(router, run, _tokens_by_team(totals), counted)
-        self._offered.receive(router, run, _tokens_by_service(totals), counted)
+        self._demand_tokens.receive(
+            router, run, _tokens_by_service(totals), counted
+        )
         self._usage.merge_router(router, run, totals.usage)
         self._loads[router] = list(totals.loads)
         if counted:
@@ -132,7 +135,7 @@
         self._spends.receive_group(
             group, head, run, _tokens_by_team(totals), counted
         )
-        self._offered.receive_group(
+        self._demand_tokens.receive_group(
             group, head, run, _tokens_by_service(totals), counted
         )
         self._usage.merge_group(group, totals.usage)
@@ -146,7 +149,7 @@
     ) -> None:
         """Update the totals of all other routers from this router's head."""
         self._spends.receive_fleet(head, run, _tokens_by_team(totals), counted)
-        self._offered.receive_fleet(
+        self._demand_tokens.receive_fleet(
             head, run, _tokens_by_service(totals), counted
         )
         self._usage.merge_fleet(totals.usage)
@@ -155,7 +158,7 @@
             self._update_prefill_rates(head, totals)
 
     def add_estimates(self, spends: dict[str, int]) -> None:
-        """Add estimated spends of routers whose reports are missing."""
+        """Add the estimated spends of routers whose reports are missing."""
         if spends:
             self._spends.add_estimate(spends)
 
@@ -168,7 +171,7 @@
     def change_source(self) -> None:
         """Take the other routers' counts from another source from now on."""
         self._spends.reset_sources()
-        self._offered.reset_sources()
+        self._demand_tokens.reset_sources()
 
     def prune(
         self,
@@ -183,15 +186,15 @@
         ----------
         known : collection of str
             Routers whose counts are kept.
-        live : collection of str
+        heard : collection of str
             Routers whose own reports of their load are kept.
         groups : collection of int
             Groups whose load is kept.
         follows : bool
-            Whether a head reports the load of all other routers.
+            Whether this router takes the load of all others from its head.
         """
         self._spends.retain(known)
-        self._offered.retain(known)
+        self._demand_tokens.retain(known)
         self._demand.retain_routers(known)
         self._loads = {r: v for r, v in self._loads.items() if r in live}
         self._group_loads = {
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -67,7 +67,7 @@
         'duties',
     ),
     Mutation(
-        'restart the duties with a handover of this same run',
+        'apply a handover that this run has written',
         COORDINATION + 'lease.py',
         "self.received_handover = None if was_own else spec['left']",
         "self.received_handover = spec['left']",
@@ -88,7 +88,7 @@
         'fleet',
     ),
     Mutation(
-        'read the other entries only before writing the own one',
+        'do not read the entries after writing the own one',
         COORDINATION + 'registry.py',
         'return self._discover() is not None',
         'return True',
@@ -451,7 +451,7 @@
     Mutation(
         'keep the fencing number for a new holder',
         COORDINATION + 'lease.py',
-        "'fencing': fencing if keeps and fencing else fencing + 1,",
+        "'fencing': fencing if keeps_number and fencing else fencing + 1,",
         "'fencing': max(1, fencing),",
         'lease',
     ),
@@ -500,12 +500,12 @@
     Mutation(
         'drop the former holders at each acquisition',
         COORDINATION + 'lease.py',
-        'former = _former_holders(current)\n        same',
-        'former = {}\n        same',
+        'former = _former_holders(current)\n        is_own_or_predecessor',
+        'former = {}\n        is_own_or_predecessor',
         'lease',
     ),
     Mutation(
-        "take over any router's lease",
+        'attempt a takeover from any holder',
         COORDINATION + 'lease.py',
         'if not self._may_take_over(self._current()):',
         'if False:',
@@ -656,7 +656,7 @@
     Mutation(
         'accept a beacon with negative numbers',
         COORDINATION + 'beacon_check.py',
-        'if any(number < 0 for number in _counts(beacon)):',
+        'if any(number < 0 for number in _non_negative_numbers(beacon)):',
         'if False:',
         'entries',
     ),
@@ -747,8 +747,8 @@
     Mutation(
         "leave a head's estimate out of its members' totals",
         COORDINATION + 'fleet_counts.py',
-        """        _add(self._elsewhere, counts)
-        self._apply(counts)""",
+        '        _add(self._outside_group, counts)\n'
+        '        self._apply(counts)',
         '        self._apply(counts)',
         'groups',
     ),
@@ -809,14 +809,14 @@
         'groups',
     ),
     Mutation(
-        'keep waiting watches after an outage',
+        'do not restart waiting watches after an outage',
         COORDINATION + 'outage.py',
         "self._log.info('store_recovered')\n        self.on_recovery()",
         "self._log.info('store_recovered')",
         'store_reads',
     ),
     Mutation(
-        'keep waiting watches when a peer reports an outage',
+        "do not restart watches at a peer's outage report",
         COORDINATION + 'outage_reports.py',
         'self._on_outage()',
         'pass',
@@ -863,7 +863,7 @@
         'groups',
     ),
     Mutation(
-        'keep the baseline of a head after another has reported',
+        'keep the baseline of a head after another one reports',
         COORDINATION + 'fleet_counts.py',
         'if self._heads.get(_OWN_GROUP) != head:',
         'if False:',
@@ -933,7 +933,7 @@
         'spread',
     ),
     Mutation(
-        'leave the watch to routers that the store refuses',
+        'add no watchers while the store refuses routers',
         ROUTER + 'fleet_state.py',
         'self.watchers.is_outage_suspected = is_outage_suspected',
         'pass',
@@ -968,7 +968,7 @@
         'spread',
     ),
     Mutation(
-        'start with the same seed as all other routers',
+        'call the seeds in the same order at all routers',
         ROUTER + 'catch_up.py',
         'random.Random(self._members.me.name).shuffle(addresses)',
         'pass',
