--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -371,7 +371,7 @@
     table = make_table(context.clock, 2)
     context.selector = make_scored_placement(table)
     context.reservation = context.selector.choose(make_exchange('b0'), SERVICE)
-    context.reservation.mark_prompt_read()
+    context.reservation.mark_prefill_ended()
 
 
 @then(
@@ -571,7 +571,7 @@
 
 @when('the prefill of the prompt ends')
 def prefill_ends(context):
-    context.reservation.mark_prompt_read()
+    context.reservation.mark_prefill_ended()
 
 
 @then('the other routers know of {tokens:d} tokens waiting for prefill there')
--- a/src/peridotmast/client/caller.py
+++ b/src/peridotmast/client/caller.py
@@ -54,11 +54,12 @@
 
 
 class Caller:
-    """Sends requests to any of the routers that the fleet names.
+    """Sends each request to a random router of those that the fleet lists.
 
-    A refused request did not run and is retried after the retry time of the
-    refusal; so is one whose connection could not be opened. A request that
-    may have run is retried only if it is idempotent.
+    A refused request did not run and is retried after the retry time that the
+    refusal states. A request whose connection could not be opened did not run
+    either and is retried. A request that may have run is retried only if it
+    is idempotent.
 
     Parameters
     ----------
@@ -67,7 +68,7 @@
     key : str
         API key of the team.
     failure_domain : str
-        Failure domain of the caller, so that near routers are preferred.
+        Failure domain of the caller, whose routers are listed first.
     seed : int, optional
         Seed of the choice of routers and of the request ids. Without a seed
         both are random.
--- a/src/peridotmast/failures.py
+++ b/src/peridotmast/failures.py
@@ -21,7 +21,7 @@
 
     CONFLICT = 'conflict'
     """A concurrent change, or a different body under the same id, prevents
-    it."""
+    the operation."""
 
     MISSING = 'missing'
     """The requested object does not exist."""
--- a/src/peridotmast/router/quota_borrowing.py
+++ b/src/peridotmast/router/quota_borrowing.py
@@ -108,7 +108,7 @@
         finally:
             del self._pending[number]
         if lent is False:
-            self._quota.note_lender_empty(team)
+            self._quota.note_lending_exhausted(team)
         return bool(lent)
 
     def _lend(
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -87,7 +87,7 @@
             members,
             self._spends.totals_without(members),
             self._offered.totals_without(members),
-            self._usage.others_counts(members),
+            self._usage.counts_excluding_each(members),
             strict=True,
         )
         for member, spent, offered, used in rows:
--- a/src/peridotmast/serving/candidates.py
+++ b/src/peridotmast/serving/candidates.py
@@ -19,8 +19,8 @@
 _PROBES = 24
 """Number of points at which a prefix is looked up on the hash ring. With one
 probe, the busiest upstream would be the home of several times as many prefixes
-as the mean; with 24, of about 1.1 times as many (multi-probe consistent
-hashing, Appleton and O'Reilly, 2015)."""
+as the average upstream; with 24 probes, it is the home of about 1.1 times as
+many (multi-probe consistent hashing, Appleton and O'Reilly, 2015)."""
 
 _POINT_BYTES = 8
 _RING_SIZE = 1 << (8 * _POINT_BYTES)
@@ -33,10 +33,11 @@
     """The live upstreams of one service, as candidates for one router.
 
     Prompts with the same prefix have the same home upstream on every router,
-    without any communication: upstreams are placed on a hash ring by the hash
-    of their run, and the home of a prefix is the upstream with the shortest
-    distance after one of the probe points of the prefix. When an upstream
-    starts or leaves, only the prefixes of that upstream change their home.
+    without any communication between routers. Upstreams are placed on a hash
+    ring by the hash of the name of their run. The home of a prefix is the
+    upstream that follows one of the probe points of the prefix at the shortest
+    distance. When an upstream starts or leaves, only the prefixes whose home
+    it is change their home.
 
     Parameters
     ----------
@@ -66,7 +67,8 @@
     def homes(self, prefix: str) -> list[upstream_view.UpstreamView]:
         """Return the homes of a prompt prefix, in order of preference.
 
-        Each upstream is the home while those before it are not usable.
+        An upstream serves as the home only while all upstreams before it in
+        the list are unusable.
 
         Parameters
         ----------
--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -19,43 +19,45 @@
 """Number of crashes at which a request is blocked."""
 
 MAX_RETRIES = 2
-"""Retries allowed for a blocked request. All routers together may send it at
-most 3 times after its last crash; the third allows for a lease that changes
-hands before the previous holder's update arrives."""
+"""Retries allowed for a blocked request. All routers together may send it up
+to 3 times after its last crash: once more than this if the lease of the duties
+passes to a router that has not yet received the previous holder's update."""
 
 RETRY_DELAY_MS = 600_000
 """Time after the last crash before a blocked request is retried."""
 
 _CONFIRMATION_MS = 3000
-"""Time after the last crash within which an upstream that has only lost its
-connections is expected to answer other requests, which clears it."""
+"""Time after a broken connection within which an upstream that has not crashed
+is expected to answer another request, in ms. That answer shows that only the
+connection has failed."""
 
 _CONFIRMATION_RETRY_MS = 1000
-"""Retry time that callers are given within `_CONFIRMATION_MS`: a crash may yet
-prove to be only a broken connection."""
+"""Retry time given to callers within `_CONFIRMATION_MS` of the last crash, in
+ms: the crash may turn out to be only a broken connection."""
 
 _SIMULTANEOUS_MS = 250
-"""Losses of upstreams within this time of the first count as one crash if the
-request had been sent to each of them before the first was lost: the upstreams
-were lost together, not one after another because of the request."""
+"""Upstreams that are lost within this time after the first one, in ms, count
+as one crash of a request that was sent to all of them before the first loss:
+they were lost together, not one after another because of the request."""
 
 RETENTION_MS = 3_600_000
-"""Time without a crash or a refusal after which a request is forgotten."""
+"""Time after the last crash or refusal of a request until it is no longer
+tracked, in ms."""
 
 MAX_SUSPECTS = 1024
 """Maximum number of tracked requests, about 600 bytes each."""
 
 _RETAINED_SHARE = 0.75
-"""Share of `MAX_SUSPECTS` that remains after an eviction."""
+"""Fraction of `MAX_SUSPECTS` that is kept by an eviction."""
 
 _MAX_CRASHES = 16
 """Maximum number of crashes recorded per request."""
 
 _UPDATE_MS = 5000
 _MAX_UPDATES = 32
-"""How long a change is included in beacons, and for how many requests at most.
-The time covers as many beacons as may be lost in a row; the updates take less
-than 1.5 kB compressed."""
+"""Time for which a changed request is included in beacons, in ms, and maximum
+number of requests in one beacon. The time spans as many beacons as may be lost
+in a row; 32 requests take less than 1.5 kB compressed."""
 
 _CRASH_REASONS = frozenset(('broke_off', 'cut_short', 'upstream_restarted'))
 """Failure reasons that indicate a crash regardless of the upstream's state."""
@@ -89,13 +91,13 @@
     answered_at: int = _NEVER
     """Time of the last complete answer, in ms."""
     retries: int = 0
-    """Number of times it was sent while blocked."""
+    """Number of times that the request was sent while blocked."""
     seen_at: int = _NEVER
     """Time of the last crash or refusal, in ms."""
     changed_at: int = _NEVER
-    """Time of the last change to send to peers, in ms."""
+    """Time of the last change that peers must learn of, in ms."""
     is_blocked: bool = False
-    """Whether it was blocked at the last evaluation."""
+    """Whether the last evaluation of its crashes blocked the request."""
 
 
 class CrashTracker:
@@ -103,11 +105,11 @@
 
     A request that has crashed `BLOCK_THRESHOLD` upstreams is refused by every
     router that knows of the crashes. Routers exchange the crashes of a request
-    as a set of runs of upstreams and join these sets by union, so duplicate,
+    as a set of runs of upstreams and merge these sets by union, so duplicate,
     late or relayed updates have no further effect. A broken connection counts
     as a crash until the same run of the upstream answers a request that was
-    sent to it later. A complete answer at any router discards the earlier
-    crashes of the request.
+    sent after the connection broke. A complete answer at any router discards
+    the earlier crashes of the request.
 
     A crash also interrupts the other requests running at the upstream, which
     may then be resent to the same upstreams as the request that causes the
@@ -115,8 +117,9 @@
     answered if it is attributed to another request: one that the upstream was
     not answering yet, and that has at most one crash fewer.
 
-    Only the holder of the duties retries a blocked request, and rarely, so
-    that a request blocked by mistake does not remain blocked indefinitely.
+    So that a request blocked by mistake does not remain blocked indefinitely,
+    the router that holds the lease of the fleet's duties retries blocked
+    requests, but rarely.
 
     Parameters
     ----------
@@ -134,13 +137,15 @@
         """Send time of the latest answered request, in ms, by run of an
         upstream; only runs with a recorded crash."""
         self.changes = 0
-        """Incremented when the blocked requests or their retries change."""
+        """Number of times that the set of blocked requests or the number of
+        their retries has changed."""
         self.relays_updates: ty.Callable[[], bool] = lambda: False
-        """Returns whether this router relays updates from peers."""
+        """Returns whether this router relays crash updates between peers."""
         self.may_retry: ty.Callable[[], bool] = lambda: False
         """Returns whether this router may retry a blocked request."""
         self.notify_peers: ty.Callable[[], None] = lambda: None
-        """Called when peers must be updated at once."""
+        """Called when a crash update must be sent to peers at once, without
+        waiting for the next beacon."""
         self.on_block: ty.Callable[[ids.Fingerprint], None] = lambda f: None
         """Called when a request becomes blocked."""
 
@@ -245,7 +250,7 @@
         return 0
 
     def updates(self) -> list[pb.CrashSuspect]:
-        """Return the blocked and recently changed requests for peers."""
+        """Return the blocked or recently changed requests, for peers."""
         if not self._suspects:
             return []
         cutoff = self._clock.now() - _UPDATE_MS
@@ -268,7 +273,7 @@
         ]
 
     def merge_updates(self, updates: ty.Iterable[pb.CrashSuspect]) -> None:
-        """Merge updates from another router."""
+        """Merge the tracked requests that another router has sent."""
         for message in updates:
             self._merge(message)
 
@@ -328,8 +333,9 @@
     def _add_crash(self, suspect: _Suspect, run: str, crash: _Crash) -> bool:
         """Add a crash, and return whether it was new.
 
-        Of two reports on the same run, the earlier one is kept, as it is
-        closer to the crash. A discounted report gives way to a later one.
+        If the crash of a run is reported twice, the earlier report is kept,
+        as its time is closer to the actual crash. A discounted report is
+        replaced by a later report.
         """
         known = suspect.crashes.get(run)
         if known is None and len(suspect.crashes) >= _MAX_CRASHES:
@@ -345,14 +351,18 @@
     def _is_discounted(
         self, suspect: _Suspect, run: str, crash: _Crash
     ) -> bool:
-        """Return whether a later answer clears the upstream or the request."""
+        """Return whether a crash does not count because of a later answer.
+
+        Either the same run of the upstream has answered a request that was
+        sent later, or this request has received a complete answer later.
+        """
         answered_at = max(
             suspect.answered_at, self._last_answered.get(run, _NEVER)
         )
         return crash.at < answered_at
 
     def _valid_crashes(self, suspect: _Suspect) -> _CrashesByRun:
-        """Return the crashes that no later answer clears."""
+        """Return the crashes that count despite later answers."""
         return {
             run: crash
             for run, crash in suspect.crashes.items()
@@ -364,9 +374,10 @@
     ) -> _CrashesByRun:
         """Return the crashes that are not attributed to another request.
 
-        Crashes are not attributed to a request with fewer of them, which may
-        only have been waiting at one of the upstreams. One fewer is allowed,
-        as the last crash of that request may not be known yet.
+        Crashes are not attributed to a request that has more than one crash
+        fewer than this one: it may only have been queued at one of the
+        upstreams. A difference of one is allowed, as the last crash of the
+        other request may not be known yet.
         """
         answered = [run for run, c in crashes.items() if c.was_answering]
         if not answered:
@@ -404,7 +415,7 @@
         return _count_crashes(remaining) >= BLOCK_THRESHOLD
 
     def _update_block(self, suspect: _Suspect) -> bool:
-        """Return whether a request is blocked; log and report a change."""
+        """Return whether a request is blocked; log it if that has changed."""
         is_blocked = self._has_reached_threshold(suspect)
         if is_blocked != suspect.is_blocked:
             suspect.is_blocked = is_blocked
@@ -439,7 +450,10 @@
         return message
 
     def _evict(self) -> None:
-        """Remove the oldest requests above the limit, blocked ones last."""
+        """Remove the oldest requests if there are more than `MAX_SUSPECTS`.
+
+        Blocked requests are removed only after all others.
+        """
         if len(self._suspects) <= MAX_SUSPECTS:
             return
         order = sorted(
--- a/src/peridotmast/serving/demand.py
+++ b/src/peridotmast/serving/demand.py
@@ -16,8 +16,8 @@
 
 
 _MIN_SPAN_S = 2.0
-"""Minimum duration of a rate measurement, in s: over a shorter time after the
-start, one burst would show a multiple of the actual demand."""
+"""Minimum time by which a token count is divided, in s: just after a start, a
+burst divided by a shorter time would give a multiple of the actual demand."""
 
 _SAMPLE_MS = 1000
 """Interval between two samples of the rate, in ms."""
@@ -57,8 +57,8 @@
     def prefill_rate(self, service: str) -> ty.Optional[float]:
         """Return the prefill rate of `service`, in tokens per ms.
 
-        The median of the estimates of all routers; None if no router has
-        enough samples.
+        This is the median of the estimates of all routers; None if no router
+        has enough samples.
         """
         own = self._prefill_rates.tokens_per_ms(service)
         found = [rates.get(service, 0) for rates in self._peer_rates.values()]
@@ -102,7 +102,7 @@
         }
 
     def tick(self) -> None:
-        """Record the current totals as reference points of later rates."""
+        """Store the current token totals, from which rates are computed."""
         now = self._clock.now()
         self._reference_points.append((now, dict(self._total)))
         while (
--- a/src/peridotmast/serving/exchange.py
+++ b/src/peridotmast/serving/exchange.py
@@ -1,4 +1,4 @@
-"""A request that a router has accepted, independent of the API it used."""
+"""A request that a router has accepted, through any of its APIs."""
 
 from __future__ import annotations
 
--- a/src/peridotmast/serving/gateway.py
+++ b/src/peridotmast/serving/gateway.py
@@ -25,9 +25,9 @@
 
 _STALE_CONFIG_RETRY_MS = 300
 """Retry time sent by a router that knows that its configuration is outdated,
-in ms. With the slow links of the feature `spread`, a large configuration
-spreads from 31 to 252 of 330 routers in this time, and the retry goes to any
-router."""
+in ms. In this time, a large configuration spreads from 31 to 252 of 330
+routers over the slow links of `features/spread.feature`, and a caller may
+retry at any router."""
 
 _OTHER_ROUTER_RETRY_MS = 50
 """Retry time if the caller only has to use another router, in ms."""
@@ -49,7 +49,8 @@
     arrived_at: int
     """Time of arrival on the router's clock, in ms."""
     caller_timeout_ms: int
-    """Time that the caller waits after arrival, in ms; 0 if not stated."""
+    """Time for which the caller waits for the response after the request has
+    arrived, in ms; 0 if the caller does not state it."""
     prompt: exchange_.Prompt
     caller: exchange_.Caller
     route: ty.Optional[pb.Route] = None
@@ -104,9 +105,10 @@
         self.config_is_stale: ty.Callable[[], bool] = lambda: False
         """Return whether a peer is known to use a newer configuration."""
         self.take_quota: ty.Callable[[str, int], int] = quota.take
-        """Deduct tokens of a team; return 0 or the time to wait, in ms."""
+        """Deduct tokens from a team's limit and return 0, or return the time
+        after which to retry, in ms."""
         self.in_flight = 0
-        """Number of admitted requests whose responses have not ended."""
+        """Number of requests in progress, until their responses have ended."""
 
     def drain(self, accept_all_until: int, stops_at: int) -> None:
         """Stop accepting requests that may outlast this router.
@@ -114,8 +116,9 @@
         Parameters
         ----------
         accept_all_until : int
-            Time until which all requests are accepted, in ms. Later ones
-            are accepted only if their deadline is not after `stops_at`.
+            Time until which all requests are accepted, in ms. A request that
+            arrives later is accepted only if its deadline is not after
+            `stops_at`.
         stops_at : int
             Time at which the router stops, in ms.
         """
--- a/src/peridotmast/serving/health.py
+++ b/src/peridotmast/serving/health.py
@@ -8,8 +8,9 @@
 from peridotmast import clock as clock_
 
 _FAILURE_THRESHOLD = 2
-"""Consecutive failures at which the breaker opens: a single failure may be due
-to one connection only, and each further failure costs a caller its answer."""
+"""Number of consecutive failures that open the breaker: a single failure may
+be due to one connection only, and each further failure leaves another caller
+without an answer."""
 
 _MIN_OPEN_MS = 250
 _MAX_OPEN_MS = 4000
@@ -19,8 +20,8 @@
 probe."""
 
 _HALF_LIFE_MS = 2000
-"""Age at which an outcome counts half; periods of failures last a few
-seconds."""
+"""Age at which the outcome of a request has half its initial weight, in ms:
+periods of failures last a few seconds."""
 
 _PRIOR_SUCCESSES = 4.0
 """Number of successes assumed in advance, so that the first failure of a new
--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -26,36 +26,36 @@
 second, within which a slot or enough memory becomes free."""
 
 _FAILURE_TOKENS = 200_000
-"""Penalty of a failure share of 1, in prompt tokens: an upstream that fails a
-tenth of its requests ranks like one with 20,000 more tokens (0.4 s) to
-prefill."""
+"""Penalty of an upstream that fails all of its requests, in prompt tokens. An
+upstream that fails a tenth of its requests ranks like one with 20,000 more
+tokens (0.4 s) to prefill."""
 
 _SILENCE_GRACE_MS = 300
-"""Silence of an upstream with requests of this router that is not penalised,
-in ms: the upstream may be prefilling a long prompt."""
+"""Time for which an upstream with requests of this router may send nothing
+without a penalty, in ms: it may be prefilling a long prompt."""
 
 _SILENCE_TOKENS_PER_MS = 40
-"""Penalty of each further ms of silence, in prompt tokens. An upstream that
-has failed may report nothing; after one second of silence it ranks like one
-with 28,000 more tokens to prefill."""
+"""Penalty for each ms after `_SILENCE_GRACE_MS` in which an upstream sends
+nothing, in prompt tokens. A failed upstream may send no error; after one
+second of silence, it ranks like one with 28,000 more tokens to prefill."""
 
 _OTHER_DOMAIN_TOKENS = 100
-"""Penalty of another failure domain, in prompt tokens: traffic between failure
-domains is charged for, and a round trip takes a few milliseconds."""
+"""Penalty of an upstream in another failure domain, in prompt tokens: traffic
+between failure domains is charged for, and a round trip takes a few ms."""
 
 _REPORTED_PROMPT_TOKENS = 1000
 """Minimum length of a prompt, in tokens, whose arrival and completion are sent
-to the other routers at once. Three in five late first tokens had waited behind
-prompts that no beacon had reported yet. Without these immediate updates, the
-mean worth of four experiment days (see `tools/days_table.py`) was lower by
-0.05 of what was owed. Shorter prompts are prefilled before the other routers
-could use the update."""
+to the other routers at once. Three in five first tokens that were late had
+waited behind prompts that no beacon had reported yet. Without these immediate
+updates, the mean result of four experiment days was lower by 0.05 (column
+`worth` of `tools/days_table.py`, as a fraction of what was owed for the day).
+Shorter prompts are prefilled before the other routers could use the update."""
 
 _COMPARED_WHEN_STALE = 3
 """Number of upstreams, besides the home, that are compared while the load data
 of other routers is stale. With fresh data, two random choices are nearly as
 good as comparing all upstreams; with stale data they are better (Mitzenmacher,
-2000). The third makes up for one that may be slow."""
+2000). The third upstream is added because one of the three may be slow."""
 
 LoadListener = ty.Callable[[upstream_view.UpstreamView], None]
 
@@ -196,7 +196,7 @@
     is_home: bool = False
     """Whether the upstream is the home of the prompt's prefix."""
     running: int = 0
-    """Known requests of all routers at the upstream."""
+    """Number of requests of all routers known to run at the upstream."""
     unread: int = 0
     """Prompt tokens waiting for prefill at the upstream."""
 
@@ -238,7 +238,7 @@
         if self._reports_end:
             on_load_change(view)
 
-    def mark_prompt_read(self) -> None:
+    def mark_prefill_ended(self) -> None:
         """Record the first event of the answer: the prefill has ended."""
         self.view.remove_load(upstream_view.Load(unread=self._load.unread))
         self._load.unread = 0
@@ -285,8 +285,8 @@
         self._candidates: dict[str, candidates_.Candidates] = {}
         self._random = random.Random(router)
         self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
-        """Returns whether the load data of other routers is stale: it is older
-        than the requests that it describes usually last."""
+        """Returns whether the load data of other routers is stale: older than
+        the usual duration of a request."""
         self.on_load_change: LoadListener = lambda view: None
         """Called with an upstream when this router's load there has changed
         enough to affect the selection of other routers."""
--- a/src/peridotmast/serving/prefill_rate.py
+++ b/src/peridotmast/serving/prefill_rate.py
@@ -34,7 +34,8 @@
 estimate of the fixed overhead."""
 
 _SHORT_QUANTILE = 0.25
-"""Fraction of the short samples that is free of disturbances."""
+"""Quantile of the short samples that is taken as the fixed overhead: this
+fraction of the samples is free of disturbances."""
 
 
 class PrefillRates:
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -28,25 +28,28 @@
 
 STARTUP_WAIT_MS = 1000
 LARGE_FLEET_STARTUP_WAIT_MS = 2000
-"""How long a starting router waits for a peer to report the levels: four
-beacon intervals, which are twice as long in a large fleet. If no peer has
-reported them by then, no router was running before."""
+"""Time for which a starting router waits for a peer to report the levels of
+the token buckets, in ms: four beacon intervals, which are twice as long in a
+large fleet. If no peer has reported any level by then, the router assumes that
+no other router was running before."""
 
 _STARTUP_RETRY_MS = 500
-"""Retry time given to callers during this wait: one beacon interval."""
+"""Retry time given to callers while a starting router waits for the levels, in
+ms: one beacon interval."""
 
 _UNLENT_SHARE = 0.25
-"""Share of its own part that a router of a large fleet may spend until it
-knows the level: enough for the smallest requests. The rest is lent by the head
-of its group to the members that receive more requests."""
+"""Fraction of its part of a team's limit that a router of a large fleet may
+spend until it knows the level of the bucket: enough for the smallest requests.
+The head of its group lends the rest to the members that receive more
+requests."""
 
 _ADMISSION_SHARE = 0.5
-"""Share of a request's tokens that must be available for its admission. With
-0, a long request leaves a debt that delays dozens of short ones; with 1, short
-ones keep the level below what a long one needs. On experiment days on which a
-team asks for twice its limit, 87, 40 and 22 of 1,000 requests were refused at
-shares of 0, 0.5 and 1, and the worst-served kind of request was served best
-at 0.5."""
+"""Fraction of a request's tokens that must be available for its admission.
+With 0, a long request leaves a debt that delays dozens of short requests; with
+1, short requests keep the level below the need of a long one. On experiment
+days on which a team asks for twice its limit, 87, 40 and 22 of 1,000 requests
+were refused at fractions of 0, 0.5 and 1, and the worst-served kind of request
+was served best at 0.5."""
 
 
 @dataclasses.dataclass
@@ -72,7 +75,7 @@
     lent: int = 0
     """Tokens that this router has lent as the head of a group."""
     borrowed: int = 0
-    """Tokens spent by this router that the head has lent to it."""
+    """Tokens spent by this router that were lent by the head of its group."""
     is_lending_exhausted: bool = False
     """Whether the head of a group had too few tokens left to lend."""
 
@@ -114,14 +117,17 @@
         self._is_started = False
         self._started_at = 0
         self.known_share = 1.0
-        """Share of the fleet that this router hears, including itself."""
+        """Fraction of the routers in the fleet whose beacons this router
+        receives, counting itself."""
         self.count_routers: ty.Callable[[], int] = lambda: 1
         """Returns the number of routers known to this one."""
         self.startup_wait_ms = STARTUP_WAIT_MS
-        """How long this router waits for peers to report levels, in ms."""
+        """Time for which this router waits after its start for a peer to
+        report the levels, in ms."""
         self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
-        """Returns whether the spending of peers is known so late that routers
-        pace requests while the level is low, and heads of groups lend."""
+        """Returns whether the spending of peers is known with so much delay
+        that routers pace requests while the level is low, and that heads of
+        groups lend tokens."""
 
     def configure(self, teams: ty.Iterable[pb.Team]) -> None:
         """Apply the limits of the teams."""
@@ -209,7 +215,7 @@
             bucket.borrowed += tokens
         self._spent[team] = self._spent.get(team, 0) + tokens
 
-    def note_lender_empty(self, team: str) -> None:
+    def note_lending_exhausted(self, team: str) -> None:
         """Record that the head had too few tokens to lend for a team."""
         bucket = self._buckets.get(team)
         if bucket is not None:
@@ -248,17 +254,17 @@
                 bucket.level = min(bucket.burst, bucket.level - tokens)
 
     def max_spends(self, share: float, since: int) -> dict[str, int]:
-        """Return the tokens that a share of the routers may have spent.
+        """Return the most tokens that some of the routers may have spent.
 
-        This is their share of the tokens gained since a time. A full bucket
-        gains no tokens.
+        By team: the same fraction of the tokens that its bucket has gained
+        since a time. A full bucket gains no tokens.
 
         Parameters
         ----------
         share : float
-            Share of the fleet, from 0 to 1.
+            These routers as a fraction of the fleet, from 0 to 1.
         since : int
-            Start of the time span, in ms.
+            Time from which the gained tokens count, in ms.
         """
         now = self._clock.now()
         found = {}
@@ -269,7 +275,7 @@
         return found
 
     def tick(self) -> None:
-        """End the wait for the levels of peers once its time is over."""
+        """Estimate unknown levels once the wait for peers has timed out."""
         if not self._is_starting():
             for team, bucket in self._buckets.items():
                 self._estimate_level(team, bucket)
@@ -291,8 +297,8 @@
         """Set unknown levels to those that a peer reports.
 
         The peer may or may not have subtracted the tokens already spent by
-        this router. These are its own part at most, and are not subtracted
-        again.
+        this router. They amount to at most this router's part of the limit,
+        and are not subtracted again.
         """
         now = self._clock.now()
         for team, tokens in levels.items():
@@ -302,13 +308,14 @@
                 bucket.is_known = True
 
     def _is_starting(self) -> bool:
-        """Return whether the time to wait for the levels is not over yet."""
+        """Return whether this router still waits for peers after its start."""
         return self._clock.now() - self._started_at < self.startup_wait_ms
 
     def _estimate_level(self, team: str, bucket: _Bucket) -> None:
         """Estimate the level from this router's own spending.
 
-        Without a report from a peer, no router was running before.
+        If no peer has reported the level, no other router was running before
+        this one started.
         """
         if bucket.is_known:
             return
@@ -323,12 +330,12 @@
             bucket.level = min(bucket.level, remaining)
 
     def _own_part(self, bucket: _Bucket) -> float:
-        """Return the tokens that this router may spend while it waits."""
+        """Return this router's part of a limit while it waits for peers."""
         ms = min(self.startup_wait_ms, self._clock.now() - self._started_at)
         return (bucket.burst + bucket.rate * ms / 1000) / self.count_routers()
 
     def _wait_ms(self, team: str, bucket: _Bucket, tokens: int) -> int:
-        """Return how long a request has to wait, in ms; 0 if it need not."""
+        """Return how long a request must wait, in ms; 0 if it is admitted."""
         self.tick()
         bucket.fill(self._clock.now(), self.known_share, self.count_routers())
         needed = _tokens_needed(bucket, tokens)
--- a/src/peridotmast/serving/retry_budget.py
+++ b/src/peridotmast/serving/retry_budget.py
@@ -8,8 +8,9 @@
 from peridotmast import clock as clock_
 
 _USED_SHARE = 0.8
-"""Fraction of the fleet's budget that is used: routers start their windows
-at different times, and an interrupted request may not have been counted."""
+"""Fraction of the allowed retries that is used. The rest is a margin, as the
+windows of routers start at different times and an interrupted request may not
+have been counted."""
 
 
 class RetryBudget:
@@ -26,7 +27,8 @@
     ratio : float
         Retries allowed per request.
     window_ms : int
-        Length of the window in which both are counted, in ms.
+        Length of the window in which requests and retries are counted, in
+        ms.
     slack : float
         Additional retries of the whole fleet in a window.
     """
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -20,10 +20,11 @@
 from peridotmast.wire import pool as pool_
 
 _MAX_FOREIGN_RESPONSES = 3
-"""Responses to other requests that are skipped in one attempt."""
+"""Maximum number of responses to other requests that one attempt skips."""
 
 _MAX_FOREIGN_BYTES = 1 << 20
-"""Largest body of such a response that is read and discarded."""
+"""Largest body of a response to another request that is read and discarded, in
+bytes."""
 
 Verdict = dialect_.Verdict
 
--- a/src/peridotmast/serving/stream_migrator.py
+++ b/src/peridotmast/serving/stream_migrator.py
@@ -21,12 +21,12 @@
 cache. A migration takes tens of ms, which leaves time for a second attempt."""
 
 _REPORT_LAG_MS = 400
-"""Time after which the report of an engine shows that it is leaving, in ms:
-reports are a few hundred ms old."""
+"""Time until the status report of a leaving engine shows that it leaves, in
+ms: an engine's report is a few hundred ms old when it is read."""
 
 _END_MARGIN_MS = 250
-"""Margin by which a stream must be expected to end before the upstream
-disappears to stay there, in ms."""
+"""A stream is not migrated if it is expected to end at least this long before
+its upstream disappears, in ms."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,7 +36,8 @@
     location: str
     """Location of the KV cache, as engines name it."""
     is_at_target: bool
-    """Whether the target engine holds it; otherwise the source still does."""
+    """Whether the target engine holds the KV cache; if not, the source engine
+    still holds it."""
 
 
 class EngineControl(ty.Protocol):
@@ -45,7 +46,7 @@
     def remaining_ms(
         self, address: str, born: int
     ) -> ty.Union[int, failures.Failure]:
-        """Return how long an engine remains, in ms; 0 if it is unknown.
+        """Return the time until an engine disappears, in ms; 0 if unknown.
 
         Parameters
         ----------
@@ -62,9 +63,9 @@
 class StreamMigrator:
     """Migrates the streams of this router when an upstream leaves.
 
-    A stream that is expected to end in time stays. The others resume at
-    another engine with a copy of their KV cache, so that neither prefill nor
-    generated tokens are recomputed.
+    A stream that is expected to end before its upstream disappears is not
+    migrated. All other streams resume at another engine with a copy of their
+    KV cache, so that neither prefill nor generated tokens are recomputed.
 
     Parameters
     ----------
@@ -81,8 +82,8 @@
     spawn : callable
         Starts a named task.
     drain_ms : int
-        Time that an upstream remains after its notice if it does not state
-        one, in ms.
+        Time from the notice that an upstream is leaving until it disappears,
+        in ms; used if the upstream does not state this time.
     """
 
     def __init__(
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -22,7 +22,7 @@
 from peridotmast.wire import event_reader
 
 _MIGRATION_WAIT_MS = 1500
-"""Time limit for a migration to end after its stream stopped, in ms."""
+"""Time limit for a migration to finish once its stream has stopped, in ms."""
 
 _STALL_GAPS = 4
 """Multiple of the route's target gap after which a stream counts as stalled:
@@ -39,7 +39,7 @@
     sender : sender.Sender
         Sends the resume request to another upstream.
     places : placement.Placement
-        Selects that upstream.
+        Selects the upstream at which a stream is resumed.
     budget : retry_budget.RetryBudget
         Limits how often streams are resumed.
     crashes : crash_tracker.CrashTracker
@@ -143,7 +143,7 @@
                 continue
             stream.sent.reservation.view.note_activity()
             stream.feed(data)
-        stream.sent.reservation.mark_prompt_read()
+        stream.sent.reservation.mark_prefill_ended()
         stream.sent.reservation.view.health.record_success()
         return None
 
@@ -295,7 +295,7 @@
         """The attempt that currently supplies the events."""
         self.reader = event_reader.EventReader()
         self.tried: set[str] = {sent.reservation.view.name}
-        """Upstreams at which the stream was run from the prompt."""
+        """Names of the upstreams that have prefilled the prompt."""
         self.pending = b''
         """Received events that were not forwarded yet."""
         self.ended = False
--- a/src/peridotmast/serving/upstream_limits.py
+++ b/src/peridotmast/serving/upstream_limits.py
@@ -16,17 +16,19 @@
 _BURST_S = 2.0
 _BURST_REQUESTS = 3.0
 """Burst of all routers together: the requests of `_BURST_S` seconds and
-`_BURST_REQUESTS` more. Within 4 s, the rate and this burst permit 2 requests
-fewer than the allowed 1.5 times the rate and 5 requests."""
+`_BURST_REQUESTS` more. Within 4 s, the rate and this burst permit 6 times the
+rate and 3 requests. This is 2 requests fewer than allowed: 1.5 times the rate
+over 4 s, and 5 requests."""
 
 _MIN_RATE = 0.1
-"""Requests per second sent under a lower limit; without any request, no router
-would learn that the limit is lifted."""
+"""Requests per second that are sent to an upstream even if its limit is lower;
+without any request, no router would learn that the limit is lifted."""
 
 _TIMESTAMP_ERROR_MS = 200
-"""Maximum error of the time of another router's update, which is late by its
-transit time. A contradicting update must be newer by this much, or two
-routers would keep adopting each other's value."""
+"""Maximum error of the time at which another router read a limit, in ms: the
+time is computed from the age in the update, which leaves out the transit time.
+A different limit must be newer by this much to be adopted; otherwise, two
+routers would keep adopting each other's limit."""
 
 _REFRESH_MS = 1000
 """Minimum interval between two refreshes of an unchanged limit."""
@@ -59,7 +61,7 @@
     changed_at: int = 0
     """Time at which this router learned the current value, in ms."""
     share: float = 0.0
-    """Requests per second of this router."""
+    """This router's share of the rate, in requests per second."""
     burst: float = 0.0
     """Maximum number of requests that this router sends at once."""
     tokens: float = 0.0
@@ -105,7 +107,8 @@
         self._previous_routers = self._routers
         """Known routers before the last membership change."""
         self.notify_peers: ty.Callable[[], None] = lambda: None
-        """Called when peers must be updated at once."""
+        """Called when a changed limit must be sent to peers at once, without
+        waiting for the next beacon."""
 
     def __len__(self) -> int:
         """Return the number of limits kept."""
@@ -173,7 +176,7 @@
             limit.tokens -= 1
 
     def updates(self) -> list[pb.UpstreamLimit]:
-        """Return the limits for peers, the most recently changed first."""
+        """Return the limits to send to peers, most recently changed first."""
         if not self._limits:
             return []
         now = self._clock.now()
@@ -193,7 +196,7 @@
         ]
 
     def merge_updates(self, updates: ty.Iterable[pb.UpstreamLimit]) -> None:
-        """Merge updates from another router."""
+        """Merge the limits that another router has sent."""
         now = self._clock.now()
         for message in updates:
             rate = message.rate if message.HasField('rate') else None
@@ -247,8 +250,8 @@
         at : int
             Time of the statement, in ms.
         earliest_at : int
-            Earliest possible time of the statement, in ms. A contradicting
-            statement known from a later time prevails.
+            Earliest possible time of the statement, in ms. A different limit
+            that was stated later is kept.
         """
         run = upstream_view.run_of(upstream, born)
         limit = self._limits.get(run)
@@ -277,7 +280,7 @@
         return True
 
     def _assign_share(self, run: str, limit: _Limit) -> None:
-        """Compute this router's share, keeping no more tokens than it holds.
+        """Compute this router's share, and keep the tokens up to its burst.
 
         A router that had no share before starts without tokens.
         """
--- a/src/peridotmast/serving/upstream_view.py
+++ b/src/peridotmast/serving/upstream_view.py
@@ -86,7 +86,7 @@
         # Copied from the record, as placement reads these attributes of many
         # upstreams for each request.
         self.name = ids.UpstreamName(upstream.name)
-        """Id of the upstream, which a later run may reuse."""
+        """Name of the upstream, which a later run may reuse."""
         self.born = upstream.born or self.born
         self.address = upstream.address
         """Address, which may later be reused by another upstream."""
@@ -108,7 +108,7 @@
         return self.record.state in (LIVE, LAPSED)
 
     def was_live_at(self, cutoff: int) -> bool:
-        """Return whether the entry exists, or still existed at `cutoff`.
+        """Return whether the upstream has an entry, or had one at `cutoff`.
 
         Parameters
         ----------
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -20,15 +20,16 @@
 not restore it."""
 
 _GRACE_SHARE = 0.6
-"""Share of the drain time for which an upstream gets new requests after its
-entry went missing. The rest allows for the time that updates take between
-routers and requests take to the upstream."""
+"""Fraction of the drain time for which an upstream gets new requests after its
+entry went missing. The rest of the drain time is left for updates of the entry
+to reach other routers and for requests to reach the upstream."""
 
 _NEVER = 1 << 62
 """Time that is never reached, in ms."""
 
 _LAPSE_SLACK_MS = 300
-"""Time added to the platform's own figure for the return of entries."""
+"""Margin in ms that is added to the time within which entries return after an
+outage according to the platform."""
 
 
 Listener = ty.Callable[[upstream_view.UpstreamView], None]
@@ -153,9 +154,10 @@
     def live(self, service: str) -> ty.Sequence[upstream_view.UpstreamView]:
         """Return the upstreams of `service` that may get new requests.
 
-        Upstreams whose entry has been missing for longer are returned only if
-        the service has no others: during an outage, it is more likely that
-        none of them could renew its entry than that all of them have left.
+        An upstream whose entry has been missing for longer than the grace
+        period is returned only if the service has no other upstreams: during
+        an outage, it is more likely that none of them could renew its entry
+        than that all of them have left.
 
         Returns
         -------
--- a/src/peridotmast/serving/urgency.py
+++ b/src/peridotmast/serving/urgency.py
@@ -13,9 +13,10 @@
 
 _STEPS = ((0.1, -2), (0.35, 0), (0.7, 1))
 """Pairs of an upper bound on the prefill time, as a fraction of the latency
-target, and the change in level. Short prompts overtake queued requests, which
-then wait only a few ms longer. Long prompts, which have little or no slack in
-any case, are overtaken, since they would dominate the wait of the others."""
+target, and a number added to the level. Short prompts overtake queued
+requests, which then wait only a few ms longer. Long prompts have little or no
+slack in any case; they are overtaken, so that other requests need not wait for
+their prefill."""
 
 _LONG_PROMPT_STEP = 3
 
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -549,8 +549,8 @@
     Mutation(
         'count only the usage of this router',
         SERVING + 'usage.py',
-        '        for counts in self._others.values():\n            total',
-        '        for counts in ():\n            total',
+        'for counts in self._counts_by_run.values():',
+        'for counts in ():',
         'duties',
     ),
     Mutation(
