--- a/features/chat.feature
+++ b/features/chat.feature
@@ -35,7 +35,7 @@
 
   Scenario: An engine is killed during many chats
     When 12 callers request 60 tokens each while an engine is killed
-    Then each receives the complete answer of the engine or an error
+    Then each caller receives the complete answer of the engine or an error
 
   Scenario: A non-idempotent chat is not retried
     When a caller sends a non-idempotent chat of 300 tokens and its engine is killed
--- a/features/incarnation.feature
+++ b/features/incarnation.feature
@@ -32,12 +32,12 @@
   Scenario: A resumable stream continues at another upstream
     Given a fleet of 1 routers whose routes have a target gap of 20000 ms
     When a caller streams 200 tokens from "/chat/x" and its upstream restarts
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
 
   Scenario: A stream also continues if its connection stays silent
     Given a fleet of 1 routers whose routes have a target gap of 20000 ms
     When a caller streams 200 tokens from "/chat/x" and its upstream restarts behind a silent connection
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
 
   Scenario: A non-idempotent request is never reported as not run
     Given a fleet of 1 routers
--- a/features/reclaim.feature
+++ b/features/reclaim.feature
@@ -36,12 +36,12 @@
   Scenario: A leaving upstream gets no new requests
     Given a fleet of 3 routers
     When an engine announces that it leaves while callers send requests
-    Then no request reaches it more than 1000 ms later
+    Then no request reaches that engine more than 1000 ms later
 
   Scenario: Routers learn of a leaving upstream from peers in a store outage
     Given a fleet of 3 routers
     When an engine leaves and one router's store calls fail from then on
-    Then that router sends it no request after 1500 ms
+    Then that router sends the engine no request after 1500 ms
 
   Scenario: An entry that expires in a store outage is restored
     Given a fleet of 2 routers that tolerate missing entries for 1 s
--- a/features/spread.feature
+++ b/features/spread.feature
@@ -10,40 +10,40 @@
 
   Scenario: A configuration reaches all routers although each copy takes much of a link
     Given 58 routers on links of 625 bytes per ms
-    When 6 of them read a configuration with 1600 more routes within 600 ms
+    When 6 of the routers read a configuration with 1600 more routes within 600 ms
     Then all routers have the configuration within 2500 more ms
     And no router's link has carried more than 500000 bytes
 
   Scenario: Unreachable peers do not delay a configuration
     Given 58 routers on links of 625 bytes per ms
-    When 6 of them read a configuration with 1600 more routes within 600 ms
-    And 3 of those 6 become unreachable at once
+    When 6 of the routers read a configuration with 1600 more routes within 600 ms
+    And 3 of those 6 routers become unreachable at once
     Then all routers have the configuration within 1000 more ms
 
   Scenario: The first router that reported a configuration becomes unreachable
     Given 58 routers on links of 625 bytes per ms
-    When 1 of them read a configuration with 1600 more routes within 10 ms
-    And 1 of those 1 become unreachable at once
-    And another router reads it 100 ms later
+    When 1 of the routers read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 routers become unreachable at once
+    And another router reads the configuration 100 ms later
     Then all routers have the configuration within 1900 more ms
 
   Scenario: One router with a configuration is enough
     Given 58 routers on links of 625 bytes per ms
-    When 1 of them read a configuration with 1600 more routes within 100 ms
+    When 1 of the routers read a configuration with 1600 more routes within 100 ms
     Then all routers have the configuration within 2500 more ms
     And no router's link has carried more than 500000 bytes
 
   Scenario: A second change follows shortly after the first
     Given 58 routers on links of 625 bytes per ms
-    When 6 of them read a configuration with 1600 more routes within 600 ms
-    And 100 ms later, they read another one with 3200 more routes
+    When 6 of the routers read a configuration with 1600 more routes within 600 ms
+    And 100 ms later, the same routers read another configuration with 3200 more routes
     Then all routers have the configuration within 2500 more ms
 
   Scenario: The router that reported a configuration and the store become unreachable
     Given 8 routers on links of 625 bytes per ms
     When no router can reach the store
-    And 1 of them read a configuration with 1600 more routes within 10 ms
-    And 1 of those 1 become unreachable at once
+    And 1 of the routers read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 routers become unreachable at once
     And 30000 ms pass on the links
     Then the other routers know that their configuration is outdated
     When the routers can reach the store again
@@ -51,10 +51,10 @@
 
   Scenario: The link of a router is also free while the router is paused
     Given 8 routers on links of 625 bytes per ms
-    When 1 of them read a configuration with 16000 more routes within 10 ms
-    And that router serves copies until it defers a peer
-    And it is paused for 4000 ms
-    Then it serves the next copy at once
+    When 1 of the routers read a configuration with 16000 more routes within 10 ms
+    And that router serves copies of the configuration until it defers a peer
+    And that router is paused for 4000 ms
+    Then that router serves the next copy at once
 
   Scenario: A version that the store does not have is not believed
     Given 8 routers on links of 625 bytes per ms
@@ -67,7 +67,7 @@
     When one router repeatedly reports a version that the store does not have
     And 4000 ms pass on the links
     And another router reads and reports a newer configuration with 49 routes
-    Then all routers but the first have the configuration within 1500 more ms
+    Then all routers but the one with the wrong reports have the configuration within 1500 more ms
 
   Scenario: A router that reported a wrong version is believed again after a while
     Given 8 routers on links of 625 bytes per ms
@@ -78,23 +78,23 @@
 
   Scenario: A router does not repeatedly request a configuration that it cannot parse
     Given 8 routers on links of 625 bytes per ms
-    And 1 of them cannot parse newer configurations
-    When 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of the routers cannot parse newer configurations
+    When 1 of the routers read a configuration with 1600 more routes within 10 ms
     And 8000 ms pass on the links
-    Then the link of the router that cannot parse it has carried at most 100000 bytes
+    Then the link of the router that cannot parse the configuration has carried at most 100000 bytes
 
   Scenario: A router requests a configuration that it could not parse again later
     Given 8 routers on links of 625 bytes per ms
-    And 1 of them cannot parse newer configurations
-    When 1 of them read a configuration with 1600 more routes within 10 ms
+    And 1 of the routers cannot parse newer configurations
+    When 1 of the routers read a configuration with 1600 more routes within 10 ms
     And 2000 ms pass on the links
     And that router can parse newer configurations
     Then all routers have the configuration within 11000 more ms
 
   Scenario: Only one slow read of the store runs at a time
     Given 8 routers on links of 62 bytes per ms
-    When 1 of them read a configuration with 1600 more routes within 10 ms
-    And 1 of those 1 become unreachable at once
+    When 1 of the routers read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 routers become unreachable at once
     Then all routers have the configuration within 12000 more ms
     And the store was read at most 1 times per router
 
@@ -103,11 +103,11 @@
   # of the code.
   Scenario: A version that the store has but a router cannot parse is still believed
     Given 8 routers on links of 625 bytes per ms
-    And 1 of them cannot parse newer configurations
-    When 1 of them read a configuration with 1600 more routes within 10 ms
-    And 1 of those 1 become unreachable at once
+    And 1 of the routers cannot parse newer configurations
+    When 1 of the routers read a configuration with 1600 more routes within 10 ms
+    And 1 of those 1 routers become unreachable at once
     And 8000 ms pass on the links
-    Then the router that cannot parse it knows that its configuration is outdated
+    Then the router that cannot parse the configuration knows that its own is outdated
     And the store was read at most 1 times per router
 
   Scenario: A router with an outdated configuration does not answer that a route is unknown
@@ -151,7 +151,7 @@
   # of the code.
   Scenario: Routers that start together do not all call the same seed first
     Given 80 routers on links of 625 bytes per ms
-    When all but 3 routers, which know the whole fleet, join through these at once
+    When all routers but 3 seeds, which know the whole fleet, join through the seeds at once
     And 2000 ms pass on the links
     Then no call has failed, and each router knows all others
 
@@ -160,13 +160,13 @@
   # have 10 Mbit/s.
   Scenario: Many routers that start together learn of each other from three seeds
     Given 195 routers on links of 1250 bytes per ms
-    When all but 3 routers, which know the whole fleet, join through these at once
+    When all routers but 3 seeds, which know the whole fleet, join through the seeds at once
     And 2000 ms pass on the links
     Then no call has failed, and each router knows all others
 
   Scenario: Routers that have read the fleet from the store call no seed
     Given 80 routers on links of 625 bytes per ms
-    When all but 3 routers, which know the whole fleet, join through these at once
+    When all routers but 3 seeds, which know the whole fleet, join through the seeds at once
     And each router has read the platform and the fleet from the store
     And 2000 ms pass on the links
     Then no router has called a seed
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -103,7 +103,7 @@
 
 
 @then('{count:d} requests for "{path}" reach both services')
-def reach_both(context, count, path):
+def requests_reach_both_services(context, count, path):
     for _ in range(count):
         assert (
             helpers.send_request(
@@ -286,7 +286,7 @@
 
 
 @then('exactly one request was run')
-def exactly_one_run(context):
+def exactly_one_request_run(context):
     runs = [
         request_id
         for guest in context.fleet.instances
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -72,7 +72,7 @@
 
 
 @then('the status is {status:d} and the reason contains "{reason}"')
-def reason_contains(context, status, reason):
+def status_and_reason_are(context, status, reason):
     error = context.reply.json()['error']
     text = f'{error["code"]} {error["reason"]}'
     assert context.reply.status == status, context.reply
@@ -105,8 +105,8 @@
     context.answers = [task.wait() for task in tasks]
 
 
-@then('each receives the complete answer of the engine or an error')
-def complete_or_error(context):
+@then('each caller receives the complete answer of the engine or an error')
+def each_caller_receives_answer_or_error(context):
     for prompt, answer in zip(context.prompts, context.answers):
         expected = oracle.chat_text(prompt, context.tokens)
         if answer.failure is None:
@@ -137,7 +137,7 @@
 
 
 @then('the caller gets an error and the request ran once')
-def error_and_one_run(context):
+def caller_gets_error_and_one_run(context):
     answer = context.answer
     assert answer.failure is not None and not answer.complete, answer
     ids = [attempt.request_id for attempt in answer.attempts]
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -81,7 +81,10 @@
     set_crash_body(context, added)
 
 
-@given('"{path}" with the body "{body}" crashes the upstream that runs it')
+@given(
+    'a request to "{path}" with the body "{body}" crashes the upstream that'
+    ' runs it'
+)
 def crashing_request(context, path, body):
     context.path, context.body = path, body.encode()
     context.crashed, context.answers = [], []
@@ -90,7 +93,7 @@
         set_crash_body(context, guest)
 
 
-@given('upstreams crash {ms:d} ms after they start to run it')
+@given('upstreams crash {ms:d} ms after they start to run that request')
 def delayed_crash(context, ms):
     context.crash_delay_ms = ms
     for guest in helpers.guests(context):
@@ -98,10 +101,10 @@
 
 
 @when(
-    'it is sent {count:d} times, to each router in turn, by callers that'
-    ' leave after {ms:d} ms'
+    'that request is sent {count:d} times, to each router in turn, by callers'
+    ' that leave after {ms:d} ms'
 )
-def send_and_leave(context, count, ms):
+def send_in_turn_and_leave(context, count, ms):
     for number in range(count):
         routers = context.fleet.running_routers()
         address = routers[number % len(routers)].address
@@ -115,7 +118,7 @@
         green.sleep_ms(context.crash_delay_ms + PROPAGATION_MS)
 
 
-@when('it is sent {count:d} times, to each router in turn')
+@when('that request is sent {count:d} times, to each router in turn')
 def send_in_turn(context, count):
     for number in range(count):
         routers = context.fleet.running_routers()
@@ -128,18 +131,18 @@
 
 
 @then('{count:d} upstreams have crashed')
-def crash_count(context, count):
+def upstreams_have_crashed(context, count):
     assert len(context.crashed) == count, context.crashed
 
 
-@then('the last {count:d} are refused with 503 and a retry time')
-def last_refused(context, count):
+@then('the last {count:d} requests are refused with 503 and a retry time')
+def last_requests_refused(context, count):
     for answer in context.answers[-count:]:
         assert answer.status == 503, context.answers
         assert float(answer.header(names.RETRY_AFTER)) > 0, answer
 
 
-@then('the same body at "{path}" is answered')
+@then('a request to "{path}" with the same body is answered')
 def same_body_answered(context, path):
     for guest in helpers.guests(context):
         guest.upstream.app.crash_body = b''
@@ -148,16 +151,16 @@
     assert answer.status == 200 and answer.complete, answer
 
 
-@then('it has the status {status:d}')
-def has_status(context, status):
+@then('the last request has the status {status:d}')
+def last_request_has_status(context, status):
     assert context.answers[-1].status == status, context.answers
 
 
 @then(
-    'in {count:d} histories of {steps:d} steps it is sent at most three times'
-    ' once blocked'
+    'in {count:d} random histories of {steps:d} steps, a blocked request is'
+    ' sent at most three times'
 )
-def random_histories(context, count, steps):
+def blocked_request_sent_at_most_three_times(context, count, steps):
     crash_model.run_histories(count, steps)
 
 
@@ -167,7 +170,7 @@
 
 
 @when('all routers are killed and start again')
-def all_killed(context):
+def kill_and_restart_all_routers(context):
     helpers.wait_until(
         lambda: any(
             left
@@ -192,20 +195,20 @@
     )
 
 
-@then('it is refused at each of the {count:d} routers')
-def refused_at_each(context, count):
+@then('that request is refused at each of the {count:d} routers')
+def refused_at_each_router(context, count):
     routers = context.fleet.running_routers()
     assert len(routers) == count, routers
     send_in_turn(context, count)
-    last_refused(context, count)
+    last_requests_refused(context, count)
 
 
-@given('an attempt of it is queued at an upstream')
+@given('an attempt of that request is queued at an upstream')
 def queued_attempt(context):
     start_queued_attempts(context, 1)
 
 
-@given('{count:d} attempts of it are queued at an upstream')
+@given('{count:d} attempts of that request are queued at an upstream')
 def queued_attempts(context, count):
     start_queued_attempts(context, count)
 
@@ -264,13 +267,16 @@
         assert answer.status == 502, answer
 
 
-@then('{count:d} crashes of it are recorded')
-def recorded_crashes(context, count):
+@then('{count:d} crashes by that request are recorded')
+def crashes_are_recorded(context, count):
     [blocked] = context.fleet.routers[0].serving.crashes.blocked()
     assert len(blocked.crashes) == count, blocked
 
 
-@then('their upstream has no failures and a closed circuit breaker')
+@then(
+    'the upstream of the queued attempts has no failures and a closed circuit'
+    ' breaker'
+)
 def upstream_is_healthy(context):
     router = context.fleet.routers[0]
     [view] = [
@@ -298,7 +304,7 @@
 
 @when(
     'the answer to one request breaks off at {count:d} upstreams that answer'
-    ' others'
+    ' other requests'
 )
 def answers_break_off(context, count):
     for number in range(count):
@@ -313,7 +319,7 @@
     'one request is running at {count:d} upstreams that are lost within'
     ' {ms:d} ms'
 )
-def lost_together(context, count, ms):
+def upstreams_lost_together(context, count, ms):
     for number in range(count):
         lose_upstream(context, crash_model.CRASHING, f'i-{number}', ran_ms=ms)
         context.clock.advance(ms // count)
@@ -326,7 +332,9 @@
         lose_upstream(context, crash_model.CRASHING, f'i-{number}')
 
 
-@when('one request crashes {count:d} upstreams while they answer another one')
+@when(
+    'one request crashes {count:d} upstreams while they answer another request'
+)
 def crashes_upstreams_answering_another(context, count):
     for number in range(count):
         context.clock.advance(1000)
@@ -339,7 +347,7 @@
 
 
 @when(
-    'one request crashes {count:d} upstreams while they answer it, each with'
+    'one request crashes {count:d} upstreams that are answering it, each with'
     ' another request queued'
 )
 def crashes_upstreams_answering_it(context, count):
@@ -352,9 +360,12 @@
         lose_upstream(context, f'other-{number}', name)
 
 
-@then('only the first is refused, also by a router that receives the update')
+@then(
+    'only the first request is refused, also by a router that receives the'
+    ' crash update'
+)
 def only_first_refused(context):
-    refused_by_both(context)
+    refused_by_both_routers(context)
     for tracker in (context.tracker, context.other_tracker):
         assert not tracker.retry_after_ms(crash_model.HARMLESS)
 
@@ -374,7 +385,7 @@
     assert flags == [True], flags
 
 
-@then('1 more crash is recorded for a request that was not')
+@then('1 more crash is recorded for a request that was not being answered')
 def crash_before_answering(context):
     flags = was_answering_flags(context)
     assert sorted(flags) == [False, True], flags
@@ -389,7 +400,7 @@
     with mock.patch.object(
         sender, 'note_failure', wraps=sender.note_failure
     ) as context.note_failure:
-        stream_steps.stream_and(
+        stream_steps.stream_with_action(
             context, 200, '/chat/x', kill_and_fail_resumptions(context)
         )
 
@@ -405,7 +416,10 @@
     return act
 
 
-@then('exactly one failure is recorded for each upstream that it was sent to')
+@then(
+    'exactly one failure is recorded for each upstream that the stream was'
+    ' sent to'
+)
 def one_failure_per_upstream(context):
     upstreams = [
         call.args[1].name for call in context.note_failure.call_args_list
@@ -414,13 +428,15 @@
     assert len(upstreams) == len(set(upstreams)) > 1, upstreams
 
 
-@then('it is not refused')
-def not_refused(context):
+@then('the request is not refused')
+def request_not_refused(context):
     assert not context.tracker.retry_after_ms(crash_model.CRASHING)
 
 
-@then('it is refused, also by a router that receives the update')
-def refused_by_both(context):
+@then(
+    'the request is refused, also by a router that receives the crash update'
+)
+def refused_by_both_routers(context):
     other = crash_tracker_.CrashTracker(context.clock, 'router-2')
     other.merge_updates(context.tracker.updates())
     context.other_tracker = other
@@ -428,15 +444,15 @@
     assert other.retry_after_ms(crash_model.CRASHING)
 
 
-@when('that router receives a complete answer to it')
-def answered_completely(context):
+@when('that router receives a complete answer to the request')
+def other_router_receives_answer(context):
     context.clock.advance(100)
     context.other_tracker.note_success(crash_model.CRASHING)
     context.tracker.merge_updates(context.other_tracker.updates())
 
 
-@then('neither router refuses it')
-def neither_refuses(context):
+@then('neither router refuses the request')
+def neither_router_refuses(context):
     assert not context.tracker.retry_after_ms(crash_model.CRASHING)
     assert not context.other_tracker.retry_after_ms(crash_model.CRASHING)
 
@@ -448,27 +464,30 @@
         context.clock.advance(1)
 
 
-@then('at most {most:d} requests are tracked, and the first is still refused')
+@then(
+    'at most {most:d} requests are tracked, and the first request is still'
+    ' refused'
+)
 def tracked_requests_are_bounded(context, most):
     assert len(context.tracker) <= most, len(context.tracker)
     assert context.tracker.retry_after_ms(crash_model.CRASHING)
 
 
-@then('an update contains at most {most:d} of them')
+@then('a crash update contains at most {most:d} requests')
 def update_is_bounded(context, most):
     updates = context.tracker.updates()
     assert len(updates) <= most, len(updates)
     assert crash_model.CRASHING in {update.fingerprint for update in updates}
 
 
-@then('it is refused with a retry time of {ms:d} ms')
+@then('the request is refused with a retry time of {ms:d} ms')
 def refused_with_retry_time(context, ms):
     retry_after_ms = context.tracker.retry_after_ms(crash_model.CRASHING)
     assert retry_after_ms == ms, retry_after_ms
 
 
 @when("{ms:d} ms pass on the tracker's clock")
-def time_passes(context, ms):
+def tracker_time_passes(context, ms):
     context.clock.advance(ms)
 
 
@@ -477,12 +496,14 @@
     context.clock.advance(crash_tracker_.RETRY_DELAY_MS)
 
 
-@when('the router becomes the holder of the duties')
+@when('the router acquires the lease of the duties')
 def router_becomes_holder(context):
     context.tracker.may_retry = lambda: True
 
 
-@then('it sends the request {count:d} times, each after the retry delay')
+@then(
+    'the router sends the request {count:d} times, each after the retry delay'
+)
 def retries_are_limited(context, count):
     retry_times = []
     for number in range(5 * count):
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -49,7 +49,7 @@
 
 
 @given('a fleet of {count:d} routers')
-def a_fleet(context, count):
+def fleet_of_routers(context, count):
     helpers.start_fleet(context, routers=count)
 
 
@@ -149,7 +149,7 @@
 
 
 @given('another service gets half of the requests of the route "{name}"')
-def split_route(context, name):
+def route_shared_with_other_service(context, name):
     config = replace_route_keys(
         context.fleet.shape.config,
         name,
@@ -255,7 +255,7 @@
 
 
 @when('a caller posts "{text}" to "{path}"')
-def posts(context, text, path):
+def post_text(context, text, path):
     context.last = helpers.send_request(
         router_address(context), path, body=text.encode()
     )
@@ -335,32 +335,34 @@
     assert least <= context.last.ms < most, context.last.ms
 
 
-@then('all have the status {status:d}')
-def all_status(context, status):
+@then('all requests have the status {status:d}')
+def all_requests_have_status(context, status):
     found = {answer.status for answer in context.answers}
     assert found == {status}, found
 
 
-@then('all have the status {status:d} and ran exactly once')
-def all_ran_once(context, status):
-    all_ran(context, status, 1)
+@then('all requests have the status {status:d} and ran exactly once')
+def all_requests_ran_once(context, status):
+    all_requests_ran(context, status, 1)
 
 
-@then('all have the status {status:d} and ran exactly {count:d} times')
-def all_ran(context, status, count):
-    all_status(context, status)
+@then(
+    'all requests have the status {status:d} and ran exactly {count:d} times'
+)
+def all_requests_ran(context, status, count):
+    all_requests_have_status(context, status)
     runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert set(runs) == {count}, runs
 
 
-@then('the status is {status:d} and it ran exactly once')
-def status_once(context, status):
+@then('the status is {status:d} and the request ran exactly once')
+def status_and_one_run(context, status):
     assert context.last.status == status, context.last
     assert helpers.run_count(context, context.last.request_id) == 1
 
 
 @then('no request ran more than {count:d} times')
-def ran_at_most(context, count):
+def no_request_ran_more_than(context, count):
     runs = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert max(runs) <= count, runs
 
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -180,7 +180,7 @@
     ' restarts'
 )
 def stream_and_restart(context, tokens, path):
-    stream_steps.stream_and(
+    stream_steps.stream_with_action(
         context, tokens, path, context.fleet.restart_upstream
     )
 
@@ -200,7 +200,7 @@
         guest.upstream.mute()
         change_entry_only(context, guest)
 
-    stream_steps.stream_and(context, tokens, path, act)
+    stream_steps.stream_with_action(context, tokens, path, act)
 
 
 @when(
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -42,7 +42,7 @@
     context.admitted = collections.Counter()
     context.refused = 0
     set_limit(context, rate, burst)
-    exchange(context)
+    share_spending(context)
 
 
 def set_limit(context, rate, burst):
@@ -50,7 +50,7 @@
         quota.configure([pb.Team(name='noor', rate=rate, burst=burst)])
 
 
-def exchange(context):
+def share_spending(context):
     """Send the spending of each router to all others, except isolated ones."""
     for number in range(len(context.quotas)):
         for other, sender in enumerate(context.quotas):
@@ -79,13 +79,13 @@
         quota.known_share = known / count
 
 
-@when('{tokens:d} tokens are spent')
+@when('a request spends {tokens:d} tokens')
 def tokens_spent(context, tokens):
     assert not context.quotas[0].take('noor', tokens)
 
 
 @then('a request of {tokens:d} tokens is refused with a wait of {ms:d} ms')
-def refused_with_wait(context, tokens, ms):
+def request_refused_with_wait(context, tokens, ms):
     assert context.quotas[0].take('noor', tokens) == ms
 
 
@@ -97,7 +97,7 @@
 @then(
     'a request of {tokens:d} tokens is refused, and admitted after {ms:d} ms'
 )
-def refused_then_admitted(context, tokens, ms):
+def request_refused_then_admitted(context, tokens, ms):
     assert context.quotas[0].take('noor', tokens)
     context.clock.advance(ms)
     assert not context.quotas[0].take('noor', tokens)
@@ -111,7 +111,7 @@
 
 
 @when(
-    'each receives a request of {tokens:d} tokens every {ms:d} ms for'
+    'each router receives a request of {tokens:d} tokens every {ms:d} ms for'
     ' {seconds:d} s'
 )
 def each_receives_requests(context, tokens, ms, seconds):
@@ -124,7 +124,7 @@
                     context.admitted[number] += tokens
         context.clock.advance(STEP_MS)
         if step % (BEACON_MS // STEP_MS) == 0:
-            exchange(context)
+            share_spending(context)
 
 
 @then('between {least:d} and {most:d} tokens are admitted in total')
@@ -187,7 +187,7 @@
     'the other router refuses requests within {ms:d} ms with {status:d} and a'
     ' retry time'
 )
-def other_refuses(context, ms, status):
+def other_router_refuses(context, ms, status):
     def refused():
         context.last = fleet_steps.stream(
             context.fleet.routers[1].address, '/chat/x', 20
@@ -199,7 +199,7 @@
 
 
 @given(
-    'a budget of {ratio:g} retries per request and {slack:d} more in'
+    'a budget of {ratio:g} retries per request and {slack:d} more retries in'
     ' {seconds:d} s, for {routers:d} routers'
 )
 def retry_budget_for_routers(context, ratio, slack, seconds, routers):
@@ -228,33 +228,33 @@
 
 
 @then('at most {most:d} retries are allowed')
-def at_most_retries(context, most):
+def at_most_retries_allowed(context, most):
     assert 0 < context.allowed <= most, context.allowed
 
 
 @then(
-    'at most {most:d} more are allowed in the next {seconds:d} s, with'
-    ' {count:d} more requests'
+    'at most {most:d} more retries are allowed in the next {seconds:d} s,'
+    ' with {count:d} more requests'
 )
-def at_most_more_retries(context, most, seconds, count):
+def at_most_more_retries_allowed(context, most, seconds, count):
     allowed = count_allowed_retries(context, count, seconds, 3)
     assert 0 < allowed <= most, allowed
 
 
-@given('the health of an upstream')
+@given('the health state of an upstream')
 def upstream_health(context):
     context.clock = clock_.ManualClock()
     context.health = health_.Health(context.clock)
 
 
-@when('it fails {count:d} times in a row')
-def fails_times(context, count):
+@when('the upstream fails {count:d} times in a row')
+def upstream_fails_in_a_row(context, count):
     for _ in range(count):
         context.health.record_failure()
 
 
-@then('it gets no request for {ms:d} ms, and then only one')
-def no_request_for(context, ms):
+@then('the upstream gets no request for {ms:d} ms, and then only one')
+def no_request_for_a_time_then_one(context, ms):
     health = context.health
     context.clock.advance(ms - 1)
     assert not health.allows_request()
@@ -264,23 +264,23 @@
     assert not health.allows_request()
 
 
-@when('the request ends without an outcome')
+@when('the probe request ends without an outcome')
 def probe_without_outcome(context):
     """Record nothing, as for a probe whose caller has left."""
 
 
-@when('the request fails')
+@when('the probe request fails')
 def probe_fails(context):
     context.health.record_failure()
 
 
-@when('the request succeeds')
+@when('the probe request succeeds')
 def probe_succeeds(context):
     context.health.record_success()
 
 
-@then('it gets any number of requests again')
-def any_requests_again(context):
+@then('the upstream gets any number of requests again')
+def any_number_of_requests_again(context):
     assert context.health.allows_request()
     context.health.record_sent()
     assert context.health.allows_request()
@@ -348,7 +348,7 @@
 
 
 @given('two upstreams of which one fails half of its requests')
-def one_fails_half(context):
+def one_upstream_fails_half(context):
     context.clock = clock_.ManualClock()
     table = make_table(context.clock, 2)
     for _ in range(6):
@@ -358,15 +358,17 @@
     context.selector = make_scored_placement(table)
 
 
-@then('the other upstream is selected while both are idle')
-def other_selected(context):
+@then(
+    'the upstream without failures is selected while both upstreams are idle'
+)
+def upstream_without_failures_selected(context):
     for number in range(20):
         exchange = make_exchange(f'b{number}')
         assert choose(context.selector, exchange) == 'engine-1'
 
 
-@given('two upstreams of which one has a request and is silent')
-def one_is_silent(context):
+@given('two upstreams, one of which has a request and sends nothing')
+def one_upstream_is_silent(context):
     context.clock = clock_.ManualClock()
     table = make_table(context.clock, 2)
     context.selector = make_scored_placement(table)
@@ -375,10 +377,10 @@
 
 
 @then(
-    'a new request goes to the silent one after {soon:d} ms, and to the other'
-    ' after {late:d} ms'
+    'a new request goes to the silent upstream after {soon:d} ms, and to the'
+    ' other upstream after {late:d} ms'
 )
-def avoided_after(context, soon, late):
+def silent_upstream_avoided_later(context, soon, late):
     silent = context.reservation.view.name
     context.clock.advance(soon)
     assert choose(context.selector, make_exchange('b0')) == silent
@@ -386,7 +388,7 @@
     assert choose(context.selector, make_exchange('b0')) != silent
 
 
-@then('after it has sent a byte, the silent one is selected again')
+@then('the silent upstream is selected again once it has sent a byte')
 def selected_after_byte(context):
     context.reservation.view.note_activity()
     found = choose(context.selector, make_exchange('b0'))
@@ -433,7 +435,7 @@
 
 
 @then('each router compares up to {count:d} engines for a request')
-def compares_up_to(context, count):
+def router_compares_up_to(context, count):
     for number, table in enumerate(context.tables):
         policy = RecordingPolicy(f'fd-{number}')
         selector = make_placement(table, policy, f'router-{number}')
@@ -455,7 +457,7 @@
         table.merge(record)
 
 
-@then('only the prefixes of this home move to other engines')
+@then('only the prefixes whose home has left move to other engines')
 def only_its_prefixes_move(context):
     for number, home in enumerate(context.homes):
         found = choose(context.placements[0], make_exchange(f'b{number}'))
@@ -468,7 +470,7 @@
     return exchange
 
 
-@when('all engines in its subset fail')
+@when('all engines in the subset of the router fail')
 def whole_subset_fails(context):
     context.failing = set()
     for _ in range(candidates.SUBSET_SIZE):
@@ -504,8 +506,8 @@
     context.tables[0].set_peer_loads(router, [])
 
 
-@when('only router "{router}" is still heard')
-def only_one_heard(context, router):
+@when('beacons arrive only from router "{router}"')
+def beacons_from_one_router_only(context, router):
     context.tables[0].retain_peer_loads({router})
 
 
@@ -524,7 +526,7 @@
 
 
 @then('requests with this prefix go to other engines')
-def go_to_other_engines(context):
+def requests_avoid_loaded_home(context):
     for selector in context.placements:
         assert choose(selector, make_exchange('b0')) != context.home
 
@@ -535,11 +537,11 @@
 
 
 @then(
-    'a prompt of {tokens:d} tokens with a target of {target:d} ms and rank'
-    ' {rank:d} has urgency level {level:d}'
+    'a prompt of {tokens:d} tokens with a target of {target:d} ms and'
+    ' priority {priority:d} has urgency level {level:d}'
 )
-def has_urgency_level(context, tokens, target, rank, level):
-    found = urgency.level(rank, tokens, target, None)
+def has_urgency_level(context, tokens, target, priority, level):
+    found = urgency.level(priority, tokens, target, None)
     assert found == level, found
 
 
@@ -547,7 +549,7 @@
     'a prompt of {tokens:d} tokens is more urgent at a prefill rate of'
     ' {fast:d} tokens per ms than at {slow:d}'
 )
-def more_urgent(context, tokens, fast, slow):
+def prompt_more_urgent_at_fast_prefill(context, tokens, fast, slow):
     levels = [urgency.level(1, tokens, 800, speed) for speed in (fast, slow)]
     assert levels[0] < levels[1], levels
 
@@ -574,7 +576,10 @@
     context.reservation.mark_prefill_ended()
 
 
-@then('the other routers know of {tokens:d} tokens waiting for prefill there')
+@then(
+    'the other routers know of {tokens:d} tokens waiting for prefill at that'
+    ' engine'
+)
 def other_routers_know(context, tokens):
     name = context.reservation.view.name
     helpers.wait_until(
@@ -586,7 +591,7 @@
     )
 
 
-def place_all(context, is_reported):
+def place_prompts_on_routers(context, is_reported):
     """Place prompts on routers in turn; return the number per engine.
 
     Parameters
@@ -618,8 +623,8 @@
 
 
 @when('each router places {count:d} prompts without data from the others')
-def place_without_reports(context, count):
-    context.placed = place_all(context, is_reported=False)
+def place_prompts_without_reports(context, count):
+    context.placed = place_prompts_on_routers(context, is_reported=False)
 
 
 @then('no engine receives more than {most:d} of the {all_:d} prompts')
@@ -629,17 +634,17 @@
 
 
 @then(
-    'with current data, each engine receives {each:d} prompts, one more or'
-    ' less'
+    'with current data from the other routers, each engine receives {each:d}'
+    ' prompts, plus or minus one'
 )
 def each_engine_receives(context, each):
-    placed = place_all(context, is_reported=True)
+    placed = place_prompts_on_routers(context, is_reported=True)
     assert len(placed) == 20
     assert all(abs(n - each) <= 1 for n in placed.values()), placed
 
 
-@given('one of {n:d} routers, and a team whose bucket has a low level')
-def level_is_low(context, n):
+@given('one of {n:d} routers, and a team whose token bucket is at a low level')
+def token_bucket_at_low_level(context, n):
     context.clock = clock_.ManualClock()
     context.quota = quota_.Quota(context.clock)
     context.quota.count_routers = lambda: n
@@ -653,12 +658,12 @@
     assert context.quota.levels() == {'a': 3000}, context.quota.levels()
 
 
-@when('it admits a small request')
+@when('the router admits a small request')
 def admit_small_request(context):
     assert context.quota.take('a', 500) == 0
 
 
-@when('it admits a small request that does not run')
+@when('the router admits a small request that does not run')
 def admit_small_request_not_run(context):
     admit_small_request(context)
     context.quota.refund('a', 500)
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -312,10 +312,10 @@
 
 
 @when(
-    '{count:d} of them read a configuration with {routes:d} more routes within'
-    ' {ms:d} ms'
+    '{count:d} of the routers read a configuration with {routes:d} more'
+    ' routes within {ms:d} ms'
 )
-def some_read(context, count, routes, ms):
+def some_routers_read_config(context, count, routes, ms):
     simulation = context.simulation
     simulation.stored = spec = make_document(NEW_VERSION, 49 + routes)
     context.first = simulation.nodes[-count:]
@@ -324,14 +324,14 @@
         simulation.run(ms // count)
 
 
-@when('{count:d} of those {first:d} become unreachable at once')
-def become_unreachable(context, count, first):
+@when('{count:d} of those {first:d} routers become unreachable at once')
+def routers_become_unreachable(context, count, first):
     routers = context.first[:count]
     context.simulation.unreachable.update(node.address for node in routers)
 
 
 @then('all routers have the configuration within {ms:d} more ms')
-def all_routers_have(context, ms):
+def all_routers_have_config(context, ms):
     context.simulation.run(ms)
     newest = context.simulation.stored['version']
     late = [n.number for n in context.simulation.nodes if n.version != newest]
@@ -344,14 +344,17 @@
     assert found <= most, found
 
 
-@when('another router reads it {ms:d} ms later')
-def another_reads(context, ms):
+@when('another router reads the configuration {ms:d} ms later')
+def another_router_reads_config(context, ms):
     context.simulation.run(ms)
     context.simulation.nodes[0].apply_from_store(context.simulation.stored)
 
 
-@when('{ms:d} ms later, they read another one with {routes:d} more routes')
-def read_second(context, ms, routes):
+@when(
+    '{ms:d} ms later, the same routers read another configuration with'
+    ' {routes:d} more routes'
+)
+def same_routers_read_second_config(context, ms, routes):
     simulation = context.simulation
     simulation.run(ms)
     simulation.stored = spec = make_document(
@@ -377,14 +380,14 @@
 
 
 @then('the other routers know that their configuration is outdated')
-def know_outdated(context):
+def routers_know_config_is_outdated(context):
     others = [n for n in context.simulation.nodes if n not in context.first]
     assert others
     assert all(node.catch_up.config_fetcher.is_behind() for node in others)
 
 
 @when('one router repeatedly reports a version that the store does not have')
-def one_misreports(context):
+def one_router_misreports_version(context):
     simulation = context.simulation
     misreporter = simulation.nodes[-1]
     context.first = [misreporter]
@@ -400,7 +403,7 @@
     'the other routers consider their configuration outdated in at most'
     ' {share:d} of 100 checks'
 )
-def consider_outdated(context, share):
+def routers_rarely_consider_config_outdated(context, share):
     simulation = context.simulation
     others = simulation.nodes[:-1]
     found = []
@@ -414,7 +417,7 @@
     'another router reads and reports a newer configuration with {routes:d}'
     ' routes'
 )
-def another_reads_and_reports(context, routes):
+def another_router_reads_and_reports(context, routes):
     simulation = context.simulation
     simulation.stored = make_document(NEW_VERSION, routes, seed=3)
     simulation.nodes[0].apply_from_store(simulation.stored)
@@ -424,7 +427,7 @@
     'that router reads and reports a newer configuration with {routes:d}'
     ' routes'
 )
-def misreporting_reads_and_reports(context, routes):
+def misreporting_router_reads_and_reports(context, routes):
     simulation = context.simulation
     [misreporter] = context.first
     # From now on, its beacons contain its own version again.
@@ -433,8 +436,11 @@
     misreporter.apply_from_store(simulation.stored)
 
 
-@then('all routers but the first have the configuration within {ms:d} more ms')
-def all_but_first_have(context, ms):
+@then(
+    'all routers but the one with the wrong reports have the configuration'
+    ' within {ms:d} more ms'
+)
+def all_but_misreporting_router_have(context, ms):
     context.simulation.run(ms)
     late = [
         n.number
@@ -445,14 +451,14 @@
 
 
 @then('the store was read at most {most:d} times per router')
-def store_reads_at_most(context, most):
+def store_was_read_at_most(context, most):
     assert context.simulation.reads <= most * (
         len(context.simulation.nodes) - 1
     )
 
 
-@given('{count:d} of them cannot parse newer configurations')
-def cannot_parse(context, count):
+@given('{count:d} of the routers cannot parse newer configurations')
+def routers_cannot_parse_config(context, count):
     def refuse(spec):
         raise ValueError('unsupported configuration')
 
@@ -463,7 +469,7 @@
 
 
 @when('that router can parse newer configurations')
-def can_parse(context):
+def router_can_parse_config(context):
     node = context.simulation.nodes[0]
     node.config._reader = config_codec
     # Later beacons report the newer version again.
@@ -471,17 +477,18 @@
 
 
 @then(
-    'the router that cannot parse it knows that its configuration is outdated'
+    'the router that cannot parse the configuration knows that its own is'
+    ' outdated'
 )
-def unparsable_outdated(context):
+def router_knows_unparsable_config_is_newer(context):
     node = context.simulation.nodes[0]
     assert node.version == OLD_VERSION
     assert node.catch_up.config_fetcher.is_behind()
 
 
 @then(
-    'the link of the router that cannot parse it has carried at most {most:d}'
-    ' bytes'
+    'the link of the router that cannot parse the configuration has carried'
+    ' at most {most:d} bytes'
 )
 def link_transferred_at_most(context, most):
     transferred = context.simulation.transferred
@@ -551,8 +558,8 @@
 
 
 @when(
-    'all but {count:d} routers, which know the whole fleet, join through these'
-    ' at once'
+    'all routers but {count:d} seeds, which know the whole fleet, join'
+    ' through the seeds at once'
 )
 def join_through_seeds(context, count):
     simulation = context.simulation
@@ -588,7 +595,7 @@
         assert known == len(simulation.nodes) - 1, (node.number, known)
 
 
-@when('that router serves copies until it defers a peer')
+@when('that router serves copies of the configuration until it defers a peer')
 def serves_until_deferred(context):
     [context.server] = context.first
     while not request_copy(context).retry_after_ms:
@@ -600,12 +607,12 @@
     return context.server.service.FetchConfig(request, rpc.Caller())
 
 
-@when('it is paused for {ms:d} ms')
+@when('that router is paused for {ms:d} ms')
 def pause_router(context, ms):
     context.simulation.clock.advance(ms)
 
 
-@then('it serves the next copy at once')
-def serves_at_once(context):
+@then('that router serves the next copy at once')
+def serves_copy_at_once(context):
     reply = request_copy(context)
     assert reply.packed_config, reply.retry_after_ms
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -49,7 +49,7 @@
     )
 
 
-def stream_and(context, tokens, path, act):
+def stream_with_action(context, tokens, path, act):
     """Stream, and call `act` with the upstream after five events."""
     context.tokens = tokens
     done = []
@@ -74,7 +74,7 @@
     ' killed'
 )
 def stream_and_kill(context, tokens, path):
-    stream_and(context, tokens, path, context.fleet.kill_upstream)
+    stream_with_action(context, tokens, path, context.fleet.kill_upstream)
 
 
 @when(
@@ -82,7 +82,9 @@
     ' goes silent'
 )
 def stream_and_mute(context, tokens, path):
-    stream_and(context, tokens, path, lambda guest: guest.upstream.mute())
+    stream_with_action(
+        context, tokens, path, lambda guest: guest.upstream.mute()
+    )
 
 
 @when(
@@ -90,10 +92,12 @@
     ' for {ms:d} ms'
 )
 def stream_and_pause(context, tokens, path, ms):
-    stream_and(context, tokens, path, lambda guest: guest.upstream.mute(ms))
+    stream_with_action(
+        context, tokens, path, lambda guest: guest.upstream.mute(ms)
+    )
 
 
-@then('its events are complete and in order')
+@then('the events of the stream are complete and in order')
 def events_complete(context):
     assert fleet_steps.is_complete(context.last, BODY, context.tokens), (
         context.last.failure,
@@ -109,7 +113,7 @@
 
 
 @then('the response has only the headers of its first upstream')
-def first_headers(context):
+def only_headers_of_first_upstream(context):
     seals = [v for n, v in context.last.headers if n == names.SEAL]
     assert len(seals) == 1, seals
     assert seals[0].startswith(context.first_upstream.name + '.'), seals
@@ -128,7 +132,7 @@
 
 
 @then('each stream is complete and in order, or detectably incomplete')
-def each_complete_or_incomplete(context):
+def each_stream_complete_or_detectably_incomplete(context):
     answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, answers):
         is_whole = fleet_steps.is_complete(answer, body, context.tokens)
@@ -137,7 +141,7 @@
 
 
 @then('each stream is complete and in order')
-def each_complete(context):
+def each_stream_complete(context):
     context.answers = [task.wait() for task in context.tasks]
     for body, answer in zip(context.bodies, context.answers):
         is_whole = fleet_steps.is_complete(answer, body, context.tokens)
@@ -227,7 +231,7 @@
 
 
 @when('the fullest failure domain is reclaimed with {ms:d} ms notice')
-def reclaim_fullest(context, ms):
+def reclaim_fullest_failure_domain(context, ms):
     engines = [
         guest
         for guest in helpers.guests(context, shape_.ENGINE_SERVICE)
@@ -259,7 +263,7 @@
 
 
 @then('no stream was migrated')
-def nothing_migrated(context):
+def no_stream_migrated(context):
     assert engine_total(context, 'moved') == 0
 
 
@@ -281,7 +285,7 @@
         assert task.wait().status == 200
 
 
-@then('no request reaches it more than {ms:d} ms later')
+@then('no request reaches that engine more than {ms:d} ms later')
 def no_late_request(context, ms):
     late_arrivals = [
         at
@@ -306,8 +310,8 @@
     context.fleet.announce_leaving(context.leaver)
 
 
-@then('that router sends it no request after {ms:d} ms')
-def cut_router_sends_nothing(context, ms):
+@then('that router sends the engine no request after {ms:d} ms')
+def cut_router_sends_no_request(context, ms):
     green.sleep_ms(ms)
     for number in range(30):
         body = b'cut %d' % number
@@ -395,7 +399,7 @@
 
 
 @when('both streams are migrated to the third engine with equal handles')
-def migrate_both(context):
+def migrate_both_streams(context):
     control = engine_control.EngineControl(2000)
     *sources, target = context.engines
     context.copies = {}
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -34,7 +34,7 @@
         guest.upstream.app.limit = text
 
 
-def ask(context, router):
+def send_prompt(context, router):
     body = f'prompt {next(context.numbers)}'.encode()
     return helpers.send_request(
         router.address, '/chat/tag', body=body, headers=TOKENS
@@ -61,7 +61,7 @@
     routers = itertools.cycle(context.fleet.running_routers())
     tasks = []
     for _ in range(rate * seconds):
-        tasks.append(green.spawn(ask, context, next(routers)))
+        tasks.append(green.spawn(send_prompt, context, next(routers)))
         green.sleep_ms(1000 / rate)
     context.answers = [task.wait() for task in tasks]
 
@@ -86,16 +86,16 @@
 
 
 @then(
-    'the engine with the limit receives at most {permitted:d} of them in 4 s'
+    'the engine with the limit receives at most {permitted:d} requests in 4 s'
 )
-@then('no engine receives more than {permitted:d} of them in 4 s')
-def within_limit(context, permitted):
+@then('no engine receives more than {permitted:d} requests in 4 s')
+def engines_receive_at_most(context, permitted):
     counts = [max_in_window(context, guest) for guest in context.limited]
     assert max(counts) <= permitted, counts
 
 
-@then('all are answered, and every engine receives some')
-def all_answered(context):
+@then('all requests are answered, and every engine receives some of them')
+def all_requests_answered(context):
     failed = [a for a in context.answers if a.status != 200]
     assert not failed, failed[:3]
     for guest in engines(context):
@@ -103,10 +103,10 @@
 
 
 @then(
-    'some are refused with 503 and a retry time, in a median of at most {ms:d}'
-    ' ms'
+    'some requests are refused with 503 and a retry time, in a median of at'
+    ' most {ms:d} ms'
 )
-def refused_at_once(context, ms):
+def some_requests_refused_at_once(context, ms):
     refused = [a for a in context.answers if a.status != 200]
     assert refused
     for answer in refused:
@@ -117,20 +117,21 @@
 
 
 @given(
-    'a fleet of {count:d} routers that know the limit of {rate} of its one'
-    ' engine'
+    'a fleet of {count:d} routers that know the limit of {rate} requests a'
+    ' second of its one engine'
 )
 def fleet_knows_limit(context, count, rate):
     helpers.start_fleet(context, routers=count, domains=1)
     context.numbers = itertools.count()
     set_limit(context, engines(context), rate)
-    assert ask(context, context.fleet.routers[0]).status == 200
+    assert send_prompt(context, context.fleet.routers[0]).status == 200
     helpers.wait_until(
-        lambda: all(know_rate(context, float(rate))), 'all know the limit'
+        lambda: all(routers_know_rate(context, float(rate))),
+        'all know the limit',
     )
 
 
-def know_rate(context, rate):
+def routers_know_rate(context, rate):
     """Yield for each router whether it knows this rate; 0 means no rate."""
     for router in context.fleet.running_routers():
         updates = router.serving.limits.updates()
@@ -138,45 +139,46 @@
         yield known == ([rate] if rate else [])
 
 
-@when('it no longer states a limit')
-def states_no_limit(context):
+@when('the engine no longer states a limit')
+def engine_states_no_limit(context):
     set_limit(context, engines(context), '')
 
 
-@when('it states the limit "{text}"')
-def states_text(context, text):
+@when('the engine states the limit "{text}"')
+def engine_states_limit(context, text):
     set_limit(context, engines(context), text)
 
 
 @then('within {seconds:d} s no router knows a limit')
 def no_limit_known(context, seconds):
-    def ask_and_check():
+    def send_prompts_and_check():
         for router in context.fleet.running_routers():
-            ask(context, router)
-        return all(know_rate(context, 0))
+            send_prompt(context, router)
+        return all(routers_know_rate(context, 0))
 
-    helpers.wait_until(ask_and_check, 'no limit', seconds * 1000)
+    helpers.wait_until(send_prompts_and_check, 'no limit', seconds * 1000)
 
 
-@then('the router keeps the limit of {rate:g}')
+@then('the router keeps the limit of {rate:g} requests a second')
 def keeps_limit(context, rate):
     router = context.fleet.routers[0]
     helpers.wait_until(
-        lambda: ask(context, router).status == 200, 'a request is answered'
+        lambda: send_prompt(context, router).status == 200,
+        'a request is answered',
     )
-    assert all(know_rate(context, rate))
+    assert all(routers_know_rate(context, rate))
 
 
 @then(
     'in {count:d} histories of {steps:d} steps an upstream receives no more'
     ' than its limit permits'
 )
-def random_histories(context, count, steps):
+def upstream_receives_no_more_than_limit(context, count, steps):
     limit_model.run_histories(count, steps)
 
 
-@given('two routers that share a limit of {rate:g}')
-def two_routers(context, rate):
+@given('two routers that share a limit of {rate:g} requests a second')
+def two_routers_share_limit(context, rate):
     context.clock = clock_.ManualClock()
     context.pair = [
         upstream_limits.UpstreamLimits(context.clock, name) for name in 'ab'
@@ -196,7 +198,8 @@
 
 
 @when(
-    'one reads the limit, and then an answer without it to an earlier request'
+    'one router reads the limit, and then an answer without a limit to an'
+    ' earlier request'
 )
 def answer_predates_limit(context):
     sent_at = context.clock.now()
@@ -208,36 +211,37 @@
 
 
 @when(
-    'one reads a limit of {a:g} and the other one of {b:g}, and they exchange'
-    ' updates'
+    'one router reads a limit of {a:g} and the other a limit of {b:g}, and'
+    ' they exchange updates'
 )
-def different_limits(context, a, b):
+def read_different_limits(context, a, b):
     for limits, rate in zip(context.pair, (a, b), strict=True):
         limits.note_limit(limit_model.UPSTREAM, rate)
     exchange_updates(context)
 
 
 @when(
-    'one reads a limit of {rate:g} a second later, and they exchange updates'
+    'a second later, one router reads a limit of {rate:g}, and both exchange'
+    ' updates'
 )
-def later_limit(context, rate):
+def read_later_limit(context, rate):
     context.clock.advance(1000)
     context.pair[0].note_limit(limit_model.UPSTREAM, rate)
     exchange_updates(context)
 
 
-@then('they know limits of {a:g} and {b:g}')
-def know_different(context, a, b):
+@then('the routers know limits of {a:g} and {b:g}')
+def routers_know_limits(context, a, b):
     rates = [limits.updates()[0].rate for limits in context.pair]
     assert rates == [a, b], rates
 
 
-@then('both know a limit of {rate:g}')
-def know_same(context, rate):
-    know_different(context, rate, rate)
+@then('both routers know a limit of {rate:g}')
+def both_routers_know_limit(context, rate):
+    routers_know_limits(context, rate, rate)
 
 
-@when('one reads the limits of {count:d} more upstreams')
+@when('one router reads the limits of {count:d} more upstreams')
 def reads_many_limits(context, count):
     for number in range(count):
         view = types.SimpleNamespace(
@@ -246,15 +250,21 @@
         context.pair[0].note_limit(view, 5.0)
 
 
-@then('it keeps at most {kept:d} limits, and an update contains {sent:d}')
+@then(
+    'that router keeps at most {kept:d} limits, and an update to peers'
+    ' contains {sent:d} of them'
+)
 def limits_bounded(context, kept, sent):
     limits = context.pair[0]
     assert len(limits) <= kept, len(limits)
     assert len(limits.updates()) == sent, len(limits.updates())
 
 
-@given('{count:d} routers under load that share a limit of {rate:g}')
-def many_routers(context, count, rate):
+@given(
+    '{count:d} routers under load that share a limit of {rate:g} requests a'
+    ' second'
+)
+def routers_under_load(context, count, rate):
     context.clock = clock_.ManualClock()
     routers = [f'router-{number}' for number in range(count)]
     context.fleet_limits = [
@@ -278,7 +288,7 @@
 
 @then(
     'a minute later, {count:d} of the routers have to wait for {ms:d} ms, and'
-    ' the others may send'
+    ' the other routers may send'
 )
 def routers_without_share_wait(context, count, ms):
     context.clock.advance(60_000)
@@ -326,8 +336,8 @@
         limits.set_routers(names)
 
 
-@then('none of the first routers may send at once')
-def none_may_send(context):
+@then('none of the original routers may send a request at once')
+def no_original_router_may_send(context):
     for limits in context.fleet_limits[::2]:
         limits.note_limit(limit_model.UPSTREAM, 1.1)
     waits = [
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -50,7 +50,7 @@
     fleet_steps.wait_until_known(context, 1, service)
 
 
-def reset(sock):
+def set_reset_on_close(sock):
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
     )
@@ -75,7 +75,7 @@
     sock.sendall(b'\x16\x03\x01 this is no answer\r\n\r\n')
 
 
-def half_body(sock, request_id, number):
+def send_half_of_body(sock, request_id, number):
     sock.sendall(raw_upstream.ok_response(request_id, b'0123456789')[:-5])
 
 
@@ -84,21 +84,21 @@
 
 
 def reset_only(sock, request_id, number):
-    reset(sock)
+    set_reset_on_close(sock)
 
 
 def delayed_reset(sock, request_id, number):
     green.sleep_ms(USAGE_WINDOW_MS)
-    reset(sock)
+    set_reset_on_close(sock)
 
 
-def no_seal(sock, request_id, number):
+def answer_without_seal(sock, request_id, number):
     sock.sendall(
         make_head(request_id, 'Content-Length: 2', seal=False) + b'hi'
     )
 
 
-def bare_503(sock, request_id, number):
+def answer_503_without_not_run(sock, request_id, number):
     status = '503 Service Unavailable'
     sock.sendall(make_head(request_id, 'Content-Length: 0', status=status))
 
@@ -171,12 +171,12 @@
 
 SCRIPTS = {
     'bytes that are no answer': not_an_answer,
-    'half of the body': half_body,
+    'half of the body': send_half_of_body,
     'nothing and a close': close_only,
     'a reset': reset_only,
     'a reset a window later': delayed_reset,
-    'a success without a seal': no_seal,
-    'a 503 that does not say not run': bare_503,
+    'a success without a seal': answer_without_seal,
+    'a 503 that does not say not run': answer_503_without_not_run,
     'two lengths': two_lengths,
     'a length and chunks': length_and_chunks,
     'an odd chunk': malformed_chunk,
@@ -216,7 +216,7 @@
     now = router.fleet_state.fleet_clock.now()
     green.sleep_ms(USAGE_WINDOW_MS - now % USAGE_WINDOW_MS + 20)
     context.window = router.serving.usage.window_now()
-    fleet_steps.posts(context, text, path)
+    fleet_steps.post_text(context, text, path)
 
 
 def started_by_window(context, team):
@@ -337,22 +337,22 @@
     'one of two upstreams of "{service}" loses its answers, and the other'
     ' refuses requests'
 )
-def one_loses_one_refuses(context, service):
+def one_upstream_loses_one_refuses(context, service):
     first, second = helpers.guests(context, service)
     first.upstream.app.faults = {'lose': 1.0}
     second.upstream.app.faults = {'refuse': 1.0}
 
 
-@then('the requests that ran have the status 502, and the others 503')
-def ran_have_502(context):
+@then('the requests that ran have the status 502, and all other requests 503')
+def requests_that_ran_have_502(context):
     ran = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert any(ran), ran
     for runs, answer in zip(ran, context.answers):
         assert answer.status == (502 if runs else 503), (runs, answer)
 
 
-@then('all of them have a retry time')
-def all_have_retry_time(context):
+@then('all of these responses have a retry time')
+def all_responses_have_retry_time(context):
     for answer in context.answers:
         assert float(answer.header(names.RETRY_AFTER)) > 0, answer
 
@@ -361,7 +361,7 @@
     'in {count:d} random histories, every status is consistent with how often'
     ' the request ran'
 )
-def random_histories(context, count):
+def statuses_are_truthful(context, count):
     """Check the statuses that callers receive under random faults."""
     fleet = helpers.start_fleet(context, routers=2, services=3)
     draws = random.Random(5)
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -3,13 +3,13 @@
   Scenario: Events are forwarded as they arrive
     Given a fleet of 2 routers
     When a caller streams 40 tokens from "/chat/x"
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
     And the first event arrives well before the last
 
   Scenario: A resumable stream resumes after its upstream is killed
     Given a fleet of 1 routers
     When a caller streams 200 tokens from "/chat/x" and its upstream is killed
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
     And the response has only the headers of its first upstream
 
   Scenario: A resumable stream resumes after it was truncated within an event
@@ -29,7 +29,7 @@
   Scenario: A resumable stream resumes after its connection goes silent
     Given a fleet of 1 routers whose routes have a target gap of 100 ms
     When a caller streams 100 tokens from "/chat/x" and its connection goes silent
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
 
   # Guards against cutting off answers of healthy upstreams, seen next to a change of
   # the configuration and for 60 answers on each of two days. An engine that had run
@@ -38,7 +38,7 @@
   Scenario: A stream that may not be resumed waits for its stalled upstream
     Given a fleet of 1 routers whose routes have a target gap of 100 ms
     When a caller streams 100 tokens from "/once/x" and its upstream pauses for 900 ms
-    Then its events are complete and in order
+    Then the events of the stream are complete and in order
 
   Scenario: A disconnect in the middle of a stream reaches the upstream
     Given a fleet of 1 routers
