--- a/features/chat.feature
+++ b/features/chat.feature
@@ -48,10 +48,10 @@
     And a caller sends a non-idempotent chat of 30 tokens
     Then the caller is told that the engine failed
 
-  # Guards against callers that use a stopped router until their deadlines while
-  # others serve. A router that had just started knew only itself; its answer replaced
-  # all addresses that the caller knew, and then it stopped.
-  Scenario: A caller that learned of only one router falls back to its initial ones
+  # Guards against callers that use a stopped router until their deadlines although
+  # other routers serve. A router that had just started knew only itself. Its list of
+  # routers replaced all addresses that the caller knew, and then the router stopped.
+  Scenario: A caller that is told of only one router falls back to its initial routers
     When a caller is told of only one router, which then stops
     Then the other router answers the caller
 
--- a/features/crashes.feature
+++ b/features/crashes.feature
@@ -25,7 +25,7 @@
   Scenario: Random histories of a fleet that receives a crashing request
     Then in 300 random histories of 40 steps, a blocked request is sent at most three times
 
-  Scenario: A request stays blocked on a new router and after all are killed
+  Scenario: A request stays blocked on a new router and after all routers are killed
     Given a fleet of 2 routers
     And a request to "/once/tag" with the body "bad" crashes the upstream that runs it
     When that request is sent 3 times, to each router in turn
@@ -51,13 +51,14 @@
     And 3 crashes by that request are recorded
     And the upstream of the queued attempts has no failures and a closed circuit breaker
 
-  Scenario: Broken connections to upstreams that answer others are not crashes
+  Scenario: Broken connections to upstreams that answer other requests are not crashes
     Given a crash tracker
     When the answer to one request breaks off at 5 upstreams that answer other requests
     Then the request is not refused
 
   Scenario: A blocked request has a short retry time just after its last crash
-    # Connections reset at three upstreams count as crashes until these answer others.
+    # Connections reset at three upstreams count as crashes until these upstreams answer
+    # other requests.
     Given a crash tracker
     When one request crashes 3 upstreams
     Then the request is refused with a retry time of 1000 ms
@@ -71,8 +72,8 @@
     When one request is running at 4 upstreams that are lost within 100 ms
     Then the request is not refused
 
-  Scenario: A request being answered by upstreams that another one crashes is not refused
-    # Both lose their connections to the same upstreams at the same time.
+  Scenario: A request being answered by upstreams that another request crashes is not refused
+    # Both requests lose their connections to the same upstreams at the same time.
     Given a crash tracker
     When one request crashes 3 upstreams while they answer another request
     Then only the first request is refused, also by a router that receives the crash update
@@ -92,7 +93,8 @@
     Then 1 more crash is recorded for a request that was not being answered
 
   Scenario: A crash is recorded although the caller has left
-    # Guards against blocked requests that are sent on because their callers leave early.
+    # Guards against a request that is never blocked, as its callers leave before each
+    # crash.
     Given a fleet of 3 routers
     And a request to "/once/tag" with the body "bad" crashes the upstream that runs it
     And upstreams crash 300 ms after they start to run that request
@@ -100,7 +102,7 @@
     Then 3 upstreams have crashed
 
   Scenario: A failed attempt to resume a stream is recorded only for its own upstream
-    # Otherwise, the previous upstream's failure would be recorded twice.
+    # Otherwise, the failure of the previous upstream would be recorded twice.
     Given a fleet of 1 routers
     When a stream breaks off at its upstream and each attempt to resume it fails
     Then exactly one failure is recorded for each upstream that the stream was sent to
@@ -119,7 +121,7 @@
     Then at most 1024 requests are tracked, and the first request is still refused
     And a crash update contains at most 32 requests
 
-  Scenario: Only the holder of the duties retries a blocked request, twice
+  Scenario: Only the router with the lease of the duties retries a blocked request, twice
     # If every router retried, each retry would crash another upstream.
     Given a crash tracker
     When one request crashes 3 upstreams
--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -8,18 +8,18 @@
     Given a fleet of 3 routers without seeds
     Then every directory lists all 3 routers, those of its failure domain first
 
-  # Guards against uneven load: 33 of 195 routers served a third of all requests, up to
-  # 306 each where others had 30. Directories listed the routers of the caller's failure
-  # domain and then always the same first 30 others by name.
+  # Guards against uneven load. 33 of 195 routers served a third of all requests, up to 306
+  # requests each, while other routers served 30. Directories listed the routers of the
+  # caller's failure domain, and then always the first 30 other routers by name.
   Scenario: All routers are listed about equally often
     Given 195 routers in 6 failure domains, all known to 12 of them
-    When callers of each failure domain ask each of these for routers 20 times
+    When callers of each failure domain ask each of these routers for a list of routers 20 times
     Then each answer names 64 routers, all of the caller's failure domain first
     And no router is named more than 1.5 times as often as the mean
 
   Scenario: A failure domain has more routers than a directory lists
     Given 330 routers in 3 failure domains, all known to 12 of them
-    When callers of each failure domain ask each of these for routers 20 times
+    When callers of each failure domain ask each of these routers for a list of routers 20 times
     Then each answer names 64 routers of the caller's failure domain
     And no router is named more than 1.5 times as often as the mean
 
@@ -33,9 +33,9 @@
     When a router is killed and restarted
     Then every directory lists all 3 routers, those of its failure domain first
 
-  # Guards against needless store calls: 195 routers that had all been killed needed
-  # four calls each to enter the store again, with three for its other contents. Their
-  # writes were refused because the entries, with the same content, already existed.
+  # Guards against needless store calls. 195 routers that had all been killed needed four
+  # calls each to write their store entries again, and three calls to read the rest of the
+  # store. Their writes were refused, as entries with the same content already existed.
   Scenario: A router that restarts at its address keeps its store entry
     Given a store with the entries of 5 routers
     When one of these routers restarts at its address
@@ -52,7 +52,7 @@
     When a new router gets no answer to its entry, and retries
     Then it knows all other routers, and a later one finds it
 
-  Scenario: Of two routers that start concurrently at least one knows the other
+  Scenario: If two routers start concurrently, at least one of them knows the other
     Given a store with the entries of 0 routers
     When two routers start at once, with their calls interleaved
     Then at least one of the two knows the other
@@ -63,7 +63,7 @@
     Then no router knows a third router
     And every directory lists all 2 routers, those of its failure domain first
 
-  Scenario: A revision without any record is not requested forever
+  Scenario: A revision for which no upstream record exists is not requested forever
     Given a fleet of 2 routers
     When one router reaches an upstream revision that no record has
     Then the other router reaches the same revision within 1500 ms
@@ -75,27 +75,27 @@
     When the store is available again
     Then the router is ready within 4000 ms
 
-  # Guards against a thundering herd at the store. Of 195 routers that started at once,
-  # each began three watches because it knew no peer yet: 184 of them repeated all three
-  # when the store failed 5 s later, and the store sent every change to all of them.
-  Scenario: Of routers that start at once only a few watch the store
+  # Guards against a thundering herd at the store. When 195 routers started at once, each
+  # of them began three watches because it knew no peer yet. When the store failed 5 s
+  # later, 184 routers restarted all three. The store sent every change to all routers.
+  Scenario: If many routers start at once, only a few of them watch the store
     Given 40 members that start together and know each other
-    Then 6 of the members watch each kind
+    Then 6 of the members watch each kind of object in the store
     When 1600 ms pass in which 20 of the members send nothing
-    Then 6 of the members watch each kind
+    Then 6 of the members watch each kind of object in the store
 
   Scenario: In a large fleet only a few routers watch the store
     Given 40 members that hear each other
-    Then 6 of the members watch each kind
+    Then 6 of the members watch each kind of object in the store
     When half of the members fall silent
-    Then 6 of the remaining members watch each kind
+    Then 6 of the remaining members watch each kind of object in the store
 
-  Scenario: A router without a watch asks a peer at once, one with a watch later
+  Scenario: A router without a watch calls a peer at once, a router with a watch calls it later
     Given a router that does not watch the store and one that does
-    When both receive two beacons 250 ms apart from a peer that is ahead
+    When both routers receive two beacons 250 ms apart from a peer with newer data
     Then the router that does not watch calls the peer
     And the router that watches does not call the peer
-    When both receive another such beacon after 100 ms
+    When both routers receive another such beacon after 100 ms
     Then the router that watches calls the peer too
 
   Scenario: Changes reach all routers although only a few watch the store
@@ -117,7 +117,7 @@
     Then the metrics count 3 requests with status 200 and their latencies
     And the health endpoint reports the versions in force
 
-  Scenario: Router and attempt have spans of the trace of the caller
+  Scenario: Spans of the router and of its attempts belong to the caller's trace
     Given a fleet of 1 routers that export spans
     When a caller sends a request with a trace context
     Then the router and attempt spans belong to that trace
--- a/features/limits.feature
+++ b/features/limits.feature
@@ -10,7 +10,7 @@
     When each router receives a request of 10 tokens every 100 ms for 20 s
     Then no request is refused
 
-  Scenario: An isolated router spends no more than its share
+  Scenario: An isolated router spends no more than its share of the limit
     Given 3 routers that share a limit of 1000 tokens a second and a burst of 2000
     And router 1 is isolated from the others
     When each router receives a request of 200 tokens every 100 ms for 10 s
@@ -39,19 +39,19 @@
     When a request of 400 tokens is admitted but does not run
     Then another request of 400 tokens is admitted
 
-  Scenario: A caller over its limit receives a retry time
+  Scenario: A caller whose team exceeds its limit receives a retry time
     Given a fleet of 2 routers with a limit of 30 tokens a second for "noor"
     When a caller spends the whole limit at one router
     Then the other router refuses requests within 1000 ms with 429 and a retry time
 
-  Scenario: Retries stay within their share of the requests
+  Scenario: Retries stay within a fraction of the number of requests
     Given a budget of 0.2 retries per request and 5 more retries in 10 s, for 2 routers
     When a service receives 50 requests in 10 s that need 3 retries each
     Then at most 12 retries are allowed
     And at most 12 more retries are allowed in the next 10 s, with 50 more requests
 
-  # Guards against an upstream that never gets requests from a router again: the caller of
-  # its probe leaves, so that the probe has no outcome, and only an outcome ended a probe.
+  # Guards against a router that never sends requests to an upstream again: the caller of
+  # the probe request left, so the probe had no outcome, and only an outcome ended a probe.
   Scenario: A probe whose caller has left does not exclude an upstream for good
     Given the health state of an upstream
     When the upstream fails 2 times in a row
@@ -70,7 +70,7 @@
     When the probe request succeeds
     Then the upstream gets any number of requests again
 
-  Scenario: An upstream that fails some of its requests gets fewer
+  Scenario: An upstream that fails some of its requests gets fewer requests
     Given two upstreams of which one fails half of its requests
     Then the upstream without failures is selected while both upstreams are idle
 
@@ -96,7 +96,7 @@
     When all engines in the subset of the router fail
     Then a request without a prefix goes to another engine
 
-  Scenario: Loads of other routers count until they report less or fall silent
+  Scenario: The load of another router counts until that router reports less or falls silent
     Given 3 idle engines and 1 routers
     When routers "r1" and "r2" report 2 requests on each engine
     Then 4 requests are counted on each engine
@@ -105,7 +105,7 @@
     When beacons arrive only from router "r1"
     Then 0 requests are counted on each engine
 
-  Scenario: A home with too much load is avoided
+  Scenario: Requests avoid the home of their prefix if it has too much load
     Given 5 idle engines and 3 routers
     When the home of a prefix has 40000 tokens waiting for prefill
     Then requests with this prefix go to other engines
@@ -122,7 +122,7 @@
       | 500    | 600    | 0        | 0     |
       | 39000  | 800    | 4        | 9     |
 
-  Scenario: Faster engines leave more slack
+  Scenario: A prompt is more urgent if engines prefill faster
     Then a prompt of 17000 tokens is more urgent at a prefill rate of 100 tokens per ms than at 20
 
   Scenario: The start and the prefill of a long prompt are reported at once
--- a/features/spread.feature
+++ b/features/spread.feature
@@ -1,14 +1,14 @@
-# Guards against a change that takes too long to reach all routers: 58 routers on links
-# of 5 Mbit/s received 1,600 routes one after the other, the last one 12 s after the
-# first, and meanwhile answered valid requests with "no such route", which callers treat
-# as final. Each router requested the whole text of 0.46 MB from the first peer that had
-# it. Copies of any size were served to any number of peers at a time, each with a single
-# timeout; calls ran into it and were restarted at another peer. The links below are
-# simulated and share bandwidth.
+# Guards against a configuration that takes too long to reach all routers. 58 routers on
+# links of 5 Mbit/s received 1,600 routes one after the other, the last router 12 s after
+# the first. Meanwhile, they answered valid requests with "no such route", which callers
+# treat as final. Each router requested the whole text of 0.46 MB from the first peer that
+# had it. A peer served any number of copies at a time, so that calls timed out and were
+# repeated at another peer. The links below are simulated; concurrent transfers share the
+# bandwidth of a link.
 
 Feature: Distribution of a large configuration over slow links
 
-  Scenario: A configuration reaches all routers although each copy takes much of a link
+  Scenario: A configuration reaches all routers although each copy takes long on a link
     Given 58 routers on links of 625 bytes per ms
     When 6 of the routers read a configuration with 1600 more routes within 600 ms
     Then all routers have the configuration within 2500 more ms
@@ -49,7 +49,7 @@
     When the routers can reach the store again
     Then all routers have the configuration within 5000 more ms
 
-  Scenario: The link of a router is also free while the router is paused
+  Scenario: A router counts the time of its own pause as time for its transfers
     Given 8 routers on links of 625 bytes per ms
     When 1 of the routers read a configuration with 16000 more routes within 10 ms
     And that router serves copies of the configuration until it defers a peer
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -141,7 +141,7 @@
     def refused():
         return helpers.send_request('', conn=context.conn).status == status
 
-    helpers.wait_until(refused, f'{status} on the kept connection', ms)
+    helpers.wait_until(refused, f'{status} on the persistent connection', ms)
     context.conn.close()
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -21,8 +21,8 @@
 from peridotmast.wire import connection as connection_
 
 PROPAGATION_MS = 700
-"""Time for an update to reach all routers: two beacons, one of which may be
-lost."""
+"""Time for a crash update to reach all routers, in ms: two beacons, of which
+one may be lost."""
 
 
 @when(
@@ -63,7 +63,7 @@
 
 
 def set_crash_body(context, guest):
-    """Make the request crash an upstream, which is then replaced."""
+    """Make `context.body` crash an upstream, which is then replaced."""
     app = guest.upstream.app
     app.crash_body = context.body
     app.crash_delay_ms = context.crash_delay_ms
@@ -179,7 +179,7 @@
             for left in [(router.lease._current().get('left') or {})]
             if left.get('crashSuspects')
         ),
-        'the block is stored with the lease',
+        'the blocked request is stored with the lease',
     )
     killed = context.fleet.running_routers()
     for router in killed:
@@ -191,7 +191,7 @@
             router.serving.crashes.blocked()
             for router in context.fleet.running_routers()
         ),
-        'the block is restored',
+        'every router has restored the blocked request',
     )
 
 
@@ -237,7 +237,8 @@
         for _ in range(count)
     ]
     helpers.wait_until(
-        lambda: len(app.arrivals) == count, 'the attempts have arrived'
+        lambda: len(app.arrivals) == count,
+        'the attempts have arrived at the engine',
     )
     context.queued_at = guest
     context.fleet.announce_leaving(guest)
@@ -250,7 +251,7 @@
             == len(others)
             for router in context.fleet.routers
         ),
-        'the replacements are live',
+        'the replacement engines are live',
     )
 
 
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -277,8 +277,8 @@
 
 
 @when(
-    'callers of each failure domain ask each of these for routers {times:d}'
-    ' times'
+    'callers of each failure domain ask each of these routers for a list of'
+    ' routers {times:d} times'
 )
 def ask_for_routers(context, times):
     context.answers = [
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -194,7 +194,7 @@
         )
         return context.last.status == status
 
-    helpers.wait_until(refused, 'a refusal', ms)
+    helpers.wait_until(refused, 'the other router refuses', ms)
     fleet_steps.status_with_time(context, status)
 
 
@@ -587,7 +587,7 @@
             router.upstream_table.get(name).total_load().unread == tokens
             for router in context.fleet.routers[1:]
         ),
-        'the other routers know',
+        'the other routers know the prompt tokens at the engine',
     )
 
 
--- a/features/steps/raw_upstream.py
+++ b/features/steps/raw_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that sends scripted bytes, valid or not."""
+"""An upstream whose responses are scripted bytes, valid or not."""
 
 from __future__ import annotations
 
--- a/features/steps/spread_steps.py
+++ b/features/steps/spread_steps.py
@@ -37,7 +37,7 @@
 STORE_READ_MS = 60_000
 """Timeout of a read that transfers the configuration from the store."""
 MAX_CLOCK_STEP_MS = 500
-"""Longest step of the clock that does not count as a pause of the process."""
+"""Longest step of the clock that does not count as a process pause, in ms."""
 OLD_VERSION, NEW_VERSION = 4, 5
 ALPHABET = '0123456789abcdefghijklmnopqrstuvwxyz'
 
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -450,14 +450,17 @@
         peering.receive(beacon)
 
 
-@when('both receive two beacons {ms:d} ms apart from a peer that is ahead')
+@when(
+    'both routers receive two beacons {ms:d} ms apart from a peer with newer'
+    ' data'
+)
 def receive_twice(context, ms):
     receive_from_ahead(context)
     context.clock.advance(ms)
     receive_from_ahead(context)
 
 
-@when('both receive another such beacon after {ms:d} ms')
+@when('both routers receive another such beacon after {ms:d} ms')
 def receive_again(context, ms):
     context.clock.advance(ms)
     receive_from_ahead(context)
@@ -587,7 +590,7 @@
     ]
 
 
-@then('{count:d} of the members watch each kind')
+@then('{count:d} of the members watch each kind of object in the store')
 def some_watch(context, count):
     for kind in ('config', 'upstreams'):
         assert len(watching(context, kind)) == count
@@ -603,7 +606,9 @@
             members.receive(other)
 
 
-@then('{count:d} of the remaining members watch each kind')
+@then(
+    '{count:d} of the remaining members watch each kind of object in the store'
+)
 def remaining_watch(context, count):
     some_watch(context, count)
 
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -194,7 +194,7 @@
     sock.close()
 
 
-@then('the upstream detects the disconnect within {ms:d} ms')
+@then('the upstream of the request detects the disconnect within {ms:d} ms')
 def upstream_detects_disconnect(context, ms):
     def detected():
         return any(
@@ -205,7 +205,7 @@
     helpers.wait_until(detected, 'the upstream detects the disconnect', ms)
 
 
-@then('the request was not run again')
+@then('the abandoned request was not run again')
 def not_run_again(context):
     green.sleep_ms(300)
     assert helpers.arrival_count(context, 'leaver') == 1
--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -21,7 +21,7 @@
 TOKENS = [(names.TOKENS, '20,4')]
 WINDOW_MS = 4000
 PROPAGATION_MS = 1000
-"""Time within which every router knows a limit."""
+"""Time within which a stated limit reaches every router, in ms."""
 
 
 def engines(context):
@@ -127,7 +127,7 @@
     assert send_prompt(context, context.fleet.routers[0]).status == 200
     helpers.wait_until(
         lambda: all(routers_know_rate(context, float(rate))),
-        'all know the limit',
+        'all routers know the limit',
     )
 
 
@@ -156,7 +156,9 @@
             send_prompt(context, router)
         return all(routers_know_rate(context, 0))
 
-    helpers.wait_until(send_prompts_and_check, 'no limit', seconds * 1000)
+    helpers.wait_until(
+        send_prompts_and_check, 'no router knows a limit', seconds * 1000
+    )
 
 
 @then('the router keeps the limit of {rate:g} requests a second')
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -43,14 +43,14 @@
   Scenario: A disconnect in the middle of a stream reaches the upstream
     Given a fleet of 1 routers
     When a caller of "/once/x" disconnects in the middle of its stream
-    Then the upstream detects the disconnect within 500 ms
+    Then the upstream of the request detects the disconnect within 500 ms
 
   Scenario: A disconnect before the first byte reaches the upstream
     Given a fleet of 1 routers
     And every upstream of "booking" takes 3000 ms for a request
     When a caller of "/holds/seat" disconnects while it waits
-    Then the upstream detects the disconnect within 500 ms
-    And the request was not run again
+    Then the upstream of the request detects the disconnect within 500 ms
+    And the abandoned request was not run again
 
   Scenario: A request is aborted if its caller does not read the response
     Given a fleet of 1 routers with a write timeout of 300 ms
--- a/features/upstream_limits.feature
+++ b/features/upstream_limits.feature
@@ -31,7 +31,7 @@
       | inf   |
       | 1e3   |
 
-  Scenario: A limit too small to be split between all routers is used up
+  Scenario: A limit too small to be split between all routers is used completely
     Given 20 routers under load that share a limit of 0.5 requests a second
     When 60 s pass
     Then the upstream has received from 27 to 33 requests
@@ -60,7 +60,7 @@
     And a third router starts, and the limit of one upstream is used
     Then one share is recomputed
 
-  Scenario: A share regained after two membership changes starts empty
+  Scenario: A share of a limit that is regained after two membership changes starts without tokens
     # Another router may have used the share in between.
     Given 5 routers under load that share a limit of 1 requests a second
     When 60 s pass without load
--- a/features/upstreams.feature
+++ b/features/upstreams.feature
@@ -57,7 +57,7 @@
     And the earlier entry of "a" is received again
     Then "b, c" may get new requests
 
-  Scenario: A router that learns of a lapse from a peer times it itself
+  Scenario: A router that learns of a lapsed upstream from a peer measures the time itself
     Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" is missing after an outage
     And 1000 ms pass
@@ -66,10 +66,11 @@
     Then at the other router "b, c" may get new requests
     And after 2300 ms the other router has "a" marked as gone
 
-  # Guards against requests that reach a leaving upstream too late, by up to 0.14 s after
-  # the permitted 3 s: a router learned of the lapse from a peer 1 s after the store had
-  # reported it, without its age, and sent requests for as long again as the peer.
-  Scenario: A peer reports a lapse with its age
+  # Guards against requests that reach a leaving upstream up to 0.14 s after the permitted
+  # 3 s. A router learned of the missing entry from a peer 1 s after the store had reported
+  # it to that peer. The peer did not state how old the report was, so the router sent
+  # requests for as long as the peer, but from 1 s later on.
+  Scenario: A peer reports a lapsed upstream with the time since its entry went missing
     Given upstreams "a", "b" and "c" with entries in the store
     When the entry of "a" is missing after an outage
     And 1000 ms pass
@@ -79,7 +80,7 @@
     Then at the other router "b, c" may get new requests
     And after 1000 ms the other router has "a" marked as gone
 
-  Scenario: A failed call starts an outage, which lasts until some time after an answer
+  Scenario: A failed store call starts an outage, which lasts until some time after an answer
     Given a store that answers
     When a store call fails
     And 5000 ms pass
