--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -2,11 +2,11 @@
 
   Scenario: Every directory lists all routers
     Given a fleet of 3 routers
-    Then every directory lists all 3 routers, those of its failure domain first
+    Then every directory lists all 3 routers, the routers of its failure domain first
 
   Scenario: Routers discover each other through the store alone
     Given a fleet of 3 routers without seeds
-    Then every directory lists all 3 routers, those of its failure domain first
+    Then every directory lists all 3 routers, the routers of its failure domain first
 
   # Guards against uneven load. 33 of 195 routers served a third of all requests, up to 306
   # requests each, while other routers served 30. Directories listed the routers of the
@@ -26,12 +26,12 @@
   Scenario: A router that joins during a store outage is found through seeds
     Given a fleet of 2 routers
     When the store is unavailable and a third router starts
-    Then every directory lists all 3 routers, those of its failure domain first
+    Then every directory lists all 3 routers, the routers of its failure domain first
 
   Scenario: A restarted router with the same name counts as a new run
     Given a fleet of 3 routers
     When a router is killed and restarted
-    Then every directory lists all 3 routers, those of its failure domain first
+    Then every directory lists all 3 routers, the routers of its failure domain first
 
   # Guards against needless store calls. 195 routers that had all been killed needed four
   # calls each to write their store entries again, and three calls to read the rest of the
@@ -39,18 +39,18 @@
   Scenario: A router that restarts at its address keeps its store entry
     Given a store with the entries of 5 routers
     When one of these routers restarts at its address
-    Then it knows all other routers after 1 call to the store
+    Then the router knows all other routers after 1 call to the store
 
   Scenario: A router that restarts at another address updates its store entry
     Given a store with the entries of 5 routers
     When one of these routers restarts at another address
-    Then it knows all other routers after 3 calls to the store
-    And a router that starts later finds it at its new address
+    Then the router knows all other routers after 3 calls to the store
+    And a router that starts later finds the restarted router at its new address
 
   Scenario: A router whose first write got no reply has one store entry
     Given a store with the entries of 5 routers
-    When a new router gets no answer to its entry, and retries
-    Then it knows all other routers, and a later one finds it
+    When a new router gets no answer to the write of its entry, and retries
+    Then the router knows all other routers, and a router that starts later finds it
 
   Scenario: If two routers start concurrently, at least one of them knows the other
     Given a store with the entries of 0 routers
@@ -61,7 +61,7 @@
     Given a fleet of 2 routers that sign their beacons
     When a forged beacon announces a third router
     Then no router knows a third router
-    And every directory lists all 2 routers, those of its failure domain first
+    And every directory lists all 2 routers, the routers of its failure domain first
 
   Scenario: A revision for which no upstream record exists is not requested forever
     Given a fleet of 2 routers
@@ -107,7 +107,7 @@
 
   Scenario: Operators can look up the decisions on a request by its id
     Given a fleet of 2 routers
-    When a caller sends a request to one router and an operator looks it up at the other
+    When a caller sends a request to one router and an operator looks the request up at the other
     Then the operator gets the upstream, the status and the duration
     And the operator gets the data behind the choice of the upstream
 
--- a/features/steps/registry_steps.py
+++ b/features/steps/registry_steps.py
@@ -57,22 +57,24 @@
     context.has_registered = context.started.registry.register()
 
 
-@then('it knows all other routers after {count:d} calls to the store')
-@then('it knows all other routers after {count:d} call to the store')
+@then('the router knows all other routers after {count:d} calls to the store')
+@then('the router knows all other routers after {count:d} call to the store')
 def knows_all_others(context, count):
     assert context.has_registered
     assert len(context.started.known) == context.count - 1
     assert context.store.calls == count, context.store.calls
 
 
-@then('a router that starts later finds it at its new address')
+@then(
+    'a router that starts later finds the restarted router at its new address'
+)
 def finds_new_address(context):
     other = StartingRouter(context.store, 'r9', 9)
     assert other.registry.register()
     assert other.known['r1'].beacon_address == '10.0.0.1:77'
 
 
-@when('a new router gets no answer to its entry, and retries')
+@when('a new router gets no answer to the write of its entry, and retries')
 def register_after_lost_reply(context):
     context.started = StartingRouter(context.store, 'new', 50)
     context.store.lose_replies = 1
@@ -80,7 +82,10 @@
     assert context.started.registry.register()
 
 
-@then('it knows all other routers, and a later one finds it')
+@then(
+    'the router knows all other routers, and a router that starts later finds'
+    ' it'
+)
 def knows_and_found(context):
     assert len(context.started.known) == context.count
     other = StartingRouter(context.store, 'r9', 9)
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -333,8 +333,8 @@
 
 
 @then(
-    'every directory lists all {count:d} routers, those of its failure domain'
-    ' first'
+    'every directory lists all {count:d} routers, the routers of its failure'
+    ' domain first'
 )
 def lists_all(context, count):
     def all_listed():
@@ -614,8 +614,8 @@
 
 
 @when(
-    'a caller sends a request to one router and an operator looks it up at the'
-    ' other'
+    'a caller sends a request to one router and an operator looks the request'
+    ' up at the other'
 )
 def operator_looks_up(context):
     first, second = context.fleet.routers
--- a/src/peridotmast/ids.py
+++ b/src/peridotmast/ids.py
@@ -11,7 +11,7 @@
 """Digest of the host, path, team and body of a request, without its id."""
 
 StreamId = ty.NewType('StreamId', str)
-"""Id of a stream at an engine, derived from request key and body."""
+"""Id of a stream at an engine, derived from the request's key and body."""
 
 RouterName = ty.NewType('RouterName', str)
 """Name of a router, from its settings."""
--- a/src/peridotmast/serving/decisions.py
+++ b/src/peridotmast/serving/decisions.py
@@ -1,4 +1,4 @@
-"""Logs the decisions on each request and keeps the latest in memory."""
+"""Logs the decisions on each request and keeps the latest ones for lookups."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 _MAX_REQUESTS = 512
 """Number of requests whose decisions are kept for lookups by operators; the
-log has those of all requests. They take about 200 kB."""
+log has the decisions on all requests. The kept decisions take about 200 kB."""
 
 Step = tuple[int, str, dict[str, ty.Any]]
 """Time (ms since 1970), event and values of one decision."""
--- a/src/peridotmast/serving/dispatcher.py
+++ b/src/peridotmast/serving/dispatcher.py
@@ -24,8 +24,8 @@
 
 _MAX_BODY_BYTES = 1 << 20
 """Largest response body that is buffered, in bytes. A response that is not a
-stream is read completely before it is forwarded, so that a truncated one can
-be retried or reported as an error."""
+stream is read completely before it is forwarded, so that a request with a
+truncated response can be retried or reported as failed."""
 
 _RETRY_MS = 500
 """Retry time sent to the caller if no upstream accepted the request, in ms."""
@@ -56,7 +56,7 @@
     """Sends each request to upstreams until it has one final result.
 
     A non-idempotent request is retried only if it is known not to have run:
-    nothing was sent, or the upstream stated that it did not run it.
+    nothing was sent, or the upstream stated that it did not run the request.
 
     Parameters
     ----------
@@ -229,8 +229,9 @@
     ) -> None:
         """Count a request without a response as started when it was sent.
 
-        A stream that timed out without an event is not counted: it may have
-        been queued at the engine, and it starts with its first token.
+        A stream that timed out without an event is not counted: its request
+        may still have been queued at the engine, and counts as started with
+        its first token.
         """
         if not state.exchange.is_stream or failure.reason != 'silent':
             self._count_started(state, sent_at)
@@ -330,7 +331,7 @@
     def _final_failure(
         self, state: _RequestState, failure: failures.Failure
     ) -> failures.Failure:
-        """Return the failure for the caller; NOT_RUN only if nothing ran.
+        """Return the failure for the caller; NOT_RUN only if no attempt ran.
 
         If an earlier attempt may have run, the outcome is unknown even if the
         last attempt did not run. The retry time is kept.
--- a/src/peridotmast/serving/placement.py
+++ b/src/peridotmast/serving/placement.py
@@ -202,7 +202,7 @@
 
 
 class Reservation:
-    """The load that a request adds to one upstream until it is released.
+    """The load that a request adds to one upstream until `release`.
 
     Parameters
     ----------
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -10,8 +10,8 @@
 from peridotmast.schema import peridotmast_pb2 as pb
 
 _MAX_WAIT_MS = 10_000
-"""Maximum retry time given to callers: other callers of the team may use less
-by then."""
+"""Maximum retry time given to callers, in ms: by then, other callers of the
+team may use less of its limit."""
 
 _LOW_LEVEL = 0.5
 _SMALL_REQUEST = 1 / 8
@@ -61,7 +61,8 @@
     burst: float
     """Maximum number of tokens."""
     level: float
-    """Tokens left; negative after routers have admitted too many requests."""
+    """Tokens left in the bucket; negative if routers have admitted requests
+    for more tokens than the bucket held."""
     at: int
     """Time for which `level` holds, in ms."""
     debt: float
@@ -93,16 +94,18 @@
     """Token buckets of the teams, each for the requests of all routers.
 
     Each router keeps a bucket for the whole limit of each team. It subtracts
-    its own requests at once, and those of other routers when it receives
-    their beacons. Requests admitted in between make the level negative, so
-    that the total over time is exact and only delayed by one beacon. A router
-    that hears only a share of the fleet fills its buckets at that share of the
-    rate, as the routers that it does not hear may spend the rest.
-
-    A starting router spends no more than its own part until a peer reports the
-    levels; if none does, it continues with the remainder of its part. With
-    full buckets instead, a third of 58 routers that were started at once
-    admitted a fifth more than a team's limit in 8 s.
+    its own requests at once, and the requests of other routers when it
+    receives their beacons. Requests admitted in between make the level
+    negative, so that the total over time is exact and only delayed by one
+    beacon. A router that receives beacons from only a fraction of the fleet
+    fills its buckets at this fraction of the rate, as the other routers may
+    spend the rest.
+
+    A starting router spends no more than its own part of a limit until a peer
+    reports the levels; if no peer does, the router continues with the
+    remainder of its part. When routers started with full buckets instead, a
+    third of 58 routers that were started at once admitted a fifth more than a
+    team's limit in 8 s.
 
     Parameters
     ----------
--- a/src/peridotmast/serving/sender.py
+++ b/src/peridotmast/serving/sender.py
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass
 class Sent:
-    """An attempt whose response head was read."""
+    """An attempt whose response head has been read."""
 
     reservation: placement.Reservation
     conn: connection_.Connection
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -185,9 +185,9 @@
     def _stall_deadline(self, stream: Stream) -> int:
         """Return the time by which the next bytes must arrive, in ms.
 
-        A stall is a reason to resume at another upstream, but not to end a
-        stream that can't be resumed: its upstream may be recomputing the
-        prefill.
+        A stalled stream is resumed at another upstream if possible. A stream
+        that can't be resumed is not ended because of a stall, as its upstream
+        may be recomputing the prefill.
         """
         exchange = stream.exchange
         if not stream.may_resume():
@@ -357,8 +357,8 @@
         """Store the result of the migration; None if it failed."""
         migration = self._migration
         if migration is None:
-            # Nothing waits any more: the stream was closed, or the wait for
-            # the migration timed out.
+            # No task waits for the result any more: the stream was closed, or
+            # the wait for the migration timed out.
             if migrated is not None:
                 migrated.reservation.release()
             return
--- a/src/peridotmast/serving/upstream_limits.py
+++ b/src/peridotmast/serving/upstream_limits.py
@@ -34,10 +34,11 @@
 """Minimum interval between two refreshes of an unchanged limit."""
 
 _LIFTED_RETENTION_MS = 60_000
-"""How long a lifted limit is kept, so that stale updates are rejected."""
+"""How long a lifted limit is kept, in ms, so that stale updates of the limit
+are rejected."""
 
 _RETENTION_MS = 600_000
-"""How long a limit is kept without an answer that states it."""
+"""How long a limit is kept after the last answer that stated it, in ms."""
 
 MAX_LIMITS = 8192
 """Maximum number of limits kept, about 400 bytes each."""
@@ -83,12 +84,13 @@
 
     Each router computes its own share from the names of all known routers;
     no request waits for a peer. A limit is split equally between at most as
-    many routers as its burst has requests, since a smaller share could never
-    send one. They are selected by a hash of the router's name and the
-    upstream's run, and the other routers send nothing to the upstream. A
-    share starts without tokens, as a previous owner may have used them. The
-    sum over all routers therefore stays within the limit, and a router that
-    others do not know yet exceeds it by its own share at most.
+    many routers as its burst has requests, since a smaller share would never
+    permit a request. These routers are selected by a hash of their name and
+    the upstream's run; all other routers send nothing to the upstream. A share
+    starts without tokens, as a previous owner of the share may have used them.
+    The requests of all routers together therefore stay within the limit. A
+    router that other routers do not know yet exceeds the limit by at most its
+    own share.
 
     Parameters
     ----------
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -16,8 +16,8 @@
 UNREADABLE = upstream_view.UNREADABLE
 
 _GONE_RETENTION_MS = 60_000
-"""How long a gone upstream is kept, so that an outdated record of a peer does
-not restore it."""
+"""Time for which a gone upstream is kept in the table, in ms, so that an
+outdated record of a peer does not restore the upstream."""
 
 _GRACE_SHARE = 0.6
 """Fraction of the drain time for which an upstream gets new requests after its
@@ -43,20 +43,21 @@
     has ended may still reach the store.
 
     An upstream whose entry is missing after an outage of the store may only
-    have been unable to renew it. Such a lapsed upstream gets new requests for
-    a share of the drain time, and counts as gone if its entry does not return
-    within the time that the platform states. Each router measures both times
-    itself, starting when the first router that reports the missing entry
-    noticed it, and so does not rely on a peer to declare the upstream gone.
+    have been unable to renew its entry. Such a lapsed upstream gets new
+    requests for a fraction of the drain time, and counts as gone if its entry
+    does not return within the time that the platform states. Each router
+    measures both times itself, starting when the first router that reports the
+    missing entry noticed it, and so does not rely on a peer to declare the
+    upstream gone.
 
     Parameters
     ----------
     clock : clock.Clock
         Times the health, the lapses and the retention of upstreams.
     drain_ms : int
-        Time after which a leaving upstream may get no new requests.
+        Time after which a leaving upstream may get no new requests, in ms.
     lapse_ms : int
-        Time within which entries return after an outage.
+        Time within which missing entries return after an outage, in ms.
     """
 
     def __init__(
--- a/src/peridotmast/serving/usage.py
+++ b/src/peridotmast/serving/usage.py
@@ -22,9 +22,9 @@
 class Usage:
     """Usage counts of this router and of all other routers.
 
-    Every router keeps the counts of every other, so that any holder of the
-    reporting duty can report a window, including the counts of a router that
-    was killed in the meantime.
+    Every router keeps the counts of every other router. Any holder of the
+    reporting duty can therefore report the counts of a window, including those
+    of a router that was killed in the meantime.
 
     Parameters
     ----------
