--- a/features/duties.feature
+++ b/features/duties.feature
@@ -64,16 +64,16 @@
 
     Examples:
       | what                            | path    | count |
-      | a 500 of its own                | /once/x | 1     |
-      | a 503 that does not say not run | /once/x | 1     |
-      | a reset                         | /once/x | 1     |
-      | nothing and a close             | /chat/x | 1     |
-      | a refusal that says not run     | /once/x | 0     |
-      | another upstream's name         | /once/x | 0     |
+      | a status 500                    | /once/x | 1     |
+      | a 503 without a not-run header  | /once/x | 1     |
+      | a connection reset              | /once/x | 1     |
+      | a close without a response      | /chat/x | 1     |
+      | a refusal with a not-run header | /once/x | 0     |
+      | the name of another upstream    | /once/x | 0     |
 
   Scenario: A request whose answer is lost counts in the window in which it was sent
     Given a fleet of 1 routers with one scripted engine
-    And the upstream answers with "a reset a window later"
+    And the upstream answers with "a connection reset a window later"
     When a caller posts "letter" to "/once/x" at the start of a usage window
     Then 1 requests of "noor" are counted as started, only in that window
 
--- a/features/odd_upstreams.feature
+++ b/features/odd_upstreams.feature
@@ -10,36 +10,36 @@
 
     Examples:
       | what                            | status |
-      | bytes that are no answer        | 502    |
+      | bytes that are no HTTP response | 502    |
       | half of the body                | 502    |
-      | nothing and a close             | 502    |
-      | a reset                         | 502    |
+      | a close without a response      | 502    |
+      | a connection reset              | 502    |
       | a success without a seal        | 502    |
-      | a 503 that does not say not run | 502    |
-      | two lengths                     | 502    |
-      | a length and chunks             | 502    |
-      | an odd chunk                    | 502    |
-      | a 404 of its own                | 404    |
+      | a 503 without a not-run header  | 502    |
+      | two Content-Length headers      | 502    |
+      | a Content-Length and chunks     | 502    |
+      | a malformed chunk               | 502    |
+      | a status 404                    | 404    |
       | a body that ends with the connection | 200 |
 
   Scenario: A second answer after the first is given to nobody
-    Given the upstream answers with "its answer and another one"
+    Given the upstream answers with "its answer and then a foreign one"
     When a caller posts "seat 12" to "/holds/seat"
     And a caller posts "seat 13" to "/holds/seat"
     Then each caller receives the answer to its own request
 
   Scenario: A late answer to another request comes before its own
-    Given the upstream answers with "an old answer and then its own"
+    Given the upstream answers with "a stale answer and then its own"
     When a caller posts "seat 12" to "/holds/seat"
     Then each caller receives the answer to its own request
 
   Scenario: A refusal without a run is passed on as a promise
-    Given the upstream answers with "a refusal that says not run"
+    Given the upstream answers with "a refusal with a not-run header"
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 503 with a retry time
 
   Scenario: Another upstream has the address
-    Given the upstream answers with "another upstream's name"
+    Given the upstream answers with "the name of another upstream"
     When a caller posts "seat 12" to "/holds/seat"
     Then the status is 503 with a retry time
 
@@ -55,13 +55,13 @@
     Then the answer is received, and the connection must not be reused
 
   Scenario: Bytes that come along with an answer spoil no other request
-    Given the upstream answers with "its answer and another one at once"
+    Given the upstream answers with "its answer and a foreign one at once"
     When 5 requests are sent one after the other
     Then each request is answered with its own answer
     And each request was sent over a new connection
 
   Scenario: Each request names the upstream that is meant
-    Given the upstream answers with "a 404 of its own"
+    Given the upstream answers with "a status 404"
     When a caller posts "seat 12" to "/holds/seat"
     Then the request contained the name of the upstream
 
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -71,7 +71,7 @@
     ).encode()
 
 
-def not_an_answer(sock, request_id, number):
+def no_http_response(sock, request_id, number):
     sock.sendall(b'\x16\x03\x01 this is no answer\r\n\r\n')
 
 
@@ -79,11 +79,11 @@
     sock.sendall(raw_upstream.ok_response(request_id, b'0123456789')[:-5])
 
 
-def close_only(sock, request_id, number):
+def close_without_response(sock, request_id, number):
     pass
 
 
-def reset_only(sock, request_id, number):
+def reset_connection(sock, request_id, number):
     set_reset_on_close(sock)
 
 
@@ -103,7 +103,7 @@
     sock.sendall(make_head(request_id, 'Content-Length: 0', status=status))
 
 
-def two_lengths(sock, request_id, number):
+def two_content_lengths(sock, request_id, number):
     lines = ('Content-Length: 2', 'Content-Length: 4')
     sock.sendall(make_head(request_id, *lines) + b'hihi')
 
@@ -134,7 +134,7 @@
     sock.sendall(make_head(request_id) + b'all of it')
 
 
-def answer_and_another(sock, request_id, number):
+def answer_and_foreign_one(sock, request_id, number):
     extra = raw_upstream.ok_response('somebody-else', b'stolen')
     sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     green.sleep_ms(30)
@@ -142,7 +142,7 @@
     return True
 
 
-def answer_and_another_at_once(sock, request_id, number):
+def answer_and_foreign_one_at_once(sock, request_id, number):
     extra = raw_upstream.ok_response('somebody-else', b'stolen')
     sock.sendall(
         raw_upstream.ok_response(request_id, request_id.encode(), extra)
@@ -150,44 +150,44 @@
     return True
 
 
-def stale_answer_first(sock, request_id, number):
+def stale_answer_and_own(sock, request_id, number):
     sock.sendall(raw_upstream.ok_response('an-old-one', b'stale'))
     sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     return True
 
 
-def refused_not_run(sock, request_id, number):
+def refusal_with_not_run(sock, request_id, number):
     status = '503 Service Unavailable'
     lines = (f'{names.NOT_RUN}: 1', 'Content-Length: 0')
     sock.sendall(make_head(request_id, *lines, status=status, seal=False))
     return True
 
 
-def other_upstream_name(sock, request_id, number):
+def name_of_other_upstream(sock, request_id, number):
     status = '421 Misdirected Request'
     lines = (f'{names.UPSTREAM}: other', 'Content-Length: 0')
     sock.sendall(make_head(request_id, *lines, status=status, seal=False))
 
 
 SCRIPTS = {
-    'bytes that are no answer': not_an_answer,
+    'bytes that are no HTTP response': no_http_response,
     'half of the body': send_half_of_body,
-    'nothing and a close': close_only,
-    'a reset': reset_only,
-    'a reset a window later': delayed_reset,
+    'a close without a response': close_without_response,
+    'a connection reset': reset_connection,
+    'a connection reset a window later': delayed_reset,
     'a success without a seal': answer_without_seal,
-    'a 503 that does not say not run': answer_503_without_not_run,
-    'two lengths': two_lengths,
-    'a length and chunks': length_and_chunks,
-    'an odd chunk': malformed_chunk,
-    'a 404 of its own': status_404,
-    'a 500 of its own': status_500,
+    'a 503 without a not-run header': answer_503_without_not_run,
+    'two Content-Length headers': two_content_lengths,
+    'a Content-Length and chunks': length_and_chunks,
+    'a malformed chunk': malformed_chunk,
+    'a status 404': status_404,
+    'a status 500': status_500,
     'a body that ends with the connection': body_until_close,
-    'its answer and another one': answer_and_another,
-    'its answer and another one at once': answer_and_another_at_once,
-    'an old answer and then its own': stale_answer_first,
-    'a refusal that says not run': refused_not_run,
-    "another upstream's name": other_upstream_name,
+    'its answer and then a foreign one': answer_and_foreign_one,
+    'its answer and a foreign one at once': answer_and_foreign_one_at_once,
+    'a stale answer and then its own': stale_answer_and_own,
+    'a refusal with a not-run header': refusal_with_not_run,
+    'the name of another upstream': name_of_other_upstream,
 }
 
 
