--- a/src/peridotmast/serving/candidates.py
+++ b/src/peridotmast/serving/candidates.py
@@ -36,8 +36,8 @@
     without any communication between routers. Upstreams are placed on a hash
     ring by the hash of the name of their run. The home of a prefix is the
     upstream that follows one of the probe points of the prefix at the shortest
-    distance. When an upstream starts or leaves, only the prefixes whose home
-    it is change their home.
+    distance. When an upstream starts or leaves, only the prefixes that gain or
+    lose this upstream as their home are affected.
 
     Parameters
     ----------
--- a/src/peridotmast/serving/stream_relay.py
+++ b/src/peridotmast/serving/stream_relay.py
@@ -295,7 +295,7 @@
         """The attempt that currently supplies the events."""
         self.reader = event_reader.EventReader()
         self.tried: set[str] = {sent.reservation.view.name}
-        """Names of the upstreams that have prefilled the prompt."""
+        """Names of the upstreams chosen to run the stream from its prompt."""
         self.pending = b''
         """Received events that were not forwarded yet."""
         self.ended = False
