--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -103,7 +103,7 @@
 
 
 @then('{count:d} requests for "{path}" reach both services')
-def reach_both(context, count, path):
+def requests_reach_both_services(context, count, path):
     for _ in range(count):
         assert (
             helpers.send_request(
@@ -141,7 +141,7 @@
     def refused():
         return helpers.send_request('', conn=context.conn).status == status
 
-    helpers.wait_until(refused, f'{status} on the kept connection', ms)
+    helpers.wait_until(refused, f'{status} on the persistent connection', ms)
     context.conn.close()
 
 
@@ -286,7 +286,7 @@
 
 
 @then('exactly one request was run')
-def exactly_one_run(context):
+def exactly_one_request_run(context):
     runs = [
         request_id
         for guest in context.fleet.instances
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -280,8 +280,8 @@
 
 
 @when(
-    'callers of each failure domain ask each of these for routers {times:d}'
-    ' times'
+    'callers of each failure domain ask each of these routers for a list of'
+    ' routers {times:d} times'
 )
 def select_routers(context, times):
     context.answers = [
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -335,8 +335,8 @@
 
 
 @then(
-    'every directory lists all {count:d} routers, those of its failure domain'
-    ' first'
+    'every directory lists all {count:d} routers, the routers of its failure'
+    ' domain first'
 )
 def check_lists_all_routers(context, count):
     def all_listed():
@@ -452,14 +452,17 @@
         peering.receive(beacon)
 
 
-@when('both receive two beacons {ms:d} ms apart from a peer that is ahead')
+@when(
+    'both routers receive two beacons {ms:d} ms apart from a peer with newer'
+    ' data'
+)
 def receive_two_beacons(context, ms):
     receive_newer_version(context)
     context.clock.advance(ms)
     receive_newer_version(context)
 
 
-@when('both receive another such beacon after {ms:d} ms')
+@when('both routers receive another such beacon after {ms:d} ms')
 def receive_another_beacon(context, ms):
     context.clock.advance(ms)
     receive_newer_version(context)
@@ -589,7 +592,7 @@
     ]
 
 
-@then('{count:d} of the members watch each kind')
+@then('{count:d} of the members watch each kind of object in the store')
 def check_watcher_count(context, count):
     for kind in ('config', 'upstreams'):
         assert len(watching(context, kind)) == count
@@ -605,14 +608,16 @@
             members.receive(other)
 
 
-@then('{count:d} of the remaining members watch each kind')
+@then(
+    '{count:d} of the remaining members watch each kind of object in the store'
+)
 def check_remaining_watcher_count(context, count):
     check_watcher_count(context, count)
 
 
 @when(
-    'a caller sends a request to one router and an operator looks it up at the'
-    ' other'
+    'a caller sends a request to one router and an operator looks the request'
+    ' up at the other'
 )
 def look_up_request(context):
     first, second = context.fleet.routers
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -50,7 +50,7 @@
     fleet_steps.wait_until_known(context, 1, service)
 
 
-def reset(sock):
+def set_reset_on_close(sock):
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
     )
@@ -71,39 +71,39 @@
     ).encode()
 
 
-def not_an_answer(sock, request_id, number):
+def no_http_response(sock, request_id, number):
     sock.sendall(b'\x16\x03\x01 this is no answer\r\n\r\n')
 
 
-def half_body(sock, request_id, number):
+def send_half_of_body(sock, request_id, number):
     sock.sendall(raw_upstream.ok_response(request_id, b'0123456789')[:-5])
 
 
-def close_only(sock, request_id, number):
+def close_without_response(sock, request_id, number):
     pass
 
 
-def reset_only(sock, request_id, number):
-    reset(sock)
+def reset_connection(sock, request_id, number):
+    set_reset_on_close(sock)
 
 
 def delayed_reset(sock, request_id, number):
     green.sleep_ms(USAGE_WINDOW_MS)
-    reset(sock)
+    set_reset_on_close(sock)
 
 
-def no_seal(sock, request_id, number):
+def answer_without_seal(sock, request_id, number):
     sock.sendall(
         make_head(request_id, 'Content-Length: 2', seal=False) + b'hi'
     )
 
 
-def bare_503(sock, request_id, number):
+def answer_503_without_not_run(sock, request_id, number):
     status = '503 Service Unavailable'
     sock.sendall(make_head(request_id, 'Content-Length: 0', status=status))
 
 
-def two_lengths(sock, request_id, number):
+def two_content_lengths(sock, request_id, number):
     lines = ('Content-Length: 2', 'Content-Length: 4')
     sock.sendall(make_head(request_id, *lines) + b'hihi')
 
@@ -134,7 +134,7 @@
     sock.sendall(make_head(request_id) + b'all of it')
 
 
-def answer_and_another(sock, request_id, number):
+def answer_and_foreign_one(sock, request_id, number):
     extra = raw_upstream.ok_response('somebody-else', b'stolen')
     sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     green.sleep_ms(30)
@@ -142,7 +142,7 @@
     return True
 
 
-def answer_and_another_at_once(sock, request_id, number):
+def answer_and_foreign_one_at_once(sock, request_id, number):
     extra = raw_upstream.ok_response('somebody-else', b'stolen')
     sock.sendall(
         raw_upstream.ok_response(request_id, request_id.encode(), extra)
@@ -150,44 +150,44 @@
     return True
 
 
-def stale_answer_first(sock, request_id, number):
+def stale_answer_and_own(sock, request_id, number):
     sock.sendall(raw_upstream.ok_response('an-old-one', b'stale'))
     sock.sendall(raw_upstream.ok_response(request_id, request_id.encode()))
     return True
 
 
-def refused_not_run(sock, request_id, number):
+def refusal_with_not_run(sock, request_id, number):
     status = '503 Service Unavailable'
     lines = (f'{names.NOT_RUN}: 1', 'Content-Length: 0')
     sock.sendall(make_head(request_id, *lines, status=status, seal=False))
     return True
 
 
-def other_upstream_name(sock, request_id, number):
+def name_of_other_upstream(sock, request_id, number):
     status = '421 Misdirected Request'
     lines = (f'{names.UPSTREAM}: other', 'Content-Length: 0')
     sock.sendall(make_head(request_id, *lines, status=status, seal=False))
 
 
 SCRIPTS = {
-    'bytes that are no answer': not_an_answer,
-    'half of the body': half_body,
-    'nothing and a close': close_only,
-    'a reset': reset_only,
-    'a reset a window later': delayed_reset,
-    'a success without a seal': no_seal,
-    'a 503 without a not-run statement': bare_503,
-    'two lengths': two_lengths,
-    'a length and chunks': length_and_chunks,
-    'an odd chunk': malformed_chunk,
-    'a 404 of its own': status_404,
-    'a 500 of its own': status_500,
+    'bytes that are no HTTP response': no_http_response,
+    'half of the body': send_half_of_body,
+    'a close without a response': close_without_response,
+    'a connection reset': reset_connection,
+    'a connection reset a window later': delayed_reset,
+    'a success without a seal': answer_without_seal,
+    'a 503 without a not-run header': answer_503_without_not_run,
+    'two Content-Length headers': two_content_lengths,
+    'a Content-Length and chunks': length_and_chunks,
+    'a malformed chunk': malformed_chunk,
+    'a status 404': status_404,
+    'a status 500': status_500,
     'a body that ends with the connection': body_until_close,
-    'its answer and another one': answer_and_another,
-    'its answer and another one at once': answer_and_another_at_once,
-    'an old answer and then its own': stale_answer_first,
-    'a refusal with a not-run statement': refused_not_run,
-    "another upstream's name": other_upstream_name,
+    'its answer and then a foreign one': answer_and_foreign_one,
+    'its answer and a foreign one at once': answer_and_foreign_one_at_once,
+    'a stale answer and then its own': stale_answer_and_own,
+    'a refusal with a not-run header': refusal_with_not_run,
+    'the name of another upstream': name_of_other_upstream,
 }
 
 
@@ -216,7 +216,7 @@
     now = router.fleet_state.fleet_clock.now()
     green.sleep_ms(USAGE_WINDOW_MS - now % USAGE_WINDOW_MS + 20)
     context.window = router.serving.usage.window_now()
-    fleet_steps.posts(context, text, path)
+    fleet_steps.post_text(context, text, path)
 
 
 def started_by_window(context, team):
@@ -337,22 +337,22 @@
     'one of two upstreams of "{service}" loses its answers, and the other'
     ' refuses requests'
 )
-def one_loses_one_refuses(context, service):
+def one_upstream_loses_one_refuses(context, service):
     first, second = helpers.guests(context, service)
     first.upstream.app.faults = {'lose': 1.0}
     second.upstream.app.faults = {'refuse': 1.0}
 
 
-@then('the requests that ran have the status 502, and the others 503')
-def ran_have_502(context):
+@then('the requests that ran have the status 502, and all other requests 503')
+def requests_that_ran_have_502(context):
     ran = [helpers.run_count(context, a.request_id) for a in context.answers]
     assert any(ran), ran
     for runs, answer in zip(ran, context.answers):
         assert answer.status == (502 if runs else 503), (runs, answer)
 
 
-@then('all of them have a retry time')
-def all_have_retry_time(context):
+@then('all of these responses have a retry time')
+def all_responses_have_retry_time(context):
     for answer in context.answers:
         assert float(answer.header(names.RETRY_AFTER)) > 0, answer
 
@@ -361,7 +361,7 @@
     'in {count:d} random histories, every status is consistent with how often'
     ' the request ran'
 )
-def random_histories(context, count):
+def statuses_are_truthful(context, count):
     """Check the statuses that callers receive under random faults."""
     fleet = helpers.start_fleet(context, routers=2, services=3)
     draws = random.Random(5)
--- a/src/peridotmast/failures.py
+++ b/src/peridotmast/failures.py
@@ -20,8 +20,8 @@
     known."""
 
     CONFLICT = 'conflict'
-    """The operation conflicts with a concurrent change, or with a request of
-    the same id but a different body."""
+    """A concurrent change, or a different body under the same id, prevents
+    the operation."""
 
     MISSING = 'missing'
     """The requested object does not exist."""
--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -92,7 +92,7 @@
             members,
             self._spends.totals_excluding_each(members),
             self._demand_tokens.totals_excluding_each(members),
-            self._usage.others_counts(members),
+            self._usage.counts_excluding_each(members),
             strict=True,
         )
         for member, spent, offered, used in rows:
--- a/src/peridotmast/serving/upstreams.py
+++ b/src/peridotmast/serving/upstreams.py
@@ -16,19 +16,20 @@
 UNREADABLE = upstream_view.UNREADABLE
 
 _GONE_RETENTION_MS = 60_000
-"""How long a gone upstream is kept, so that an outdated record of a peer does
-not restore it."""
+"""Time for which a gone upstream is kept in the table, in ms, so that an
+outdated record of a peer does not restore the upstream."""
 
 _GRACE_SHARE = 0.6
-"""Share of the drain time for which an upstream gets new requests after its
-entry went missing. The rest allows for the time that updates take between
-routers and requests take to the upstream."""
+"""Fraction of the drain time for which an upstream gets new requests after its
+entry went missing. The rest of the drain time is left for updates of the entry
+to reach other routers and for requests to reach the upstream."""
 
 _NEVER = 1 << 62
 """Time that is never reached, in ms."""
 
 _LAPSE_SLACK_MS = 300
-"""Time added to the platform's own figure for the return of entries."""
+"""Margin in ms that is added to the time within which entries return after an
+outage according to the platform."""
 
 
 Listener = ty.Callable[[upstream_view.UpstreamView], None]
@@ -42,20 +43,21 @@
     has ended may still reach the store.
 
     An upstream whose entry is missing after an outage of the store may only
-    have been unable to renew it. Such a lapsed upstream gets new requests for
-    a share of the drain time, and counts as gone if its entry does not return
-    within the time that the platform states. Each router measures both times
-    itself, starting when the first router that reports the missing entry
-    noticed it, and so does not rely on a peer to declare the upstream gone.
+    have been unable to renew its entry. Such a lapsed upstream gets new
+    requests for a fraction of the drain time, and counts as gone if its entry
+    does not return within the time that the platform states. Each router
+    measures both times itself, starting when the first router that reports the
+    missing entry noticed it, and so does not rely on a peer to declare the
+    upstream gone.
 
     Parameters
     ----------
     clock : clock.Clock
         Times the health, the lapses and the retention of upstreams.
     drain_ms : int
-        Time after which a leaving upstream may get no new requests.
+        Time after which a leaving upstream may get no new requests, in ms.
     lapse_ms : int
-        Time within which entries return after an outage.
+        Time within which missing entries return after an outage, in ms.
     """
 
     def __init__(
@@ -153,9 +155,10 @@
     def live(self, service: str) -> ty.Sequence[upstream_view.UpstreamView]:
         """Return the upstreams of `service` that may get new requests.
 
-        Upstreams whose entry has been missing for longer are returned only if
-        the service has no others: during an outage, it is more likely that
-        none of them could renew its entry than that all of them have left.
+        An upstream whose entry has been missing for longer than the grace
+        period is returned only if the service has no other upstreams: during
+        an outage, it is more likely that none of them could renew its entry
+        than that all of them have left.
 
         Returns
         -------
