--- a/features/steps/upstream_limit_steps.py
+++ b/features/steps/upstream_limit_steps.py
@@ -118,7 +118,7 @@
 
 @given(
     'a fleet of {count:d} routers that know the limit of {rate} requests a'
-    ' second of its one engine'
+    ' second of their only engine'
 )
 def fleet_knows_limit(context, count, rate):
     helpers.start_fleet(context, routers=count, domains=1)
