--- a/features/fleet.feature
+++ b/features/fleet.feature
@@ -65,7 +65,7 @@
 
   Scenario: A revision for which no upstream record exists is not requested forever
     Given a fleet of 2 routers
-    When one router reaches an upstream revision that no record has
+    When one router has an upstream revision for which no record exists
     Then the other router reaches the same revision within 1500 ms
     And the other router restarts no watch
 
--- a/features/steps/chat_steps.py
+++ b/features/steps/chat_steps.py
@@ -172,7 +172,7 @@
 
 
 @when('a caller is told of only one router, which then stops')
-def told_of_one_router(context):
+def stop_only_listed_router(context):
     fleet = context.fleet
     context.caller = fleet.caller('noor', 1)
     first = fleet.routers[0]
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -159,13 +159,13 @@
         self.numbers = iter(range(1000))
         self.events = {}
         self.is_cut = lambda beacon: False
-        self.add(count)
+        self.add_routers(count)
         if not starts:
             # Routers that have run for long know the level of the limit.
             for node in self.nodes.values():
                 node.serving.quota.adopt_levels({'noor': BURST})
 
-    def add(self, count):
+    def add_routers(self, count):
         added = [
             SimulatedRouter(next(self.numbers), self.clock)
             for _ in range(count)
@@ -641,7 +641,7 @@
 
 @when('{count:d} more routers join')
 def join_routers(context, count):
-    context.simulated.add(count)
+    context.simulated.add_routers(count)
 
 
 @then(
@@ -664,7 +664,7 @@
             if fleet.draws.random() < 0.06:
                 victim = fleet.draws.choice(sorted(fleet.nodes))
                 del fleet.nodes[victim]
-                fleet.add(1)
+                fleet.add_routers(1)
                 newest = list(fleet.nodes.values())[-1]
                 newest.set_limit(rate, burst)
         # A new router's bucket is full, and its burst is spent at once.
@@ -689,22 +689,22 @@
     context.fleet_counts = fleet_counts.FleetCounts(
         dict, context.increments.update
     )
-    receive_counts(context, 'first', a, b)
+    receive_fleet_counts(context, 'first', a, b)
 
 
-def receive_counts(context, head, *counts):
+def receive_fleet_counts(context, head, *counts):
     for count in counts:
         context.fleet_counts.receive_fleet(head, 1, {'noor': count}, True)
 
 
 @when('the member gets counts of {a:d} and then {b:d} from another head')
 def receive_counts_from_another_head(context, a, b):
-    receive_counts(context, 'second', a, b)
+    receive_fleet_counts(context, 'second', a, b)
 
 
 @when('the member gets counts of {a:d} and then {b:d} from the first head')
 def receive_counts_from_first_head(context, a, b):
-    receive_counts(context, 'first', a, b)
+    receive_fleet_counts(context, 'first', a, b)
 
 
 @then('the counted increments add up to {count:d}')
@@ -754,7 +754,7 @@
 @when('{count:d} more routers join with the same limit')
 def join_with_limit(context, count):
     before = set(context.simulated.nodes)
-    context.simulated.add(count)
+    context.simulated.add_routers(count)
     context.joined = [
         node
         for name, node in context.simulated.nodes.items()
--- a/features/steps/incarnation_steps.py
+++ b/features/steps/incarnation_steps.py
@@ -197,7 +197,7 @@
 )
 def stream_and_restart_silently(context, tokens, path):
     def act(guest):
-        guest.upstream.mute()
+        guest.upstream.stall_streams()
         change_entry_only(context, guest)
 
     stream_steps.stream_with_action(context, tokens, path, act)
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -338,7 +338,8 @@
 def check_order(orders, order, killed):
     """Check and add an order; return whether it is the first after a takeover.
 
-    At a takeover the dead run's lease has not expired yet.
+    In a takeover, the new run on a VM acts before the lease of the killed run
+    on that VM has expired.
     """
     now, endpoint, fencing = order
     own = [o for o in orders if o[1] == endpoint]
--- a/features/steps/stop_steps.py
+++ b/features/steps/stop_steps.py
@@ -502,7 +502,7 @@
     )
 
 
-@when('one router reaches an upstream revision that no record has')
+@when('one router has an upstream revision for which no record exists')
 def raise_revision_without_record(context):
     ahead, context.behind = context.fleet.routers
     ahead.upstream_table.revision += 100
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -83,7 +83,7 @@
 )
 def stream_and_silence(context, tokens, path):
     stream_with_action(
-        context, tokens, path, lambda guest: guest.upstream.mute()
+        context, tokens, path, lambda guest: guest.upstream.stall_streams()
     )
 
 
@@ -93,7 +93,7 @@
 )
 def stream_and_pause(context, tokens, path, ms):
     stream_with_action(
-        context, tokens, path, lambda guest: guest.upstream.mute(ms)
+        context, tokens, path, lambda guest: guest.upstream.stall_streams(ms)
     )
 
 
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -92,7 +92,7 @@
     set_reset_on_close(sock)
 
 
-def answer_without_seal(sock, request_id, number):
+def answer_without_seal_header(sock, request_id, number):
     sock.sendall(
         make_head(request_id, 'Content-Length: 2', seal=False) + b'hi'
     )
@@ -175,7 +175,7 @@
     'a close without a response': close_without_response,
     'a connection reset': reset_connection,
     'a connection reset a window later': delayed_reset,
-    'a success without a seal': answer_without_seal,
+    'a success without a seal': answer_without_seal_header,
     'a 503 without a not-run header': answer_503_without_not_run,
     'two Content-Length headers': two_content_lengths,
     'a Content-Length and chunks': length_and_chunks,
@@ -253,7 +253,7 @@
     context.raw_upstream._reads_body = False
     received_late = context.received_late = []
 
-    def script(sock, request_id, number):
+    def send_early_response(sock, request_id, number):
         sock.sendall(raw_upstream.ok_response(request_id, b'early'))
         green.sleep_ms(300)
         with green.Timeout(1, False):
@@ -261,7 +261,7 @@
                 received_late.append(data)
         return False
 
-    context.script = script
+    context.script = send_early_response
 
 
 @then('the upstream then receives only the rest of that body, or nothing')
--- a/src/peridotmast/cli/quickstart.py
+++ b/src/peridotmast/cli/quickstart.py
@@ -109,14 +109,14 @@
     ) -> None:
         caller = self._fleet.caller(team, seed=number)
         answer = caller.chat(oracle.MODEL, prompt, tokens, work)
-        self._count(answer, oracle.chat_text(prompt, tokens))
+        self._record_answer(answer, oracle.chat_text(prompt, tokens))
 
     def _hold(self, number: int) -> None:
         caller = self._fleet.caller('noor', seed=100 + number)
         answer = caller.call(shape_.PLAIN_SERVICE, 'hold', f'seat {number}')
-        self._count(answer, f'done:seat {number}')
+        self._record_answer(answer, f'done:seat {number}')
 
-    def _count(self, answer: caller_.Answer, wanted: str) -> None:
+    def _record_answer(self, answer: caller_.Answer, wanted: str) -> None:
         self.request_count += 1
         if answer.failure is not None:
             self._refused[answer.failure.reason] += 1
--- a/src/peridotmast/embedded/link_proxy.py
+++ b/src/peridotmast/embedded/link_proxy.py
@@ -19,7 +19,8 @@
 """Rate of a slow link: a chunk takes 0.4 s, an event a few milliseconds."""
 _DELAY_S = 0.05
 _FIRST_BYTES_S = 0.5
-"""Limit on the wait for the id of a refused request."""
+"""Time limit for reading the request id from a connection that the target has
+refused."""
 _LINGER = struct.pack('ii', 1, 0)
 """Socket option value that makes a close send a reset."""
 _REQUEST_ID = re.compile(rb'"request_id": "([0-9a-f]{32})"')
@@ -50,7 +51,7 @@
     share: float = 1.0
     """Fraction of the connections open at its start that it affects."""
     affects_new: bool = False
-    """Whether it also affects connections opened while it lasts."""
+    """Whether connections opened during the fault are affected too."""
     ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
--- a/src/peridotmast/load/faults.py
+++ b/src/peridotmast/load/faults.py
@@ -310,7 +310,7 @@
     def _mute_connections(self, fault: pb.Fault) -> None:
         guest = self._pick_engine(fault.target)
         if guest is not None:
-            guest.upstream.mute()
+            guest.upstream.stall_streams()
 
     def _hang_engine(self, fault: pb.Fault) -> None:
         self._set_engine_faults(fault, hang=0.7)
--- a/src/peridotmast/platform/store.py
+++ b/src/peridotmast/platform/store.py
@@ -28,8 +28,9 @@
 it, and 20 s if the streams of callers leave a twelfth of it."""
 
 _WATCH_ESTABLISHED_MS = 1000
-"""Time after which a failed watch does not count as a store failure, in ms:
-it was interrupted while waiting for changes."""
+"""Time after which a failed watch does not count as a store failure, in ms. A
+watch that fails later was established, and was interrupted while it waited for
+changes."""
 
 PROBE_KIND = 'peridotmast-probes'
 """Kind without objects, so that a probe gets the shortest response."""
--- a/src/peridotmast/serving/crash_tracker.py
+++ b/src/peridotmast/serving/crash_tracker.py
@@ -19,8 +19,8 @@
 """Number of crashes at which a request is blocked."""
 
 MAX_RETRIES = 2
-"""Retries allowed for a blocked request. All routers together may send it up
-to 3 times after its last crash: once more than this if the lease of the duties
+"""Retries allowed for a blocked request. All routers together may send it one
+time more, so up to 3 times after its last crash, if the lease of the duties
 passes to a router that has not yet received the previous holder's update."""
 
 RETRY_DELAY_MS = 600_000
--- a/src/peridotmast/serving/quota.py
+++ b/src/peridotmast/serving/quota.py
@@ -128,9 +128,9 @@
         """Time for which this router waits after its start for a peer to
         report the levels, in ms."""
         self.has_stale_peer_data: ty.Callable[[], bool] = lambda: False
-        """Returns whether the spending of peers is known with so much delay
-        that routers pace requests while the level is low, and that heads of
-        groups lend tokens."""
+        """Returns whether routers learn the spending of their peers only
+        after a long delay. If so, they pace requests while the level of a
+        team is low, and heads of groups lend tokens."""
 
     def configure(self, teams: ty.Iterable[pb.Team]) -> None:
         """Apply the limits of the teams."""
--- a/src/peridotmast/serving/upstream_view.py
+++ b/src/peridotmast/serving/upstream_view.py
@@ -21,7 +21,7 @@
     """Load that one or more routers put on an upstream."""
 
     running: int = 0
-    """Number of requests."""
+    """Number of requests that these routers run at the upstream."""
     unread: int = 0
     """Prompt tokens of requests that have not produced their first event."""
     memory: int = 0
--- a/src/peridotmast/standin/engine.py
+++ b/src/peridotmast/standin/engine.py
@@ -119,7 +119,7 @@
         """Return a new engine with the same id and address, after `stop`."""
         return Engine(self.name, self.address, self.profile, self._seed)
 
-    def mute(self, ms: int = _UNLIMITED_MS) -> None:
+    def stall_streams(self, ms: int = _UNLIMITED_MS) -> None:
         """Stall the streams that are open now; later ones are not affected.
 
         Parameters
@@ -127,7 +127,7 @@
         ms : int
             Duration; in effect unlimited by default.
         """
-        self.app.mute(ms)
+        self.app.stall_streams(ms)
 
 
 class _EngineApp(upstream_app.UpstreamApp):
@@ -146,8 +146,8 @@
         self._work_available = green.Event()
         self.numbers = itertools.count(1)
         """Numbers streams, queued runs and handles, in order."""
-        self._muted_below = 0
-        self._muted_until = 0
+        self._stalled_below = 0
+        self._stalled_until = 0
         self.totals: collections.Counter[str] = collections.Counter()
         self.moves_refused = False
         """Whether it refuses copies of runs from other engines."""
@@ -158,10 +158,10 @@
         self.route('POST', '/standin/copy', self._take_copy)
         self.step_task = green.spawn(self._run_steps)
 
-    def mute(self, ms: int) -> None:
+    def stall_streams(self, ms: int) -> None:
         """Stall the streams that are open now, for `ms`."""
-        self._muted_below = next(self.numbers)
-        self._muted_until = self._clock.now() + ms
+        self._stalled_below = next(self.numbers)
+        self._stalled_until = self._clock.now() + ms
 
     def answer(
         self,
@@ -195,8 +195,8 @@
                 ended, ready = run.ended, self._events_ready(run)
                 for event in range(sent + 1, ready + 1):
                     data = self._event(run, event)
-                    if stream_number < self._muted_below:
-                        remaining = self._muted_until - self._clock.now()
+                    if stream_number < self._stalled_below:
+                        remaining = self._stalled_until - self._clock.now()
                         green.sleep_ms(max(0, remaining))
                     if self.fault_occurs('cut'):
                         conn.reset()
