--- a/src/peridotmast/router/shared_totals.py
+++ b/src/peridotmast/router/shared_totals.py
@@ -186,7 +186,7 @@
         ----------
         known : collection of str
             Routers whose counts are kept.
-        heard : collection of str
+        live : collection of str
             Routers whose own reports of their load are kept.
         groups : collection of int
             Groups whose load is kept.
